--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use almondpass_graph::{core, intake, order, progress, room, terms, worker};
+use almondpass_graph::{core, intake, order, progress, resources, terms, worker};
 use almondpass_schema::{ids, model};
 
 /// Workers of a rack.
@@ -57,7 +57,7 @@
         let listing = worker::WorkerListing {
             address: format!("127.0.0.1:{index}"),
             upstream: "analysis".to_owned(),
-            capacity: room::Room {
+            capacity: resources::Resources {
                 cpu_milli: 32_000,
                 memory_mb: 65_536,
                 accelerators: ACCELERATORS,
--- a/crates/graph/src/ample_pool.rs
+++ b/crates/graph/src/ample_pool.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::ids;
 
 use crate::core;
-use crate::room;
+use crate::resources;
 
 impl core::PoolCore {
     /// The upstreams of whose workers less than half is in use, of each resource.
@@ -41,7 +41,7 @@
 }
 
 impl PoolAmounts {
-    fn add(&mut self, offered: room::Room, used: room::Room) {
+    fn add(&mut self, offered: resources::Resources, used: resources::Resources) {
         for (sum, amount) in self.offered.iter_mut().zip(by_resource(offered)) {
             *sum += amount;
         }
@@ -56,6 +56,6 @@
     }
 }
 
-fn by_resource(room: room::Room) -> [u64; 3] {
+fn by_resource(room: resources::Resources) -> [u64; 3] {
     [room.cpu_milli, room.memory_mb, room.accelerators].map(u64::from)
 }
--- a/crates/graph/src/asking.rs
+++ b/crates/graph/src/asking.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use crate::berth;
-use crate::clearing;
 use crate::core;
+use crate::isolation;
 use crate::job;
 use crate::placing;
-use crate::room;
+use crate::preemption;
+use crate::resources;
 use crate::task_key;
-use crate::trials;
 
 /// A job of which nothing runs waits this long at most for a better place, or for room that is kept for other
 /// work, while the pool is ample. The platform takes a job as lost that stands still for 3 s beside room.
@@ -33,16 +33,16 @@
         let waited = waited.min(self.wall.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
         let is_trial = tasks.iter().any(|it| it.suspicion.is_on_trial());
-        let is_patient = waited < trials::LONGEST_APART_WAIT
-            && tasks.iter().all(|it| self.waited_apart(it, now) < trials::APART_PATIENCE);
+        let is_patient = waited < isolation::LONGEST_APART_WAIT
+            && tasks.iter().all(|it| self.waited_apart(it, now) < isolation::APART_PATIENCE);
         let may_stand = is_trial || waited >= STANDING_PATIENCE;
         let stands = may_stand && self.stands_beside_room(job);
-        let may_be_apart = is_trial && (stands || trials::may_be_apart(tasks, berths));
+        let may_be_apart = is_trial && (stands || isolation::may_be_apart(tasks, berths));
         let takes_any = waited >= STANDING_PATIENCE && stands;
         let mut ask = berth::PlaceAsk {
             unit,
             upstream: upstream_number(&job.upstream, berths),
-            room: room::Room::of_step(&step.spec),
+            room: resources::Resources::of_step(&step.spec),
             n_tasks: tasks.len() as u32,
             same_rack: step.spec.same_rack && tasks.len() > 1,
             rack_number: step.spec.rack.as_deref().map(|it| rack_number(it, berths)),
@@ -63,9 +63,9 @@
             may_be_apart,
         };
         if ask.is_apart {
-            ask.avoids.extend(trials::avoided(tasks, berths));
+            ask.avoids.extend(isolation::avoided(tasks, berths));
         } else if may_be_apart && is_patient {
-            ask = trials::apart_at_once(ask, tasks, berths);
+            ask = isolation::apart_at_once(ask, tasks, berths);
         }
         ask.far =
             takes_any || waited >= self.near_patience(job) || !placing::could_be_near(berths, &ask);
@@ -97,14 +97,14 @@
         berths: &[berth::WorkerBerth],
         waited: Duration,
     ) -> usize {
-        if job.priority == clearing::URGENT || waited >= self.slack(job) {
+        if job.priority == preemption::URGENT || waited >= self.slack(job) {
             return 0;
         }
         // By the largest: the room of any one worker may have shrunk for a while.
         let rooms = berths.iter().map(|it| it.place.capacity);
         let each = rooms.max_by_key(|it| it.accelerators).unwrap_or_default();
         let n = self.headroom.n_workers(each, berths.len());
-        if job.priority == clearing::URGENT + 1 { n / 2 } else { 2 * n }
+        if job.priority == preemption::URGENT + 1 { n / 2 } else { 2 * n }
     }
 }
 
--- a/crates/graph/src/berth.rs
+++ b/crates/graph/src/berth.rs
@@ -4,7 +4,7 @@
 
 use almondpass_schema::ids;
 
-use crate::room;
+use crate::resources;
 use crate::task_key;
 
 /// What does not change about a worker.
@@ -19,7 +19,7 @@
     /// Its labels.
     pub labels: Vec<String>,
     /// What it offers in all.
-    pub capacity: room::Room,
+    pub capacity: resources::Resources,
 }
 
 /// A worker that may get tasks.
@@ -32,9 +32,9 @@
     /// Number of the upstream whose tasks it runs, for the same reason.
     pub upstream: usize,
     /// What is in use, which may be more than there is.
-    pub used: room::Room,
+    pub used: resources::Resources,
     /// What is free now.
-    pub free: room::Room,
+    pub free: resources::Resources,
     /// Tasks there, those included that should not be.
     pub n_runs: usize,
     /// Failed lately; used last.
@@ -42,9 +42,9 @@
     /// Whether a task has it for itself, as it may crash it: nothing else starts there.
     pub is_closed: bool,
     /// Room that is being cleared for units.
-    pub claims: Vec<(task_key::UnitKey, room::Room)>,
+    pub claims: Vec<(task_key::UnitKey, resources::Resources)>,
     /// Room that gathers for units that wait.
-    pub reserved: Vec<(task_key::UnitKey, room::Room)>,
+    pub reserved: Vec<(task_key::UnitKey, resources::Resources)>,
 }
 
 impl WorkerBerth {
@@ -54,12 +54,20 @@
     }
 
     /// Of `free`, what `unit` may take: all that is not being cleared for others.
-    pub fn left_for(&self, unit: task_key::UnitKey, free: room::Room) -> room::Room {
+    pub fn left_for(
+        &self,
+        unit: task_key::UnitKey,
+        free: resources::Resources,
+    ) -> resources::Resources {
         left_beside(&self.claims, unit, free)
     }
 
     /// Of `free`, what is not reserved for others either.
-    fn unreserved_for(&self, unit: task_key::UnitKey, free: room::Room) -> room::Room {
+    fn unreserved_for(
+        &self,
+        unit: task_key::UnitKey,
+        free: resources::Resources,
+    ) -> resources::Resources {
         left_beside(&self.reserved, unit, self.left_for(unit, free))
     }
 }
@@ -72,7 +80,7 @@
     /// Number of the upstream whose workers it needs; one that no berth has where it has none.
     pub upstream: usize,
     /// What each task needs.
-    pub room: room::Room,
+    pub room: resources::Resources,
     /// Tasks to place together.
     pub n_tasks: u32,
     /// Whether they slow each other down across racks.
@@ -113,12 +121,12 @@
     }
 
     /// What has to be kept on a berth for one of its tasks: all of it where the unit runs apart.
-    pub fn kept_room(&self, berth: &WorkerBerth) -> room::Room {
+    pub fn kept_room(&self, berth: &WorkerBerth) -> resources::Resources {
         if self.is_apart { berth.place.capacity } else { self.room }
     }
 
     /// How many of its tasks fit in `free` of that berth, as far as the berth may be used at all.
-    pub fn count_on(&self, index: usize, berth: &WorkerBerth, free: room::Room) -> u32 {
+    pub fn count_on(&self, index: usize, berth: &WorkerBerth, free: resources::Resources) -> u32 {
         if berth.is_closed || !self.allows(berth) {
             return 0;
         }
@@ -144,10 +152,10 @@
 
 /// What is left of `free` beside the room of units other than `unit`.
 fn left_beside(
-    others: &[(task_key::UnitKey, room::Room)],
+    others: &[(task_key::UnitKey, resources::Resources)],
     unit: task_key::UnitKey,
-    free: room::Room,
-) -> room::Room {
+    free: resources::Resources,
+) -> resources::Resources {
     let others = others.iter().filter(|(it, _)| *it != unit);
     others.fold(free, |left, (_, room)| left.minus(*room))
 }
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -7,15 +7,15 @@
 use almondpass_schema::{ids, model};
 
 use crate::berth;
-use crate::clearing;
 use crate::core;
 use crate::failed_ask;
 use crate::job;
 use crate::order;
 use crate::pace;
 use crate::placing;
-use crate::reserving;
-use crate::room;
+use crate::preemption;
+use crate::reservation;
+use crate::resources;
 use crate::task_key;
 
 /// Turns come at least twice as often while anything waits: behind a longer pause nothing could be ordered.
@@ -64,7 +64,7 @@
         now: Duration,
     ) {
         let mut full = BTreeSet::<(ids::GraphId, u32)>::new();
-        let mut hopeless = Vec::<room::Room>::new();
+        let mut hopeless = Vec::<resources::Resources>::new();
         let mut failed = Vec::<failed_ask::FailedAsk>::new();
         let mut round = self.clearing_round();
         for unit in units {
@@ -99,7 +99,7 @@
     }
 
     fn is_urgent(&self, unit: task_key::UnitKey) -> bool {
-        self.jobs.get(&unit.graph).is_some_and(|it| it.priority == clearing::URGENT)
+        self.jobs.get(&unit.graph).is_some_and(|it| it.priority == preemption::URGENT)
     }
 
     /// Keeps the units that come later in this turn off the room for which a gang waits, or a suspect.
@@ -114,7 +114,7 @@
             return;
         }
         let Some(ask) = self.ask(unit, berths, now) else { return };
-        let Some(chosen) = reserving::reserve(berths, &ask) else { return };
+        let Some(chosen) = reservation::reserve(berths, &ask) else { return };
         for index in chosen {
             let room = ask.kept_room(&berths[index]);
             berths[index].reserved.push((unit, room));
@@ -127,7 +127,7 @@
         &self,
         unit: task_key::UnitKey,
         berths: &[berth::WorkerBerth],
-    ) -> Option<room::Room> {
+    ) -> Option<resources::Resources> {
         let job = self.jobs.get(&unit.graph)?;
         let room = job.steps.get(unit.step as usize)?.room();
         let is_hopeless = !berths.iter().any(|it| room.fits_in(it.free));
@@ -135,11 +135,11 @@
     }
 
     /// Whether a unit need not be tried. Urgent ones always are: other work may be stopped for them.
-    fn is_hopeless(&self, unit: task_key::UnitKey, hopeless: &[room::Room]) -> bool {
+    fn is_hopeless(&self, unit: task_key::UnitKey, hopeless: &[resources::Resources]) -> bool {
         let Some(job) = self.jobs.get(&unit.graph) else { return true };
         let Some(step) = job.steps.get(unit.step as usize) else { return true };
         let room = step.room();
-        job.priority != clearing::URGENT && hopeless.iter().any(|it| it.fits_in(room))
+        job.priority != preemption::URGENT && hopeless.iter().any(|it| it.fits_in(room))
     }
 
     /// Units that may start now, in the order in which they are to: by class, and within a class first
@@ -210,7 +210,7 @@
 
     /// Accelerators that each urgent job uses.
     fn urgent_accelerators(&self) -> Vec<u32> {
-        let urgent = self.active_jobs().filter(|(_, it)| it.priority == clearing::URGENT);
+        let urgent = self.active_jobs().filter(|(_, it)| it.priority == preemption::URGENT);
         let of_step = |step: &job::StepRecord| {
             let n_runs = step.tasks.iter().filter(|it| it.run.is_some()).count() as u32;
             n_runs * step.spec.accelerators
--- a/crates/graph/src/failed_ask.rs
+++ b/crates/graph/src/failed_ask.rs
@@ -5,13 +5,13 @@
 //! workers, in each turn.
 
 use crate::berth;
-use crate::room;
+use crate::resources;
 
 /// What a single task asked for in vain.
 #[derive(Clone, Debug)]
 pub struct FailedAsk {
     upstream: usize,
-    room: room::Room,
+    room: resources::Resources,
     label: Option<String>,
     only_rack: Option<usize>,
     keeps_empty: usize,
--- a/crates/graph/src/headroom.rs
+++ b/crates/graph/src/headroom.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crate::room;
+use crate::resources;
 
 /// Time over which the use by urgent work is averaged.
 const MEMORY: Duration = Duration::from_secs(8);
@@ -54,7 +54,7 @@
     }
 
     /// Workers of `each` to keep empty of `n_workers`.
-    pub fn n_workers(&self, each: room::Room, n_workers: usize) -> usize {
+    pub fn n_workers(&self, each: resources::Resources, n_workers: usize) -> usize {
         let needed = (MEAN_SHARE * self.mean).min(DEVIATIONS * self.variance.sqrt());
         let needed = needed / f64::from(each.accelerators.max(1));
         needed.min(MOST_SHARE * n_workers as f64) as usize
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -7,7 +7,7 @@
 use almondpass_schema::{ids, model};
 
 use crate::pace;
-use crate::room;
+use crate::resources;
 use crate::save_queue;
 use crate::suspicion;
 use crate::task_key;
@@ -319,8 +319,8 @@
     }
 
     /// What each task needs.
-    pub fn room(&self) -> room::Room {
-        room::Room::of_step(&self.spec)
+    pub fn room(&self) -> resources::Resources {
+        resources::Resources::of_step(&self.spec)
     }
 
     /// Highest attempt of any task; the members of a gang share it.
--- a/crates/graph/src/listing.rs
+++ b/crates/graph/src/listing.rs
@@ -5,15 +5,15 @@
 
 use almondpass_schema::ids;
 
-use crate::clearing;
+use crate::ack_window;
 use crate::core;
 use crate::job;
-use crate::life_trust;
 use crate::order;
 use crate::pace;
-use crate::restarts;
+use crate::preemption;
 use crate::task_key;
 use crate::worker;
+use crate::worker_restarts;
 
 /// A worker with tasks is looked at this often even if nothing ends, to see progress and hangs.
 const BUSY_WAIT: Duration = Duration::from_millis(1_000);
@@ -53,7 +53,7 @@
         let wait = match (answers, has_runs) {
             // Ends that are not durable yet are listed again at once.
             _ if !record.unsaved_ends.is_empty() => Duration::ZERO,
-            _ if ack == life_trust::EndAck::AskFirst => Duration::ZERO,
+            _ if ack == ack_window::EndAck::AskFirst => Duration::ZERO,
             (false, _) => Duration::ZERO,
             (true, true) => busy_wait,
             (true, false) => IDLE_WAIT,
@@ -71,7 +71,7 @@
     fn has_urgent(&self, worker: &ids::WorkerId) -> bool {
         let runs = self.workers.get(worker).map(|it| &it.runs);
         let mut jobs = runs.into_iter().flatten().filter_map(|it| self.jobs.get(&it.graph));
-        jobs.any(|it| it.priority == clearing::URGENT)
+        jobs.any(|it| it.priority == preemption::URGENT)
     }
 
     /// Whether ends of the worker wait to become durable.
@@ -97,14 +97,14 @@
     ) {
         let Some(record) = self.workers.get(worker) else { return };
         let life = record.life_of(&listed, sent_at);
-        if life == restarts::AnswerLife::Former {
+        if life == worker_restarts::AnswerLife::Former {
             tracing::debug!(worker, "an answer of a former life is passed over");
             return;
         }
         if record.n_missed > 1 {
             tracing::info!(worker, n_missed = record.n_missed, "worker answers again");
         }
-        if life == restarts::AnswerLife::Later {
+        if life == worker_restarts::AnswerLife::Later {
             self.worker_restarted(worker, &listed, now);
         }
         let Some(record) = self.workers.get_mut(worker) else { return };
@@ -137,9 +137,9 @@
 
     /// An earlier scheduler may have extended the lease just before; and a life that was not known yet
     /// may have been given a deadline by the clock of the former one.
-    fn adopt_lease(&mut self, worker: &ids::WorkerId, life: restarts::AnswerLife) {
+    fn adopt_lease(&mut self, worker: &ids::WorkerId, life: worker_restarts::AnswerLife) {
         let lease = match life {
-            restarts::AnswerLife::Later => self.terms.longest_lease,
+            worker_restarts::AnswerLife::Later => self.terms.longest_lease,
             _ => self.terms.lease,
         };
         if let Some(record) = self.workers.get_mut(worker) {
--- a/crates/graph/src/clearing.rs
+++ b/crates/graph/src/preemption.rs
@@ -8,8 +8,8 @@
 use crate::berth;
 use crate::core;
 use crate::job;
-use crate::reclaiming;
-use crate::room;
+use crate::preemption_plan;
+use crate::resources;
 use crate::task_key;
 use crate::worker;
 
@@ -53,9 +53,9 @@
     /// Units for which room may still be sought.
     n_left: u32,
     /// What may be stopped for work within a guarantee, once it was needed.
-    for_guaranteed: Option<reclaiming::VictimPool>,
+    for_guaranteed: Option<preemption_plan::VictimPool>,
     /// What may be stopped for other urgent work, once it was needed.
-    for_others: Option<reclaiming::VictimPool>,
+    for_others: Option<preemption_plan::VictimPool>,
 }
 
 impl core::PoolCore {
@@ -102,7 +102,7 @@
         let pool = if is_guaranteed { &mut round.for_guaranteed } else { &mut round.for_others };
         let pool = pool.get_or_insert_with(|| self.victim_pool(is_guaranteed, berths, now));
         let Some(ask) = self.ask(unit, berths, now) else { return };
-        let Some(plan) = reclaiming::reclaim(berths, pool, &ask) else { return };
+        let Some(plan) = preemption_plan::reclaim(berths, pool, &ask) else { return };
         if plan.cost > self.most_cost(unit, &ask, now) {
             return;
         }
@@ -149,14 +149,14 @@
     }
 
     /// Room of tasks that are being stopped, by berth.
-    fn freeing(&self, berths: &[berth::WorkerBerth]) -> Vec<room::Room> {
+    fn freeing(&self, berths: &[berth::WorkerBerth]) -> Vec<resources::Resources> {
         let on_berth = |it: &berth::WorkerBerth| {
             let runs = self.workers.get(&it.place.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
                 .flatten()
                 .filter(|key| self.run(**key).is_some_and(|it| it.phase.is_stopping()));
-            stopping.fold(room::Room::default(), |sum, key| sum.plus(self.room_of(*key)))
+            stopping.fold(resources::Resources::default(), |sum, key| sum.plus(self.room_of(*key)))
         };
         berths.iter().map(on_berth).collect()
     }
@@ -167,8 +167,8 @@
         is_guaranteed: bool,
         berths: &[berth::WorkerBerth],
         now: Duration,
-    ) -> reclaiming::VictimPool {
-        let mut victims = BTreeMap::<task_key::UnitKey, reclaiming::ReclaimVictim>::new();
+    ) -> preemption_plan::VictimPool {
+        let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::ReclaimVictim>::new();
         for (index, berth) in berths.iter().enumerate() {
             let Some(record) = self.workers.get(&berth.place.worker) else { continue };
             for key in &record.runs {
@@ -181,16 +181,14 @@
                 let factor = if is_urgent { URGENT_COST } else { 1 };
                 let Some(cost) = self.stop_cost(*key, now) else { continue };
                 let Some(victim) = job.unit_of(*key) else { continue };
-                let entry = victims.entry(victim).or_insert_with(|| reclaiming::ReclaimVictim {
-                    unit: victim,
-                    cost: 0,
-                    runs: Vec::new(),
+                let entry = victims.entry(victim).or_insert_with(|| {
+                    preemption_plan::ReclaimVictim { unit: victim, cost: 0, runs: Vec::new() }
                 });
                 entry.cost += factor * cost;
                 entry.runs.push((index, self.room_of(*key)));
             }
         }
-        reclaiming::VictimPool::new(self.freeing(berths), victims.into_values().collect())
+        preemption_plan::VictimPool::new(self.freeing(berths), victims.into_values().collect())
     }
 
     /// Work that stopping a run throws away; nothing where it is stopping already.
@@ -208,7 +206,7 @@
         Some(if run.percent >= NEARLY_DONE { 3 * cost } else { cost })
     }
 
-    fn room_of(&self, key: task_key::TaskKey) -> room::Room {
+    fn room_of(&self, key: task_key::TaskKey) -> resources::Resources {
         let step = self.jobs.get(&key.graph).and_then(|it| it.step(key));
         step.map(job::StepRecord::room).unwrap_or_default()
     }
--- a/crates/graph/src/reclaiming.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::berth;
-use crate::room;
+use crate::resources;
 use crate::task_key;
 
 /// A unit that may be stopped.
@@ -14,7 +14,7 @@
     /// Work that would be lost, in core-milliseconds; with what a new start costs.
     pub cost: u64,
     /// Where it holds room: berth and room, one for each task.
-    pub runs: Vec<(usize, room::Room)>,
+    pub runs: Vec<(usize, resources::Resources)>,
 }
 
 /// What a reclaim does.
@@ -75,17 +75,17 @@
 pub struct VictimPool {
     victims: Vec<ReclaimVictim>,
     /// Victims with room there, the cheapest for their room last.
-    by_berth: Vec<Vec<(usize, room::Room)>>,
+    by_berth: Vec<Vec<(usize, resources::Resources)>>,
     /// Room of tasks that are stopping already, by berth.
-    freeing: Vec<room::Room>,
+    freeing: Vec<resources::Resources>,
     /// Victims that were asked to stop since.
     stopping: BTreeSet<usize>,
 }
 
 impl VictimPool {
     /// The victims on `n_berths` berths; `freeing` is room of tasks that are stopping already, by berth.
-    pub fn new(freeing: Vec<room::Room>, victims: Vec<ReclaimVictim>) -> VictimPool {
-        let mut by_berth = vec![BTreeMap::<usize, room::Room>::new(); freeing.len()];
+    pub fn new(freeing: Vec<resources::Resources>, victims: Vec<ReclaimVictim>) -> VictimPool {
+        let mut by_berth = vec![BTreeMap::<usize, resources::Resources>::new(); freeing.len()];
         for (victim, it) in victims.iter().enumerate() {
             for (berth, room) in &it.runs {
                 let freed = by_berth[*berth].entry(victim).or_default();
@@ -126,7 +126,7 @@
     ask: &'a berth::PlaceAsk<'a>,
     /// What is in use on each berth of the group, less what the plan frees and with what it takes. What is
     /// free follows from it: a worker whose room has shrunk may have more in use than it offers.
-    used: BTreeMap<usize, room::Room>,
+    used: BTreeMap<usize, resources::Resources>,
     /// How many tasks the plan places on each berth of the group.
     n_placed: BTreeMap<usize, u32>,
     /// The cheapest way to run one more task on each berth of the group that can.
@@ -202,7 +202,7 @@
         }
         let mut used = self.used.get(&index).copied()?;
         let mut option = PlanOption { cost: 0, victims: Vec::new() };
-        let is_there = |it: &&(usize, room::Room)| {
+        let is_there = |it: &&(usize, resources::Resources)| {
             !self.stopped.contains(&it.0) && !self.pool.stopping.contains(&it.0)
         };
         let mut on_berth = self.pool.by_berth[index].iter().rev().filter(is_there);
@@ -216,11 +216,11 @@
     }
 
     /// Whether one more task fits on a berth with that much in use. One that runs apart needs it empty.
-    fn fits(&self, index: usize, used: room::Room) -> bool {
+    fn fits(&self, index: usize, used: resources::Resources) -> bool {
         let berth = &self.berths[index];
         let free = berth.place.capacity.minus(used);
         let n_placed = self.n_placed.get(&index).copied().unwrap_or_default();
-        let is_empty = n_placed > 0 || used == room::Room::default();
+        let is_empty = n_placed > 0 || used == resources::Resources::default();
         let left = berth.left_for(self.ask.unit, free);
         self.ask.room.fits_in(left) && (is_empty || !self.ask.is_apart)
     }
--- a/crates/graph/src/prospect.rs
+++ b/crates/graph/src/prospect.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use crate::catalog;
-use crate::clearing;
 use crate::core;
 use crate::job;
 use crate::objective;
+use crate::preemption;
 
 /// A job that ends behind this many times its objective is worth nothing any more, by the platform's
 /// rules.
@@ -53,7 +53,7 @@
     pub(crate) fn prospect(&self, job: &job::JobRecord, now: Duration) -> JobProspect {
         let is_guaranteed =
             job.account.as_ref().is_some_and(|it| self.within_guarantee.contains(it));
-        let is_kept = job.priority == clearing::URGENT && is_guaranteed;
+        let is_kept = job.priority == preemption::URGENT && is_guaranteed;
         // The runs of a timed job are due one after the other.
         if is_kept || job.schedule.is_some() {
             return JobProspect::InTime;
--- a/crates/graph/src/room.rs
+++ b/crates/graph/src/resources.rs
@@ -8,7 +8,7 @@
 
 /// Amounts of the three resources of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_milli: u32,
     /// Megabytes.
@@ -17,10 +17,10 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// What each task of `step` needs.
-    pub fn of_step(step: &model::GraphStep) -> Room {
-        Room {
+    pub fn of_step(step: &model::GraphStep) -> Resources {
+        Resources {
             cpu_milli: step.cpu_milli,
             memory_mb: step.memory_mb,
             accelerators: step.accelerators,
@@ -28,14 +28,14 @@
     }
 
     /// Whether this much is available in `free`.
-    pub fn fits_in(self, free: Room) -> bool {
+    pub fn fits_in(self, free: Resources) -> bool {
         self.cpu_milli <= free.cpu_milli
             && self.memory_mb <= free.memory_mb
             && self.accelerators <= free.accelerators
     }
 
     /// How many times this fits in `free`.
-    pub fn count_in(self, free: Room) -> u32 {
+    pub fn count_in(self, free: Resources) -> u32 {
         let times = |needed: u32, available: u32| available.checked_div(needed).unwrap_or(u32::MAX);
         times(self.cpu_milli, free.cpu_milli)
             .min(times(self.memory_mb, free.memory_mb))
@@ -43,8 +43,8 @@
     }
 
     /// The sum.
-    pub fn plus(self, other: Room) -> Room {
-        Room {
+    pub fn plus(self, other: Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
             memory_mb: self.memory_mb.saturating_add(other.memory_mb),
             accelerators: self.accelerators.saturating_add(other.accelerators),
@@ -52,8 +52,8 @@
     }
 
     /// The difference, at least zero in each resource.
-    pub fn minus(self, other: Room) -> Room {
-        Room {
+    pub fn minus(self, other: Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -61,8 +61,8 @@
     }
 
     /// The larger amount of each resource.
-    pub fn most(self, other: Room) -> Room {
-        Room {
+    pub fn max(self, other: Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             memory_mb: self.memory_mb.max(other.memory_mb),
             accelerators: self.accelerators.max(other.accelerators),
--- a/crates/graph/src/slowness.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -5,10 +5,10 @@
 
 use almondpass_schema::ids;
 
-use crate::clearing;
 use crate::core;
 use crate::job;
 use crate::pace;
+use crate::preemption;
 use crate::task_key;
 
 /// A worker whose tasks are slow gets no new ones for this long behind the last sign; then the
@@ -66,7 +66,7 @@
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let Some(run) = self.run(key) else { return false };
         let is_running = matches!(run.phase, job::RunPhase::Running { .. });
-        if job.priority != clearing::URGENT || !is_running || run.attempt >= MOST_MOVES {
+        if job.priority != preemption::URGENT || !is_running || run.attempt >= MOST_MOVES {
             return false;
         }
         let is_young = now <= run.since + MOVES_WITHIN;
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -10,7 +10,7 @@
 use crate::dispatch;
 use crate::job;
 use crate::place_bar;
-use crate::room;
+use crate::resources;
 use crate::task_key;
 
 /// Jobs that wait are gone over this often.
@@ -102,7 +102,7 @@
 struct UnitShape {
     upstream: ids::UpstreamName,
     label: Option<String>,
-    room: room::Room,
+    room: resources::Resources,
     n_tasks: usize,
 }
 
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -6,12 +6,12 @@
 
 use almondpass_schema::ids;
 
+use crate::ack_window;
 use crate::berth;
 use crate::health;
 use crate::lease_clock;
-use crate::life_trust;
 use crate::losses;
-use crate::room;
+use crate::resources;
 use crate::save_queue;
 use crate::task_key;
 use crate::terms;
@@ -27,7 +27,7 @@
     /// Whose tasks it runs.
     pub upstream: ids::UpstreamName,
     /// What it offers.
-    pub capacity: room::Room,
+    pub capacity: resources::Resources,
     /// All its labels.
     pub labels: Vec<String>,
     /// Its data centre.
@@ -95,7 +95,7 @@
     /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
     pub has_lapsed: bool,
     /// What its looks tell of which life it is in.
-    pub trust: life_trust::LifeTrust,
+    pub trust: ack_window::LifeTrust,
     /// Lowest end that its last answer has listed.
     pub oldest_listed: Option<u64>,
     /// Highest end that was taken in.
@@ -109,7 +109,7 @@
     /// Those of them that have it for themselves, as they may crash it.
     pub apart_runs: BTreeSet<task_key::TaskKey>,
     /// Room of these tasks.
-    pub used: room::Room,
+    pub used: resources::Resources,
     /// Runs that should not be there, by attempt, with the time of the last stop.
     pub strays: BTreeMap<task_key::TaskKey, StrayRun>,
     /// How it has been doing.
@@ -130,7 +130,7 @@
     /// The unit.
     pub unit: task_key::UnitKey,
     /// How much.
-    pub room: room::Room,
+    pub room: resources::Resources,
     /// Lapses then, in case the unit went elsewhere.
     pub until: Duration,
 }
@@ -150,7 +150,7 @@
     /// Its attempt.
     pub attempt: u32,
     /// What it takes: all that the worker offers where its job is not known any more.
-    pub room: room::Room,
+    pub room: resources::Resources,
     /// When a stop was last sent.
     pub asked_at: Option<Duration>,
 }
@@ -163,13 +163,13 @@
 
     /// What is in use, by tasks that should be there and by those that are being stopped because they
     /// should not.
-    pub fn in_use(&self) -> room::Room {
+    pub fn in_use(&self) -> resources::Resources {
         self.strays.values().fold(self.used, |sum, it| sum.plus(it.room))
     }
 
     /// What is free. A worker that refuses nothing would be filled beyond its room beside runs that are
     /// being stopped.
-    pub fn free(&self) -> room::Room {
+    pub fn free(&self) -> resources::Resources {
         self.listing.capacity.minus(self.in_use())
     }
 
@@ -188,15 +188,15 @@
     /// was seen a moment ago. A worker that has started again forgets ends of its new life that have the
     /// same numbers, unseen; one notices by tasks that are done, by the worker's word, and start once
     /// more. So no acknowledgement is repeated without need, either.
-    pub fn next_ack(&self, now: Duration) -> life_trust::EndAck {
+    pub fn next_ack(&self, now: Duration) -> ack_window::EndAck {
         let is_owed = self.oldest_listed.is_some_and(|it| it <= self.acknowledged);
         if !is_owed {
-            return life_trust::EndAck::Nothing;
+            return ack_window::EndAck::Nothing;
         }
         if self.answers() && self.trust.holds(now) {
-            life_trust::EndAck::UpTo(self.acknowledged)
+            ack_window::EndAck::UpTo(self.acknowledged)
         } else {
-            life_trust::EndAck::AskFirst
+            ack_window::EndAck::AskFirst
         }
     }
 
--- a/crates/graph/tests/headroom.rs
+++ b/crates/graph/tests/headroom.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_graph::{headroom, room};
+use almondpass_graph::{headroom, resources};
 
 /// Accelerators of a worker.
 const EACH: u32 = 8;
@@ -14,7 +14,7 @@
     for second in 0..120 {
         headroom.observe(&vec![used; n_jobs], all, Duration::from_secs(second));
     }
-    let each = room::Room { cpu_milli: 32_000, memory_mb: 65_536, accelerators: EACH };
+    let each = resources::Resources { cpu_milli: 32_000, memory_mb: 65_536, accelerators: EACH };
     headroom.n_workers(each, n_workers)
 }
 
--- a/crates/graph/tests/pool/entries.rs
+++ b/crates/graph/tests/pool/entries.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use almondpass_graph::{catalog, room, worker};
+use almondpass_graph::{catalog, resources, worker};
 
 use crate::support;
 
@@ -54,7 +54,7 @@
     let entry = |sequence, accelerators| worker::WorkerListing {
         incarnation: Some(1),
         sequence: Some(sequence),
-        capacity: room::Room { accelerators, ..support::CAPACITY },
+        capacity: resources::Resources { accelerators, ..support::CAPACITY },
         ..support::listing(0)
     };
     let id = support::worker_id(0);
--- a/crates/graph/tests/pool/load.rs
+++ b/crates/graph/tests/pool/load.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_graph::{catalog, order, room, task_key};
+use almondpass_graph::{catalog, order, resources, task_key};
 use almondpass_schema::{ids, model};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
     /// Accelerators of a task, drawn from these.
     pub(crate) accelerators: &'static [u32],
     /// What else a task needs.
-    pub(crate) room: room::Room,
+    pub(crate) room: resources::Resources,
     /// Whether the tasks work only together.
     pub(crate) gang: bool,
     /// Whether they have to lie in one rack.
@@ -171,7 +171,7 @@
             estimate_ms: spec.run.as_millis() as u32,
             ..support::tasks(n_tasks)
         };
-        let weight = room::Room::of_step(&step).weight() / 1_000;
+        let weight = resources::Resources::of_step(&step).weight() / 1_000;
         let graph = self.jobs.len() as ids::GraphId + 1;
         self.bench.admit(graph, support::job(spec.priority, step));
         let came_at = self.bench.now;
--- a/crates/graph/tests/pool/loads.rs
+++ b/crates/graph/tests/pool/loads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_graph::room;
+use almondpass_graph::resources;
 
 use crate::load;
 
@@ -14,7 +14,7 @@
         per_second: 2.2,
         tasks: (1, 6),
         accelerators: &[1, 2, 4, 8, 8],
-        room: room::Room { cpu_milli: 3_700, memory_mb: 7_000, accelerators: 0 },
+        room: resources::Resources { cpu_milli: 3_700, memory_mb: 7_000, accelerators: 0 },
         gang: true,
         same_rack: true,
         run: Duration::from_millis(2_500),
@@ -26,7 +26,7 @@
         per_second: 0.72,
         tasks: (1, 7),
         accelerators: &[4, 8],
-        room: room::Room { cpu_milli: 13_000, memory_mb: 26_000, accelerators: 0 },
+        room: resources::Resources { cpu_milli: 13_000, memory_mb: 26_000, accelerators: 0 },
         run: Duration::from_millis(6_800),
         stretch: 3.0,
         target: Duration::from_secs(1),
@@ -37,7 +37,7 @@
         per_second: 0.48,
         tasks: (4, 28),
         accelerators: &[1],
-        room: room::Room { cpu_milli: 2_800, memory_mb: 7_000, accelerators: 0 },
+        room: resources::Resources { cpu_milli: 2_800, memory_mb: 7_000, accelerators: 0 },
         gang: false,
         same_rack: false,
         run: Duration::from_millis(9_500),
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -4,12 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_graph::{core, intake, order, progress, room, save_queue, saving, terms, worker};
+use almondpass_graph::{
+    core, intake, order, progress, resources, save_queue, saving, terms, worker,
+};
 use almondpass_schema::{ids, model};
 
 /// What each worker offers.
-pub(crate) const CAPACITY: room::Room =
-    room::Room { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
+pub(crate) const CAPACITY: resources::Resources =
+    resources::Resources { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
 
 /// Workers of one rack.
 const RACK: usize = 8;
--- a/crates/graph/tests/pool/waits.rs
+++ b/crates/graph/tests/pool/waits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use almondpass_graph::{order, room, wait_note, waiting, worker};
+use almondpass_graph::{order, resources, wait_note, waiting, worker};
 use almondpass_schema::model;
 
 use crate::support;
@@ -39,7 +39,7 @@
     /// The same pool without accelerators.
     fn without_accelerators() -> WaitPlay {
         let mut play = WaitPlay::new();
-        let capacity = room::Room { accelerators: 0, ..support::CAPACITY };
+        let capacity = resources::Resources { accelerators: 0, ..support::CAPACITY };
         for index in 0..N_WORKERS {
             let listing = worker::WorkerListing { capacity, ..support::listing(index) };
             play.bench.core.learn_worker(support::worker_id(index), listing, play.bench.now);
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use almondpass_graph::{catalog, order, room, task_key, worker};
+use almondpass_graph::{catalog, order, resources, task_key, worker};
 use almondpass_pool::{
     cancel, control, document, entry, instance, peers, settings, state, submit, worker_entry,
 };
@@ -21,7 +21,8 @@
 const UPSTREAM: &str = "analysis";
 
 /// What each worker offers.
-const CAPACITY: room::Room = room::Room { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
+const CAPACITY: resources::Resources =
+    resources::Resources { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
 
 /// Classes of jobs, with their priorities.
 pub(crate) const CLASSES: [(&str, u32); 3] = [("urgent", 0), ("trend", 1), ("bulk", 2)];
@@ -45,7 +46,8 @@
 const N_IDS: usize = 800;
 
 /// What each task takes.
-const TASK: room::Room = room::Room { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 1 };
+const TASK: resources::Resources =
+    resources::Resources { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 1 };
 
 /// The pieces that an instance is given.
 #[derive(Clone)]
@@ -659,9 +661,9 @@
 }
 
 /// What a worker offers of which that many accelerators are left; the rest shrinks alike.
-pub(crate) fn room_of(accelerators: u32) -> room::Room {
+pub(crate) fn room_of(accelerators: u32) -> resources::Resources {
     let share = |all: u32| all * accelerators / CAPACITY.accelerators;
-    room::Room {
+    resources::Resources {
         cpu_milli: share(CAPACITY.cpu_milli),
         memory_mb: share(CAPACITY.memory_mb),
         accelerators,
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use almondpass_graph::{order, room, task_key};
+use almondpass_graph::{order, resources, task_key};
 use almondpass_pool::control;
 use almondpass_schema::ids;
 use tokio::time::{self, Instant};
@@ -48,7 +48,7 @@
     known: BTreeSet<ids::WorkerId>,
     workers: BTreeMap<ids::WorkerId, pool_worker::PoolWorker>,
     plans: BTreeMap<ids::WorkerId, fault::FaultPlan>,
-    task_room: room::Room,
+    task_room: resources::Resources,
     lost: Vec<pool_worker::RunRecord>,
     /// Where workers are that are not at the address that is their id.
     addresses: BTreeMap<ids::PeerAddress, ids::WorkerId>,
@@ -79,12 +79,12 @@
     /// Where it was.
     pub address: ids::PeerAddress,
     /// What it offered.
-    pub capacity: room::Room,
+    pub capacity: resources::Resources,
 }
 
 impl PoolFleet {
     /// No workers; tasks take `task_room` each.
-    pub fn new(task_room: room::Room) -> PoolFleet {
+    pub fn new(task_room: resources::Resources) -> PoolFleet {
         let fleet = PoolFleet::default();
         state::lock(&fleet.state).task_room = task_room;
         fleet
@@ -96,7 +96,7 @@
     }
 
     /// A new worker, or a new life of one that has died.
-    pub fn add(&self, worker: &str, capacity: room::Room) {
+    pub fn add(&self, worker: &str, capacity: resources::Resources) {
         let mut state = state::lock(&self.state);
         let incarnation = FIRST_LIFE_MS + state.n_lives;
         state.n_lives += 1;
@@ -109,7 +109,7 @@
     }
 
     /// A new worker at an address, where another may have been.
-    pub fn add_at(&self, worker: &str, address: &str, capacity: room::Room) {
+    pub fn add_at(&self, worker: &str, address: &str, capacity: resources::Resources) {
         self.add(worker, capacity);
         state::lock(&self.state).addresses.insert(address.to_owned(), worker.to_owned());
     }
@@ -134,12 +134,12 @@
     }
 
     /// What a worker offers, if it is up.
-    pub fn capacity(&self, worker: &str) -> Option<room::Room> {
+    pub fn capacity(&self, worker: &str) -> Option<resources::Resources> {
         state::lock(&self.state).workers.get(worker).map(|it| it.capacity())
     }
 
     /// From now on a worker that is up offers that much.
-    pub fn set_capacity(&self, worker: &str, capacity: room::Room) {
+    pub fn set_capacity(&self, worker: &str, capacity: resources::Resources) {
         if let Some(worker) = state::lock(&self.state).workers.get_mut(worker) {
             worker.set_capacity(capacity);
         }
@@ -197,7 +197,7 @@
     }
 
     /// The worker dies, and everything on it. Tells what it offered.
-    pub fn crash(&self, worker: &str) -> Option<room::Room> {
+    pub fn crash(&self, worker: &str) -> Option<resources::Resources> {
         state::lock(&self.state).crash(worker)
     }
 
@@ -248,7 +248,7 @@
         target: &control::WorkerTarget,
         step: &'static str,
         limit: Duration,
-        effect: impl FnOnce(&mut pool_worker::PoolWorker, room::Room) -> T + Send + 'static,
+        effect: impl FnOnce(&mut pool_worker::PoolWorker, resources::Resources) -> T + Send + 'static,
     ) -> Result<T, control::ControlFault> {
         let worker = &target.worker;
         let plan = self.faults(worker);
@@ -300,7 +300,7 @@
         }
     }
 
-    fn crash(&mut self, worker: &str) -> Option<room::Room> {
+    fn crash(&mut self, worker: &str) -> Option<resources::Resources> {
         let mut dead = self.workers.remove(worker)?;
         dead.pass_time();
         let running = dead.runs().iter().map(|(task, run)| pool_worker::RunRecord {
--- a/crates/standin/src/pool_worker.rs
+++ b/crates/standin/src/pool_worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use almondpass_graph::{order, room, task_key};
+use almondpass_graph::{order, resources, task_key};
 use almondpass_schema::ids;
 use tokio::time::Instant;
 
@@ -27,7 +27,7 @@
     /// Its worker crashes this long behind the start, if it is still there.
     pub crashes: Option<Duration>,
     /// What each task takes.
-    pub room: room::Room,
+    pub room: resources::Resources,
 }
 
 /// A task on a worker.
@@ -71,9 +71,9 @@
     id: ids::WorkerId,
     incarnation: ids::Incarnation,
     born: Instant,
-    capacity: room::Room,
+    capacity: resources::Resources,
     /// Larger rooms that it had, with the time until which each counts.
-    former_rooms: Vec<(Instant, room::Room)>,
+    former_rooms: Vec<(Instant, resources::Resources)>,
     /// Whether it refuses what does not fit.
     guards: bool,
     /// Starts that it has taken beyond its room.
@@ -93,7 +93,11 @@
 
 impl PoolWorker {
     /// A worker that runs nothing and knows nothing of former lives under its id.
-    pub fn new(id: &str, incarnation: ids::Incarnation, capacity: room::Room) -> PoolWorker {
+    pub fn new(
+        id: &str,
+        incarnation: ids::Incarnation,
+        capacity: resources::Resources,
+    ) -> PoolWorker {
         PoolWorker {
             id: id.to_owned(),
             incarnation,
@@ -119,12 +123,12 @@
     }
 
     /// What it offers.
-    pub fn capacity(&self) -> room::Room {
+    pub fn capacity(&self) -> resources::Resources {
         self.capacity
     }
 
     /// From now on it offers that much.
-    pub fn set_capacity(&mut self, capacity: room::Room) {
+    pub fn set_capacity(&mut self, capacity: resources::Resources) {
         self.former_rooms.push((Instant::now() + SHRUNK_AFTER, self.capacity));
         self.capacity = capacity;
     }
@@ -177,7 +181,10 @@
         if start.attempt <= barred {
             return order::StartAnswer::Refused(order::StartRefusal::Old);
         }
-        let used = self.runs.values().fold(room::Room::default(), |sum, it| sum.plus(it.plan.room));
+        let used = self
+            .runs
+            .values()
+            .fold(resources::Resources::default(), |sum, it| sum.plus(it.plan.room));
         if self.guards && !plan.room.fits_in(self.capacity.minus(used)) {
             return order::StartAnswer::Refused(order::StartRefusal::Room);
         }
@@ -274,10 +281,10 @@
     }
 
     /// Its room, or a larger one that it had a moment ago.
-    fn counted_room(&self) -> room::Room {
+    fn counted_room(&self) -> resources::Resources {
         let now = Instant::now();
         let former = self.former_rooms.iter().filter(|(until, _)| now < *until);
-        former.fold(self.capacity, |most, (_, it)| most.most(*it))
+        former.fold(self.capacity, |most, (_, it)| most.max(*it))
     }
 
     fn lapses_at(&self) -> Instant {
@@ -335,7 +342,7 @@
 
 /// Reads what a task does from its body: `ms=2500`, `fail`, `crash=10`, in any order, separated by
 /// spaces. Only the first task of a step crashes its worker.
-pub fn plan_of(start: &order::StartOrder, room: room::Room) -> TaskPlan {
+pub fn plan_of(start: &order::StartOrder, room: resources::Resources) -> TaskPlan {
     let words = || start.body.split(' ');
     let millis = |name| words().find_map(|it| it.strip_prefix(name)?.parse().ok());
     let crashes = millis("crash=").filter(|_| start.task.task == 0);
