--- a/crates/pool/src/cancel.rs
+++ b/crates/pool/src/cancel.rs
@@ -7,9 +7,9 @@
 use almondpass_schema::{ids, model};
 use tokio::time::{self, Instant};
 
-use crate::detour;
-use crate::entry;
+use crate::job_query;
 use crate::nudge;
+use crate::relay;
 use crate::state;
 use crate::store_call;
 use crate::writer;
@@ -21,27 +21,27 @@
 const OWN_PATIENCE: Duration = Duration::from_millis(500);
 
 /// Marks a job as cancelled: by the own way to the store, or by that of a peer.
-pub async fn cancel<S: state::PoolSite>(
+pub async fn cancel<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
     deadline: Instant,
 ) -> model::CancelOutcome {
-    if !state.is_store_away() {
+    if !state.is_store_unavailable() {
         let patience = deadline.min(Instant::now() + OWN_PATIENCE);
-        let outcome = cancel_here(state, graph, account, patience).await;
+        let outcome = cancel_directly(state, graph, account, patience).await;
         if outcome != model::CancelOutcome::Unknown {
             return outcome;
         }
     }
-    match detour::cancel(state, graph, account, deadline).await {
-        detour::DetourOutcome::Served(outcome) => outcome,
-        _ => cancel_here(state, graph, account, deadline).await,
+    match relay::cancel(state, graph, account, deadline).await {
+        relay::RelayOutcome::Served(outcome) => outcome,
+        _ => cancel_directly(state, graph, account, deadline).await,
     }
 }
 
 /// Marks a job as cancelled by the own way to the store.
-pub(crate) async fn cancel_here<S: state::PoolSite>(
+pub(crate) async fn cancel_directly<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
@@ -58,18 +58,18 @@
     }
 }
 
-async fn try_cancel<S: state::PoolSite>(
+async fn try_cancel<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
 ) -> Option<model::CancelOutcome> {
-    let read = entry::read::<S, model::GraphRow>(state, keys::graph(graph)).await.ok()?;
+    let read = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await.ok()?;
     let Some((mut row, version)) = read.filter(|(it, _)| it.account.as_deref() == account) else {
         return Some(model::CancelOutcome::Absent);
     };
     if row.cancelled {
         // Cancelled before, by an earlier call or by a write of this one whose answer was lost.
-        nudge::tell(state, model::GraphNudge { graph, version, row });
+        nudge::send(state, model::GraphNudge { graph, version, row });
         return Some(model::CancelOutcome::Cancelled);
     }
     row.cancelled = true;
@@ -82,6 +82,6 @@
         return None;
     };
     let version = versions.first().copied().unwrap_or_default();
-    nudge::tell(state, model::GraphNudge { graph, version, row });
+    nudge::send(state, model::GraphNudge { graph, version, row });
     Some(model::CancelOutcome::Cancelled)
 }
--- a/crates/pool/src/document.rs
+++ b/crates/pool/src/document.rs
@@ -19,7 +19,7 @@
     /// Beginning of the path.
     pub prefix: String,
     /// Whether calls need no key.
-    pub is_open: bool,
+    pub allows_anonymous: bool,
 }
 
 /// One version of the operators' document.
@@ -51,7 +51,7 @@
     const WORKER_TABLE: &'static str;
 
     /// The data centre under evacuation of which a row of the document's table tells, while it is there.
-    fn evacuated(key: &str) -> Option<&str>;
+    fn evacuated_data_center(key: &str) -> Option<&str>;
 
     /// Reads a document.
     fn document(&self, source: &[u8]) -> anyhow::Result<PoolDocument>;
@@ -92,7 +92,7 @@
     }
 
     /// Puts a document in force if it is newer. `origin` says who brought it.
-    pub fn offer(&self, document: PoolDocument, origin: &str) -> bool {
+    pub fn install_if_newer(&self, document: PoolDocument, origin: &str) -> bool {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         let in_force = current.as_ref().map_or(0, |it| it.version);
         if document.version <= in_force {
--- a/crates/pool/src/document_follower.rs
+++ b/crates/pool/src/document_follower.rs
@@ -29,7 +29,7 @@
 const PEERS_ASKED: usize = 3;
 
 /// Follows until the process ends.
-pub(crate) async fn run<S: state::PoolSite>(state: Arc<state::PoolState<S>>) {
+pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut after = None;
     let mut next_peer = 0;
     let mut is_away = false;
@@ -40,10 +40,10 @@
                     tracing::info!("the store answers again");
                 }
                 is_away = false;
-                state.set_store_away(false);
+                state.set_store_unavailable(false);
                 match after {
                     Some(_) => take_changes(&state, &rows),
-                    None => take_all(&state, &rows),
+                    None => apply_table(&state, &rows),
                 }
                 after = Some(rows.version);
             }
@@ -53,7 +53,7 @@
                     tracing::warn!(%error, "the store does not answer");
                 }
                 is_away = true;
-                state.set_store_away(true);
+                state.set_store_unavailable(true);
                 // The connection may be at fault; the table is read anew once it answers.
                 after = None;
                 ask_peers(&state, &mut next_peer).await;
@@ -63,7 +63,7 @@
     }
 }
 
-async fn follow<S: state::PoolSite>(
+async fn follow<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     after: Option<ids::RowVersion>,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
@@ -75,17 +75,20 @@
 }
 
 /// Takes in the whole table.
-pub(crate) fn take_all<S: state::PoolSite>(state: &state::PoolState<S>, read: &row_feed::FeedRows) {
+pub(crate) fn apply_table<S: state::PoolAdapters>(
+    state: &state::PoolState<S>,
+    read: &row_feed::FeedRows,
+) {
     take_document(state, &read.rows);
-    state.evacuations.offer(evacuation::view_of(read, S::Reader::evacuated), "store");
+    state.evacuations.offer(evacuation::view_of(read, S::Reader::evacuated_data_center), "store");
 }
 
-fn take_changes<S: state::PoolSite>(state: &state::PoolState<S>, read: &row_feed::FeedRows) {
+fn take_changes<S: state::PoolAdapters>(state: &state::PoolState<S>, read: &row_feed::FeedRows) {
     take_document(state, &read.rows);
-    state.evacuations.follow(read.rows.iter(), read.version, S::Reader::evacuated);
+    state.evacuations.follow(read.rows.iter(), read.version, S::Reader::evacuated_data_center);
 }
 
-fn take_document<S: state::PoolSite>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
+fn take_document<S: state::PoolAdapters>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
     for row in rows.iter().filter(|it| it.key == S::Reader::DOCUMENT_KEY) {
         if let Some(value) = &row.value {
             offer(state, value, "store");
@@ -93,23 +96,23 @@
     }
 }
 
-fn offer<S: state::PoolSite>(state: &state::PoolState<S>, source: &[u8], origin: &str) {
-    match state.site.reader().document(source) {
+fn offer<S: state::PoolAdapters>(state: &state::PoolState<S>, source: &[u8], origin: &str) {
+    match state.adapters.reader().document(source) {
         Ok(document) => {
-            state.document.offer(document, origin);
+            state.document.install_if_newer(document, origin);
         }
         Err(error) => tracing::error!(%error, origin, "the configuration can't be read"),
     }
 }
 
 /// Asks a few peers in turn for a newer document.
-async fn ask_peers<S: state::PoolSite>(state: &state::PoolState<S>, next: &mut usize) {
+async fn ask_peers<S: state::PoolAdapters>(state: &state::PoolState<S>, next: &mut usize) {
     let peers = state.peer_addresses();
     let n_asked = PEERS_ASKED.min(peers.len());
     let asked = (0..n_asked).map(|it| peers[(*next + it) % peers.len()].clone());
     let mut asking = tokio::task::JoinSet::new();
     for peer in asked {
-        let link = state.site.peers().clone();
+        let link = state.adapters.peers().clone();
         let pull = model::DocumentPull { have: state.document.version() };
         asking.spawn(async move { link.call(&peer, pull, PEER_DEADLINE).await });
     }
--- a/crates/pool/src/feed_watch.rs
+++ b/crates/pool/src/feed_monitor.rs
@@ -12,7 +12,7 @@
 
 /// Tells when a feed can't be followed and when it can again.
 #[derive(Debug)]
-pub(crate) struct FeedWatch {
+pub(crate) struct FeedMonitor {
     feed: &'static str,
     outage: Option<FeedOutage>,
 }
@@ -23,14 +23,14 @@
     table_due: Instant,
 }
 
-impl FeedWatch {
+impl FeedMonitor {
     /// A feed that stands well.
-    pub(crate) fn new(feed: &'static str) -> FeedWatch {
-        FeedWatch { feed, outage: None }
+    pub(crate) fn new(feed: &'static str) -> FeedMonitor {
+        FeedMonitor { feed, outage: None }
     }
 
     /// It has answered; `after` is where it stood.
-    pub(crate) fn answered(&mut self, after: ids::RowVersion) {
+    pub(crate) fn record_answer(&mut self, after: ids::RowVersion) {
         let Some(outage) = self.outage.take() else { return };
         let stood_ms = outage.since.elapsed().as_millis() as u64;
         tracing::info!(feed = self.feed, after, stood_ms, "feed answers again");
@@ -38,7 +38,7 @@
     }
 
     /// It can't be followed; `after` is where it stands.
-    pub(crate) fn failed(&mut self, error: &impl fmt::Display, after: ids::RowVersion) {
+    pub(crate) fn record_failure(&mut self, error: &impl fmt::Display, after: ids::RowVersion) {
         metrics::counter!("almondpass_pool_feed_failures_total", "feed" => self.feed).increment(1);
         if self.outage.is_some() {
             return;
@@ -61,7 +61,7 @@
     }
 }
 
-impl Drop for FeedWatch {
+impl Drop for FeedMonitor {
     fn drop(&mut self) {
         // With the tenure.
         self.meter(0.0);
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -10,7 +10,7 @@
 use almondpass_schema::{ids, model};
 use tokio::time;
 
-use crate::feed_watch;
+use crate::feed_monitor;
 use crate::lead;
 use crate::lead_loader;
 use crate::missed_job;
@@ -25,14 +25,14 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Follows until the tenure is over.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
     mut after: ids::RowVersion,
 ) {
-    let mut watch = feed_watch::FeedWatch::new("jobs");
+    let mut monitor = feed_monitor::FeedMonitor::new("jobs");
     loop {
-        match next(&state, &mut watch, after).await {
+        match next(&state, &mut monitor, after).await {
             // Rows that could not be taken come again.
             Ok(rows) if take(&state, &lead, &rows.rows) => {
                 after = after.max(rows.version);
@@ -40,7 +40,7 @@
             }
             Ok(_) => time::sleep(AGAIN).await,
             Err(error) => {
-                watch.failed(&error, after);
+                monitor.record_failure(&error, after);
                 time::sleep(AGAIN).await;
             }
         }
@@ -48,17 +48,17 @@
 }
 
 /// What has changed behind `after`, or the whole table.
-async fn next<S: state::PoolSite>(
+async fn next<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    watch: &mut feed_watch::FeedWatch,
+    monitor: &mut feed_monitor::FeedMonitor,
     after: ids::RowVersion,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
-    if watch.take_table_due() {
+    if monitor.take_table_due() {
         return Ok(store_call::snapshot(state, keys::GRAPHS).await?);
     }
     match store_call::follow(state, keys::GRAPHS, after, WAIT).await {
         Ok(rows) => {
-            watch.answered(after);
+            monitor.record_answer(after);
             Ok(rows)
         }
         Err(row_feed::FeedFault::HistoryGone) => {
@@ -70,7 +70,7 @@
 }
 
 /// Takes rows of accepted job graphs into the core.
-fn take<S: state::PoolSite>(
+fn take<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     lead: &Arc<lead::LeadState>,
     rows: &[row_feed::FeedRow],
@@ -84,7 +84,7 @@
 
 /// Whether a row is to be taken in as it is. One that the feed has passed and that is not
 /// known was forgotten since, or missed: only the store can tell, and what was saved of its progress.
-fn is_new<S: state::PoolSite>(
+fn is_new<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     lead: &Arc<lead::LeadState>,
     admitted: &intake::AdmittedJob,
@@ -95,13 +95,13 @@
     if admitted.version > lead.graphs_until() {
         return true;
     }
-    missed_job::take_in(state, lead, admitted.graph);
+    missed_job::recover(state, lead, admitted.graph);
     false
 }
 
 /// Takes the row that an instance has just written. Tells whether it is known from then on; where it
 /// can't be taken, the feed or another nudge brings it.
-pub(crate) fn take_nudge<S: state::PoolSite>(
+pub(crate) fn accept_nudge<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     lead: &Arc<lead::LeadState>,
     nudge: &model::GraphNudge,
@@ -122,15 +122,15 @@
 
 /// Takes job graphs into the core. A holder that isn't firm takes none: another may have taken
 /// over, and would not know that this one has started them.
-pub(crate) fn admit<S: state::PoolSite>(
+pub(crate) fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     admitted: impl Iterator<Item = intake::AdmittedJob>,
 ) -> bool {
-    if !lead.is_firm(state.site.clock()) {
+    if !lead.is_firm(state.adapters.clock()) {
         return false;
     }
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     for it in admitted {
         lead.core().admit(it, now);
     }
--- a/crates/pool/src/hand_over.rs
+++ b/crates/pool/src/hand_over.rs
@@ -34,20 +34,20 @@
 }
 
 /// Gives the tenure up once a stronger instance is found to which it was not offered before.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
 ) {
-    while !lead.core().is_settled(state.site.clock().now()) {
+    while !lead.core().is_settled(state.adapters.clock().now()) {
         time::sleep(INTERVAL).await;
     }
     time::sleep(KEPT_FOR).await;
     let mut wanted_since = None;
     loop {
         // While the store is away a tenure that is given up could be taken by nobody.
-        let may_write = lead.is_firm(state.site.clock()) && !state.is_store_away();
+        let may_write = lead.is_firm(state.adapters.clock()) && !state.is_store_unavailable();
         if may_write && knows_new(&state) {
-            let now = state.site.clock().now();
+            let now = state.adapters.clock().now();
             let since = *wanted_since.get_or_insert(now);
             if now >= since + SILENCE_PATIENCE || lead.core().all_answer() {
                 tracing::info!(epoch = lead.epoch, "tenure is handed over to a stronger instance");
@@ -61,13 +61,13 @@
 }
 
 /// Whether there is a stronger instance that was not offered the tenure.
-fn knows_new<S: state::PoolSite>(state: &state::PoolState<S>) -> bool {
-    let stronger = state.stronger();
-    !stronger.is_subset(&state.offered().offered)
+fn knows_new<S: state::PoolAdapters>(state: &state::PoolState<S>) -> bool {
+    let stronger = state.stronger_instances();
+    !stronger.is_subset(&state.offered_instances().offered)
 }
 
 /// Notes that all stronger instances were offered the tenure.
-fn note_offered<S: state::PoolSite>(state: &state::PoolState<S>) {
-    let stronger = state.stronger();
-    state.offered().offered.extend(stronger);
+fn note_offered<S: state::PoolAdapters>(state: &state::PoolState<S>) {
+    let stronger = state.stronger_instances();
+    state.offered_instances().offered.extend(stronger);
 }
--- a/crates/pool/src/instance.rs
+++ b/crates/pool/src/instance.rs
@@ -12,7 +12,7 @@
 
 /// Follows the configuration and the peers, and schedules when it is this instance's turn.
 /// Returns once the instance is leaving and has given up the tenure.
-pub async fn run<S: state::PoolSite>(state: Arc<state::PoolState<S>>) {
+pub async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut parts = JoinSet::new();
     let shared = Arc::clone(&state);
     parts.spawn(part::keep("configuration", move || document_follower::run(Arc::clone(&shared))));
--- a/crates/pool/src/entry.rs
+++ b/crates/pool/src/job_query.rs
@@ -10,9 +10,9 @@
 use almondpass_schema::{ids, model};
 use tokio::time::{self, Instant};
 
-use crate::detour;
 use crate::lead;
 use crate::nudge;
+use crate::relay;
 use crate::state;
 use crate::store_call;
 
@@ -27,26 +27,26 @@
 
 /// How far a job is. The holder of the tenure is asked first, then the store, and a peer where
 /// neither gives an answer.
-pub async fn state_of<S: state::PoolSite>(
+pub async fn job_state<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
     deadline: Instant,
 ) -> model::GraphLooked {
-    let patience = if state.is_store_away() { Duration::ZERO } else { OWN_PATIENCE };
+    let patience = if state.is_store_unavailable() { Duration::ZERO } else { OWN_PATIENCE };
     let own = deadline.min(Instant::now() + patience);
-    let answer = state_here(state, graph, account, own).await;
+    let answer = direct_job_state(state, graph, account, own).await;
     if answer.outcome != model::LookOutcome::Unavailable {
         return answer;
     }
-    match detour::look(state, graph, account, deadline).await {
-        detour::DetourOutcome::Served(answer) => answer,
-        _ => state_here(state, graph, account, deadline).await,
+    match relay::job_state(state, graph, account, deadline).await {
+        relay::RelayOutcome::Served(answer) => answer,
+        _ => direct_job_state(state, graph, account, deadline).await,
     }
 }
 
 /// How far a job is, by the holder of the tenure or the own way to the store.
-pub(crate) async fn state_here<S: state::PoolSite>(
+pub(crate) async fn direct_job_state<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
@@ -65,7 +65,7 @@
     loop {
         if let Some(stored) = stored_job(state, graph, account).await {
             if let Some(nudge) = stored.unfinished.filter(|_| holder_schedules) {
-                nudge::tell(state, nudge);
+                nudge::send(state, nudge);
             }
             return stored.looked;
         }
@@ -78,21 +78,21 @@
 
 /// Accepted jobs of a class of which no task has started; nothing where the holder of the tenure
 /// can't be asked.
-pub async fn backlog<S: state::PoolSite>(
+pub async fn backlog<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     class: &ids::ClassName,
 ) -> Option<u64> {
     if let Some(lead) = state.lead() {
         return Some(lead.core().backlog(class));
     }
-    let holder = state.other_holder()?;
+    let holder = state.remote_holder()?;
     let query = model::BacklogQuery { class: class.clone() };
-    let answer = state.site.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
+    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
     answer.ok()?.waiting
 }
 
 /// What the holder of the tenure knows of a job.
-pub(crate) fn holder_answer(lead: &lead::LeadState, graph: ids::GraphId) -> model::GraphAnswer {
+pub(crate) fn answer_as_holder(lead: &lead::LeadState, graph: ids::GraphId) -> model::GraphAnswer {
     let schedules = Some(true);
     let core = lead.core();
     let Some(shown) = core.state_of(graph) else {
@@ -115,15 +115,15 @@
     model::GraphLooked { outcome, failure: None }
 }
 
-async fn ask_holder<S: state::PoolSite>(
+async fn ask_holder<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     query: model::GraphQuery,
 ) -> Option<model::GraphAnswer> {
     if let Some(lead) = state.lead() {
-        return Some(holder_answer(&lead, query.graph));
+        return Some(answer_as_holder(&lead, query.graph));
     }
-    let holder = state.other_holder()?;
-    let answer = state.site.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
+    let holder = state.remote_holder()?;
+    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
     answer.inspect_err(|error| tracing::debug!(%error, "holder gave no answer")).ok()
 }
 
@@ -135,14 +135,14 @@
 }
 
 /// A job by the rows of the store; nothing where they can't be read.
-async fn stored_job<S: state::PoolSite>(
+async fn stored_job<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
     account: Option<&str>,
 ) -> Option<StoredJob> {
     let (row, progress) = tokio::try_join!(
-        read::<S, model::GraphRow>(state, keys::graph(graph)),
-        read::<S, model::ProgressRow>(state, keys::progress(graph, progress::HEAD_CHUNK)),
+        read_row::<S, model::GraphRow>(state, keys::graph(graph)),
+        read_row::<S, model::ProgressRow>(state, keys::progress(graph, progress::HEAD_CHUNK)),
     )
     .ok()?;
     let Some((row, version)) = row.filter(|(it, _)| it.account.as_deref() == account) else {
@@ -160,24 +160,24 @@
 }
 
 /// Reads one row; nothing inside where there is none.
-pub(crate) async fn read<S: state::PoolSite, M: serde::de::DeserializeOwned>(
+pub(crate) async fn read_row<S: state::PoolAdapters, M: serde::de::DeserializeOwned>(
     state: &state::PoolState<S>,
     key: ids::RowKey,
-) -> Result<Option<(M, ids::RowVersion)>, StoreFault> {
+) -> Result<Option<(M, ids::RowVersion)>, ReadFailure> {
     let rows = store_call::get(state, key).await;
     let rows = rows.map_err(|error| {
         tracing::debug!(%error, "row can't be read");
-        StoreFault
+        ReadFailure
     })?;
     let Some(row) = rows.rows.into_iter().next() else { return Ok(None) };
     let Some(value) = row.value else { return Ok(None) };
     let content = codec::decode(&value).map_err(|error| {
         tracing::error!(key = row.key, %error, "row can't be understood");
-        StoreFault
+        ReadFailure
     })?;
     Ok(Some((content, row.version)))
 }
 
 /// The store gave no usable answer; it was logged.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StoreFault;
+pub(crate) struct ReadFailure;
--- a/crates/pool/src/lead.rs
+++ b/crates/pool/src/lead.rs
@@ -184,14 +184,14 @@
 
 /// Schedules until the tenure is over, then gives it up if it is still held. Tells whether it was to be
 /// given up although the instance stays.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     taken: TakenTenure,
 ) -> bool {
     tracing::info!(epoch = taken.epoch, version = taken.version, "tenure taken");
     metrics::counter!("almondpass_pool_tenures_total").increment(1);
     let (epoch, version) = (taken.epoch, taken.version);
-    state.set_taken(Some(epoch));
+    state.set_taken_epoch(Some(epoch));
     let mut core = core::PoolCore::new(core::PoolStart {
         terms: state.settings.terms,
         catalog: Arc::default(),
@@ -199,7 +199,7 @@
     });
     // The tenure is renewed, and with it what is known of losses, before anything is loaded.
     core.inherit_silence(taken.notes_silence);
-    core.begin_losses(taken.losses.as_ref(), state.site.clock().now());
+    core.begin_losses(taken.losses.as_ref(), state.adapters.clock().now());
     let lead = Arc::new(LeadState::new(&taken, state.settings.tenure, core));
     let _held = HeldTenure { state: &state, lead: &lead };
     let mut parts = JoinSet::new();
@@ -216,24 +216,24 @@
 
 /// A tenure that ends here however its work ends, by a panic too: callers and peers would be answered by
 /// what it knew.
-struct HeldTenure<'a, S: state::PoolSite> {
+struct HeldTenure<'a, S: state::PoolAdapters> {
     state: &'a state::PoolState<S>,
     lead: &'a LeadState,
 }
 
-impl<S: state::PoolSite> Drop for HeldTenure<'_, S> {
+impl<S: state::PoolAdapters> Drop for HeldTenure<'_, S> {
     fn drop(&mut self) {
         self.lead.end();
         let unsaved = self.lead.core().unsaved_suspicions();
-        self.state.note_ended(self.lead.ordered_at(), unsaved);
+        self.state.record_tenure_end(self.lead.ordered_at(), unsaved);
         self.state.set_lead(None);
-        self.state.set_taken(None);
+        self.state.set_taken_epoch(None);
         metrics::gauge!("almondpass_pool_held").set(0.0);
     }
 }
 
 /// Reads how the pools stand, then schedules.
-async fn serve<S: state::PoolSite>(
+async fn serve<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<LeadState>,
     taken: TakenTenure,
--- a/crates/pool/src/lead_loader.rs
+++ b/crates/pool/src/lead_loader.rs
@@ -35,12 +35,12 @@
 }
 
 /// Reads until it succeeds, a few times at most.
-pub(crate) async fn load<S: state::PoolSite>(
+pub(crate) async fn load<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     taken: &lead::TakenTenure,
 ) -> Option<LoadedLead> {
     for _ in 0..READ_TRIES {
-        if state.leaving.is_cancelled() {
+        if state.shutdown.is_cancelled() {
             return None;
         }
         match read(state, taken).await {
@@ -52,11 +52,11 @@
     None
 }
 
-async fn read<S: state::PoolSite>(
+async fn read<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     taken: &lead::TakenTenure,
 ) -> Result<LoadedLead, error::CallError> {
-    let asked_at = state.site.clock().now();
+    let asked_at = state.adapters.clock().now();
     let (operators, graphs, progress, workers, roster) = tokio::try_join!(
         store_call::snapshot(state, S::Reader::DOCUMENT_TABLE),
         store_call::snapshot(state, keys::GRAPHS),
@@ -65,8 +65,8 @@
         store_call::snapshot(state, keys::ROSTER),
     )?;
     // Before the first start: what this instance follows may have gone silent a moment ago.
-    document_follower::take_all(state, &operators);
-    let now = state.site.clock().now();
+    document_follower::apply_table(state, &operators);
+    let now = state.adapters.clock().now();
     let catalog = state.document.current().map(|it| Arc::clone(&it.catalog));
     let mut core = core::PoolCore::new(core::PoolStart {
         terms: state.settings.terms,
@@ -102,7 +102,7 @@
 }
 
 /// Takes a row of the workers' table into the core. Tells whether that is news of its worker.
-pub(crate) fn learn_worker<S: state::PoolSite>(
+pub(crate) fn learn_worker<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     core: &mut core::PoolCore,
     row: &row_feed::FeedRow,
@@ -113,7 +113,7 @@
         core.unlist_worker(&row.key, now);
         return true;
     };
-    let read = state.site.reader().worker(value).and_then(|it| check_upstream(state, it));
+    let read = state.adapters.reader().worker(value).and_then(|it| check_upstream(state, it));
     state.faulty_entries().observe(&row.key, &read);
     match read {
         Ok(listing) => core.learn_worker(row.key.clone(), listing, now),
@@ -127,7 +127,7 @@
 
 /// A worker of an upstream that the configuration does not name is none to use. A worker writes its
 /// entry anew every few seconds, so that one whose upstream is added is found soon.
-fn check_upstream<S: state::PoolSite>(
+fn check_upstream<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     listing: worker::WorkerListing,
 ) -> Result<worker::WorkerListing, worker_entry::EntryFault> {
--- a/crates/pool/src/member_list.rs
+++ b/crates/pool/src/member_list.rs
@@ -29,7 +29,7 @@
 const N_FIRST: u32 = 3;
 
 /// Writes the own row, then follows those of all.
-pub(crate) async fn run<S: state::PoolSite>(state: Arc<state::PoolState<S>>) {
+pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     while !write_own(&state).await {
         time::sleep(FIRST_INTERVAL).await;
     }
@@ -75,7 +75,7 @@
     }
 }
 
-async fn read<S: state::PoolSite>(
+async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     after: Option<ids::RowVersion>,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
@@ -85,7 +85,7 @@
     }
 }
 
-async fn write_own<S: state::PoolSite>(state: &state::PoolState<S>) -> bool {
+async fn write_own<S: state::PoolAdapters>(state: &state::PoolState<S>) -> bool {
     let settings = &state.settings;
     // One row for each address, so that a process started again replaces its former row.
     let row = model::InstanceRow {
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -9,8 +9,8 @@
 use almondpass_schema::{ids, model};
 use tokio::time;
 
-use crate::entry;
 use crate::graph_follower;
+use crate::job_query;
 use crate::lead;
 use crate::state;
 
@@ -21,7 +21,7 @@
 const LONGEST_AGAIN: Duration = Duration::from_secs(8);
 
 /// Looks for a job in the store and takes it in, without waiting for it.
-pub(crate) fn take_in<S: state::PoolSite>(
+pub(crate) fn recover<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     lead: &Arc<lead::LeadState>,
     graph: ids::GraphId,
@@ -37,7 +37,7 @@
 }
 
 /// Looks for a job until it is known, or nowhere to be found, or the tenure is over.
-async fn look_for<S: state::PoolSite>(
+async fn look_for<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     graph: ids::GraphId,
@@ -47,7 +47,7 @@
         let is_over = match read(state, lead, graph).await {
             Ok(Some(missed)) => admit(state, lead, missed),
             Ok(None) => true,
-            Err(entry::StoreFault) => false,
+            Err(job_query::ReadFailure) => false,
         };
         if is_over {
             return;
@@ -73,7 +73,7 @@
 }
 
 /// Takes a job in. Tells whether it is known from then on; a holder that isn't firm takes none.
-fn admit<S: state::PoolSite>(
+fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     missed: intake::AdmittedJob,
@@ -93,21 +93,22 @@
 
 /// Reads a job as a takeover would; nothing where it was forgotten. Its acceptance is the first to go when a
 /// job is forgotten, and one without progress would run once more: so it has to be there still at the end.
-async fn read<S: state::PoolSite>(
+async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     graph: ids::GraphId,
-) -> Result<Option<intake::AdmittedJob>, entry::StoreFault> {
-    let accepted = entry::read::<S, model::GraphRow>(state, keys::graph(graph)).await?;
+) -> Result<Option<intake::AdmittedJob>, job_query::ReadFailure> {
+    let accepted = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
     let Some((row, _)) = accepted else { return Ok(None) };
     let mut saved = progress::SavedChunks::default();
     for chunk in 0..progress::n_chunks_of(&row) {
         let key = keys::progress(graph, chunk);
-        if let Some((content, _)) = entry::read::<S, model::ProgressRow>(state, key).await? {
+        if let Some((content, _)) = job_query::read_row::<S, model::ProgressRow>(state, key).await?
+        {
             saved.insert(chunk, content);
         }
     }
-    let kept = entry::read::<S, model::GraphRow>(state, keys::graph(graph)).await?;
+    let kept = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
     let Some((row, version)) = kept else { return Ok(None) };
     let inherited = version < lead.taken_at || !saved.is_empty();
     let origin = intake::JobOrigin::Lookup;
--- a/crates/pool/src/nudge.rs
+++ b/crates/pool/src/nudge.rs
@@ -63,8 +63,11 @@
 }
 
 /// Tells the holder of a row without waiting for it.
-pub(crate) fn tell<S: state::PoolSite>(state: &Arc<state::PoolState<S>>, nudge: model::GraphNudge) {
-    if state.lead().is_some_and(|lead| graph_follower::take_nudge(state, &lead, &nudge)) {
+pub(crate) fn send<S: state::PoolAdapters>(
+    state: &Arc<state::PoolState<S>>,
+    nudge: model::GraphNudge,
+) {
+    if state.lead().is_some_and(|lead| graph_follower::accept_nudge(state, &lead, &nudge)) {
         return;
     }
     let key = (nudge.graph, nudge.row.cancelled);
@@ -85,19 +88,19 @@
 }
 
 /// A nudge that is under way. It ends with its task, by a panic too: else no later nudge would tell of its job.
-struct PendingMark<S: state::PoolSite> {
+struct PendingMark<S: state::PoolAdapters> {
     state: Arc<state::PoolState<S>>,
     key: NudgeKey,
 }
 
-impl<S: state::PoolSite> Drop for PendingMark<S> {
+impl<S: state::PoolAdapters> Drop for PendingMark<S> {
     fn drop(&mut self) {
         self.state.nudges().pending.remove(&self.key);
     }
 }
 
 /// Nudges until the holder knows of the row, for as long as `patience`.
-async fn repeat<S: state::PoolSite>(
+async fn repeat<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     nudge: &model::GraphNudge,
     patience: Duration,
@@ -129,16 +132,16 @@
 }
 
 /// Nudges whoever holds the tenure now.
-async fn try_once<S: state::PoolSite>(
+async fn try_once<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     nudge: &model::GraphNudge,
 ) -> Result<(), NudgeFault> {
     if let Some(lead) = state.lead() {
-        let is_known = graph_follower::take_nudge(state, &lead, nudge);
+        let is_known = graph_follower::accept_nudge(state, &lead, nudge);
         return is_known.then_some(()).ok_or(NudgeFault::NotKnown);
     }
-    let holder = state.other_holder().ok_or(NudgeFault::NoHolder)?;
-    let taken = state.site.peers().call(&holder.address, nudge.clone(), DEADLINE).await?;
+    let holder = state.remote_holder().ok_or(NudgeFault::NoHolder)?;
+    let taken = state.adapters.peers().call(&holder.address, nudge.clone(), DEADLINE).await?;
     // An earlier release does not tell.
     if taken.known.unwrap_or(true) { Ok(()) } else { Err(NudgeFault::NotKnown) }
 }
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -13,7 +13,7 @@
 use crate::state;
 
 /// Sends until the session with the worker ends.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
     mut orders: mpsc::UnboundedReceiver<order::PoolOrder>,
@@ -21,8 +21,8 @@
     while let Some(order) = orders.recv().await {
         // Judged right before the order leaves: this process may have stood still since the
         // decision, another may have taken over, and the worker may have started again.
-        let is_outdated = lead.core().is_outdated(&order, state.site.clock().now());
-        if lead.may_order(state.site.clock()) && !is_outdated {
+        let is_outdated = lead.core().is_outdated(&order, state.adapters.clock().now());
+        if lead.may_order(state.adapters.clock()) && !is_outdated {
             send(&state, &lead, order).await;
             lead.turn_due.notify_one();
         } else {
@@ -31,12 +31,12 @@
     }
 }
 
-async fn send<S: state::PoolSite>(
+async fn send<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     order: order::PoolOrder,
 ) {
-    let control = state.site.control();
+    let control = state.adapters.control();
     let kind = match &order {
         order::PoolOrder::Start(_) => "start",
         order::PoolOrder::Stop(_) => "stop",
@@ -47,12 +47,12 @@
         order::PoolOrder::Start(start) => {
             let token = fencing::token(lead.epoch, start.generation);
             let answer = control.start(token, &start).await;
-            lead.core().start_answered(&start, answer, state.site.clock().now());
+            lead.core().start_answered(&start, answer, state.adapters.clock().now());
         }
         order::PoolOrder::Stop(stop) => {
             let token = fencing::token(lead.epoch, stop.generation);
             let answer = control.stop(token, &stop).await;
-            let now = state.site.clock().now();
+            let now = state.adapters.clock().now();
             let mut core = lead.core();
             match answer {
                 Ok(()) => core.stop_answered(&stop, true, now),
@@ -75,13 +75,13 @@
 }
 
 /// A start that does not leave has no effect; anything else is decided again.
-pub(crate) fn withhold<S: state::PoolSite>(
+pub(crate) fn withhold<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     order: &order::PoolOrder,
 ) {
     if let order::PoolOrder::Start(start) = order {
-        let now = state.site.clock().now();
+        let now = state.adapters.clock().now();
         lead.core().start_answered(start, order::StartAnswer::NotSent, now);
     }
 }
--- a/crates/pool/src/peers.rs
+++ b/crates/pool/src/peer_handler.rs
@@ -10,28 +10,28 @@
 use tokio::time::Instant;
 
 use crate::cancel;
-use crate::entry;
 use crate::graph_follower;
+use crate::job_query;
 use crate::predecessor;
 use crate::state;
 use crate::submit;
 
 /// Answers the calls of peers.
 #[derive(Debug)]
-pub struct PeerDesk<S> {
+pub struct PeerHandler<S> {
     state: Arc<state::PoolState<S>>,
 }
 
-impl<S> Clone for PeerDesk<S> {
-    fn clone(&self) -> PeerDesk<S> {
-        PeerDesk { state: Arc::clone(&self.state) }
+impl<S> Clone for PeerHandler<S> {
+    fn clone(&self) -> PeerHandler<S> {
+        PeerHandler { state: Arc::clone(&self.state) }
     }
 }
 
-impl<S: state::PoolSite> PeerDesk<S> {
+impl<S: state::PoolAdapters> PeerHandler<S> {
     /// A desk for an instance.
-    pub fn new(state: Arc<state::PoolState<S>>) -> PeerDesk<S> {
-        PeerDesk { state }
+    pub fn new(state: Arc<state::PoolState<S>>) -> PeerHandler<S> {
+        PeerHandler { state }
     }
 
     fn document(&self, pull: &model::DocumentPull) -> model::DocumentPulled {
@@ -42,32 +42,32 @@
 
     fn nudge(&self, nudge: &model::GraphNudge) -> model::NudgeTaken {
         let lead = self.state.lead();
-        let known = lead.is_some_and(|it| graph_follower::take_nudge(&self.state, &it, nudge));
+        let known = lead.is_some_and(|it| graph_follower::accept_nudge(&self.state, &it, nudge));
         model::NudgeTaken { known: Some(known) }
     }
 
     fn graph(&self, query: &model::GraphQuery) -> model::GraphAnswer {
         let lead = self.state.lead();
-        lead.map(|it| entry::holder_answer(&it, query.graph)).unwrap_or_default()
+        lead.map(|it| job_query::answer_as_holder(&it, query.graph)).unwrap_or_default()
     }
 
     async fn submit(&self, call: model::GraphSubmit) -> model::GraphSubmitted {
         let deadline = deadline_in(call.patience_ms);
-        let outcome = submit::submit_here(&self.state, call.graph, &call.row, deadline).await;
+        let outcome = submit::submit_directly(&self.state, call.graph, &call.row, deadline).await;
         model::GraphSubmitted { outcome }
     }
 
     async fn cancel(&self, call: model::GraphCancel) -> model::GraphCancelled {
         let deadline = deadline_in(call.patience_ms);
         let account = call.account.as_deref();
-        let outcome = cancel::cancel_here(&self.state, call.graph, account, deadline).await;
+        let outcome = cancel::cancel_directly(&self.state, call.graph, account, deadline).await;
         model::GraphCancelled { outcome }
     }
 
     async fn look(&self, call: model::GraphLook) -> model::GraphLooked {
         let deadline = deadline_in(call.patience_ms);
         let account = call.account.as_deref();
-        entry::state_here(&self.state, call.graph, account, deadline).await
+        job_query::direct_job_state(&self.state, call.graph, account, deadline).await
     }
 
     fn tenure(&self, query: &model::TenureQuery) -> model::TenureAnswer {
@@ -80,7 +80,7 @@
     }
 }
 
-impl<S: state::PoolSite> link::PeerService for PeerDesk<S> {
+impl<S: state::PoolAdapters> link::PeerService for PeerHandler<S> {
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::DocumentPull::PATH => {
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -37,13 +37,13 @@
 
 /// Asks at the addresses of the former holders until each is known to be over there, or all that they may have
 /// ordered has ended.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
 ) {
     let mut told = BTreeSet::new();
     loop {
-        let now = state.site.clock().now();
+        let now = state.adapters.clock().now();
         let mut open = lead.predecessors().unsettled(now);
         open.retain(|it| !it.address.is_empty() && !told.contains(&it.epoch));
         if open.is_empty() {
@@ -54,7 +54,7 @@
             let Some(answer) = answer else { continue };
             let Some(over_for_ms) = answer.over_for_ms else { continue };
             told.insert(former.epoch);
-            let now = state.site.clock().now();
+            let now = state.adapters.clock().now();
             let over_at = now.saturating_sub(Duration::from_millis(over_for_ms));
             note_over(&state, &lead, former, over_at);
             let mut core = lead.core();
@@ -64,14 +64,14 @@
     }
 }
 
-fn note_over<S: state::PoolSite>(
+fn note_over<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     former: &predecessor_list::Predecessor,
     over_at: Duration,
 ) {
     let settles_at = settles_behind(over_at, &state.settings.terms);
-    let left_ms = settles_at.saturating_sub(state.site.clock().now()).as_millis() as u64;
+    let left_ms = settles_at.saturating_sub(state.adapters.clock().now()).as_millis() as u64;
     tracing::info!(
         former = former.holder,
         epoch = former.epoch,
@@ -84,29 +84,29 @@
 }
 
 /// Asks a former holder whether it is over. That it can't be reached tells nothing.
-async fn ask<S: state::PoolSite>(
+async fn ask<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     former: &predecessor_list::Predecessor,
 ) -> Option<model::TenureAnswer> {
     let query = model::TenureQuery { holder: former.holder.clone(), epoch: former.epoch };
-    state.site.peers().call(&former.address, query, DEADLINE).await.ok()
+    state.adapters.peers().call(&former.address, query, DEADLINE).await.ok()
 }
 
 /// Answers a successor. A tenure that is held still ends here: a later one is in force.
-pub(crate) fn answer<S: state::PoolSite>(
+pub(crate) fn answer<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     query: &model::TenureQuery,
 ) -> model::TenureAnswer {
-    let clock = state.site.clock();
+    let clock = state.adapters.clock();
     let over_for = |since, unsaved| {
         let over_for = clock.now().saturating_sub(since).as_millis() as u64;
         model::TenureAnswer { over_for_ms: Some(over_for), unsaved }
     };
     if query.holder != state.settings.instance {
         // No two processes answer at one address: that one has ended before this one began.
-        return over_for(state.began_at, Vec::new());
+        return over_for(state.started_at, Vec::new());
     }
-    if state.taken().is_some_and(|it| it > query.epoch) {
+    if state.taken_epoch().is_some_and(|it| it > query.epoch) {
         return over_for(clock.now(), Vec::new());
     }
     let lead = state.lead();
@@ -118,11 +118,11 @@
         if ends_now {
             return over_for(clock.now(), lead.core().unsaved_suspicions());
         }
-    } else if lead.is_none() && state.taken().is_some() {
+    } else if lead.is_none() && state.taken_epoch().is_some() {
         return model::TenureAnswer::default();
     }
-    let ordered_at = lead.as_ref().and_then(|it| it.ordered_at()).max(state.ordered_at());
+    let ordered_at = lead.as_ref().and_then(|it| it.ordered_at()).max(state.last_order_at());
     let unsaved = lead.map(|it| it.core().unsaved_suspicions());
     let unsaved = unsaved.unwrap_or_else(|| state.unsaved_suspicions());
-    over_for(ordered_at.unwrap_or(state.began_at), unsaved)
+    over_for(ordered_at.unwrap_or(state.started_at), unsaved)
 }
--- a/crates/pool/src/predecessor_list.rs
+++ b/crates/pool/src/predecessor_list.rs
@@ -35,7 +35,7 @@
 
 impl PredecessorList {
     /// Those that the tenure's row tells of, the one that has written it included.
-    pub(crate) fn of_row<S: state::PoolSite>(
+    pub(crate) fn of_row<S: state::PoolAdapters>(
         state: &state::PoolState<S>,
         seen: &tenure_watch::SeenRow,
     ) -> PredecessorList {
@@ -111,12 +111,12 @@
 
     /// No two processes answer at one address: those at this one's have ended before this one began, and what
     /// this one has ordered it knows.
-    fn settle_own<S: state::PoolSite>(&mut self, state: &state::PoolState<S>) {
+    fn settle_own<S: state::PoolAdapters>(&mut self, state: &state::PoolState<S>) {
         let settings = &state.settings;
         for it in self.holders.iter_mut().filter(|it| it.address == settings.peer_address) {
             let is_this = it.holder == settings.instance;
-            let ordered_at = state.ordered_at().filter(|_| is_this);
-            let over_at = ordered_at.unwrap_or(state.began_at);
+            let ordered_at = state.last_order_at().filter(|_| is_this);
+            let over_at = ordered_at.unwrap_or(state.started_at);
             it.settles_at =
                 it.settles_at.min(predecessor::settles_behind(over_at, &settings.terms));
         }
@@ -124,7 +124,7 @@
 }
 
 /// The holder that has written the row.
-fn last_holder<S: state::PoolSite>(
+fn last_holder<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     seen: &tenure_watch::SeenRow,
     row: &model::PoolTenure,
--- a/crates/pool/src/detour.rs
+++ b/crates/pool/src/relay.rs
@@ -29,14 +29,14 @@
 
 /// Whether a way round the store is worth a try.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct DetourState {
+pub(crate) struct RelayState {
     fruitless_until: Option<Instant>,
     next_peer: usize,
 }
 
 /// What became of a call by way of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DetourOutcome<R> {
+pub(crate) enum RelayOutcome<R> {
     /// A peer has served it.
     Served(R),
     /// None could, and none has done anything.
@@ -46,80 +46,81 @@
 }
 
 /// Has a peer store a job graph.
-pub(crate) async fn submit<S: state::PoolSite>(
+pub(crate) async fn submit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
     row: &model::GraphRow,
     deadline: Instant,
-) -> DetourOutcome<model::SubmitOutcome> {
+) -> RelayOutcome<model::SubmitOutcome> {
     let call = |patience_ms| model::GraphSubmit { graph, row: row.clone(), patience_ms };
     let judge = |reply: model::GraphSubmitted| match reply.outcome {
-        model::SubmitOutcome::NotRun => DetourOutcome::NotServed,
-        model::SubmitOutcome::Unknown => DetourOutcome::Unclear,
-        served => DetourOutcome::Served(served),
+        model::SubmitOutcome::NotRun => RelayOutcome::NotServed,
+        model::SubmitOutcome::Unknown => RelayOutcome::Unclear,
+        served => RelayOutcome::Served(served),
     };
     ask(state, deadline, call, judge).await
 }
 
 /// Has a peer cancel a job graph.
-pub(crate) async fn cancel<S: state::PoolSite>(
+pub(crate) async fn cancel<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
     account: Option<&str>,
     deadline: Instant,
-) -> DetourOutcome<model::CancelOutcome> {
+) -> RelayOutcome<model::CancelOutcome> {
     let account = account.map(str::to_owned);
     let call = |patience_ms| model::GraphCancel { graph, account: account.clone(), patience_ms };
     let judge = |reply: model::GraphCancelled| match reply.outcome {
-        model::CancelOutcome::Unknown => DetourOutcome::Unclear,
-        served => DetourOutcome::Served(served),
+        model::CancelOutcome::Unknown => RelayOutcome::Unclear,
+        served => RelayOutcome::Served(served),
     };
     ask(state, deadline, call, judge).await
 }
 
 /// Has a peer look how far a job graph is.
-pub(crate) async fn look<S: state::PoolSite>(
+pub(crate) async fn job_state<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
     account: Option<&str>,
     deadline: Instant,
-) -> DetourOutcome<model::GraphLooked> {
+) -> RelayOutcome<model::GraphLooked> {
     let account = account.map(str::to_owned);
     let call = |patience_ms| model::GraphLook { graph, account: account.clone(), patience_ms };
     let judge = |reply: model::GraphLooked| match reply.outcome {
-        model::LookOutcome::Unavailable => DetourOutcome::NotServed,
-        _ => DetourOutcome::Served(reply),
+        model::LookOutcome::Unavailable => RelayOutcome::NotServed,
+        _ => RelayOutcome::Served(reply),
     };
     ask(state, deadline, call, judge).await
 }
 
-async fn ask<S: state::PoolSite, C: PeerCall, R>(
+async fn ask<S: state::PoolAdapters, C: PeerCall, R>(
     state: &state::PoolState<S>,
     deadline: Instant,
     call: impl Fn(u64) -> C,
-    judge: impl Fn(C::Reply) -> DetourOutcome<R>,
-) -> DetourOutcome<R> {
-    let mut outcome = DetourOutcome::NotServed;
+    judge: impl Fn(C::Reply) -> RelayOutcome<R>,
+) -> RelayOutcome<R> {
+    let mut outcome = RelayOutcome::NotServed;
     for peer in next_peers(state) {
         let left = deadline.saturating_duration_since(Instant::now()).min(PEER_DEADLINE);
         let Some(patience) = left.checked_sub(TRAVEL_MARGIN) else { break };
-        let reply = state.site.peers().call(&peer, call(patience.as_millis() as u64), left).await;
+        let reply =
+            state.adapters.peers().call(&peer, call(patience.as_millis() as u64), left).await;
         match reply.map(&judge) {
-            Ok(served @ DetourOutcome::Served(_)) => {
+            Ok(served @ RelayOutcome::Served(_)) => {
                 metrics::counter!("almondpass_pool_detours_total").increment(1);
                 return served;
             }
-            Ok(DetourOutcome::NotServed) => {}
-            Ok(DetourOutcome::Unclear) => outcome = DetourOutcome::Unclear,
+            Ok(RelayOutcome::NotServed) => {}
+            Ok(RelayOutcome::Unclear) => outcome = RelayOutcome::Unclear,
             Err(error) => {
                 log_failure(&error);
                 if !error.fault.had_no_effect() {
-                    outcome = DetourOutcome::Unclear;
+                    outcome = RelayOutcome::Unclear;
                 }
             }
         }
     }
-    state.detours().fruitless_until = Some(Instant::now() + FRUITLESS_PAUSE);
+    state.relays().fruitless_until = Some(Instant::now() + FRUITLESS_PAUSE);
     outcome
 }
 
@@ -128,14 +129,14 @@
 }
 
 /// The next few peers in turn; none while a way round is not worth a try.
-fn next_peers<S: state::PoolSite>(state: &state::PoolState<S>) -> Vec<ids::PeerAddress> {
+fn next_peers<S: state::PoolAdapters>(state: &state::PoolState<S>) -> Vec<ids::PeerAddress> {
     let peers = state.peer_addresses();
-    let mut detours = state.detours();
-    if detours.fruitless_until.is_some_and(|it| Instant::now() < it) || peers.is_empty() {
+    let mut relays = state.relays();
+    if relays.fruitless_until.is_some_and(|it| Instant::now() < it) || peers.is_empty() {
         return Vec::new();
     }
-    let first = detours.next_peer;
-    detours.next_peer = first.wrapping_add(1);
+    let first = relays.next_peer;
+    relays.next_peer = first.wrapping_add(1);
     let n_asked = MOST_PEERS.min(peers.len());
     (0..n_asked).map(|it| peers[first.wrapping_add(it) % peers.len()].clone()).collect()
 }
--- a/crates/pool/src/retention.rs
+++ b/crates/pool/src/retention.rs
@@ -22,16 +22,16 @@
 const AT_A_TIME: usize = 20;
 
 /// Removes rows until the tenure is over.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
 ) {
     loop {
         time::sleep(INTERVAL).await;
-        if !lead.is_firm(state.site.clock()) || state.is_store_away() {
+        if !lead.is_firm(state.adapters.clock()) || state.is_store_unavailable() {
             continue;
         }
-        let expired = lead.core().expired(state.site.clock().now(), AT_A_TIME);
+        let expired = lead.core().expired(state.adapters.clock().now(), AT_A_TIME);
         for graph in expired {
             if !remove(&state, graph).await {
                 break;
@@ -44,7 +44,7 @@
 }
 
 /// Removes the row of an acceptance. Whoever holds the tenure may do so: the end is durable.
-async fn remove<S: state::PoolSite>(state: &state::PoolState<S>, graph: ids::GraphId) -> bool {
+async fn remove<S: state::PoolAdapters>(state: &state::PoolState<S>, graph: ids::GraphId) -> bool {
     let writes = vec![writer::removal_of(keys::graph(graph))];
     let transaction = model::TableTransaction { conditions: Vec::new(), writes };
     let removed = store_call::transact(state, transaction).await;
--- a/crates/pool/src/seat.rs
+++ b/crates/pool/src/seat.rs
@@ -26,11 +26,11 @@
 const SPREAD: f64 = 0.3;
 
 /// Watches and schedules until the instance leaves.
-pub(crate) async fn run<S: state::PoolSite>(state: Arc<state::PoolState<S>>) {
+pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut watch = tenure_watch::TenureWatch::default();
     let mut floor = SettleFloor::default();
     let look = spread(&state.settings.instance, state.settings.tenure.look);
-    while !state.leaving.is_cancelled() {
+    while !state.shutdown.is_cancelled() {
         let before = watch.seen().cloned();
         read(&state, &mut watch).await;
         floor.saw(&state, before.as_ref(), watch.row());
@@ -58,7 +58,7 @@
         let due = watch.seen().and_then(|it| wait_for(&state, it));
         tokio::select! {
             biased;
-            () = state.leaving.cancelled() => {}
+            () = state.shutdown.cancelled() => {}
             () = first_document(&state.document), if state.document.version() == 0 => {}
             () = time::sleep(due.map_or(look, |it| it.min(look))) => {}
         }
@@ -67,11 +67,11 @@
 
 /// Waits until each other instance has had a look. One that can write and not read, or panics at what it
 /// reads, would otherwise be the first each time to take the tenure that it has just given up.
-async fn leave_to_others<S: state::PoolSite>(state: &state::PoolState<S>) {
+async fn leave_to_others<S: state::PoolAdapters>(state: &state::PoolState<S>) {
     let looks = state.settings.tenure.look.mul_f64(2.0 * (1.0 + SPREAD));
     tokio::select! {
         () = time::sleep(looks) => {}
-        () = state.leaving.cancelled() => {}
+        () = state.shutdown.cancelled() => {}
     }
 }
 
@@ -83,12 +83,12 @@
     let _ = versions.wait_for(|it| *it > 0).await;
 }
 
-async fn read<S: state::PoolSite>(
+async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     watch: &mut tenure_watch::TenureWatch,
 ) {
     let read = store_call::get(state, keys::pool_tenure()).await;
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     match read {
         Ok(rows) => {
             let row = rows.rows.into_iter().next();
@@ -113,7 +113,7 @@
 impl SettleFloor {
     /// The row was read again. A holder that another follows without having given the tenure up goes on
     /// for a while.
-    fn saw<S: state::PoolSite>(
+    fn saw<S: state::PoolAdapters>(
         &mut self,
         state: &state::PoolState<S>,
         before: Option<&tenure_watch::SeenRow>,
@@ -137,7 +137,7 @@
     Unclear,
 }
 
-async fn take<S: state::PoolSite>(
+async fn take<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     watch: &tenure_watch::TenureWatch,
     floor: &mut SettleFloor,
@@ -147,7 +147,7 @@
     if state.document.current().is_none() {
         return TakeOutcome::NotTaken;
     }
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     let Some(seen) = watch.seen().filter(|it| wait_for(state, it).is_none()) else {
         return TakeOutcome::NotTaken;
     };
@@ -172,7 +172,7 @@
         conditions: vec![model::TableCondition { key: keys::pool_tenure(), version: seen.version }],
         writes: vec![writer::write_of(keys::pool_tenure(), &row)],
     };
-    let sent_at = state.site.clock().now();
+    let sent_at = state.adapters.clock().now();
     let versions = match store_call::transact(state, transaction).await {
         Ok(model::TableOutcome::Committed { versions }) => versions,
         Err(error) if !error.fault.had_no_effect() => return TakeOutcome::Unclear,
@@ -193,21 +193,21 @@
 
 /// How much longer this instance leaves the tenure to its holder and to others; nothing once it may
 /// take it.
-fn wait_for<S: state::PoolSite>(
+fn wait_for<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     seen: &tenure_watch::SeenRow,
 ) -> Option<Duration> {
     let settings = &state.settings;
     let free_at = seen.free_at(&settings.peer_address, settings.tenure.term);
     let may_take_at = free_at + deference(state, seen);
-    let wait = may_take_at.saturating_sub(state.site.clock().now());
+    let wait = may_take_at.saturating_sub(state.adapters.clock().now());
     (!wait.is_zero()).then_some(wait)
 }
 
 /// How long a free tenure is left to stronger instances. The holder's work grows with the number of
 /// workers: at 350 it took nine tenths of the 0.12 cores of the weakest instances, and renewals and
 /// looks came late.
-fn deference<S: state::PoolSite>(
+fn deference<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     seen: &tenure_watch::SeenRow,
 ) -> Duration {
@@ -217,7 +217,8 @@
     }
     // Who is strong shows only once all have written their rows.
     let first = if seen.row.is_none() { times.first_start } else { Duration::ZERO };
-    let to_stronger = if state.knows_stronger() { times.deference } else { Duration::ZERO };
+    let to_stronger =
+        if state.knows_stronger_instance() { times.deference } else { Duration::ZERO };
     first + to_stronger
 }
 
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -24,13 +24,13 @@
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Looks until the worker or the tenure is over.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
     worker: ids::WorkerId,
 ) {
     loop {
-        if !lead.may_order(state.site.clock()) {
+        if !lead.may_order(state.adapters.clock()) {
             time::sleep(PAUSE).await;
             continue;
         }
@@ -55,39 +55,39 @@
 }
 
 /// Looks at a worker once and takes in what it lists.
-pub(crate) async fn look<S: state::PoolSite>(
+pub(crate) async fn look<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     worker: &ids::WorkerId,
 ) -> LookOutcome {
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     let Some(ask) = lead.core().hold_ask(worker, now) else { return LookOutcome::Over };
     look_as(state, lead, worker, ask).await
 }
 
 /// Looks at a worker without letting it wait.
-pub(crate) async fn look_now<S: state::PoolSite>(
+pub(crate) async fn look_now<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     worker: &ids::WorkerId,
 ) -> LookOutcome {
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     let Some(mut ask) = lead.core().hold_ask(worker, now) else { return LookOutcome::Over };
     ask.wait = Duration::ZERO;
     look_as(state, lead, worker, ask).await
 }
 
-async fn look_as<S: state::PoolSite>(
+async fn look_as<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     worker: &ids::WorkerId,
     ask: order::HoldAsk,
 ) -> LookOutcome {
-    let clock = state.site.clock();
+    let clock = state.adapters.clock();
     let sent_at = clock.now();
     let target = control::WorkerTarget { worker: worker.clone(), address: ask.address.clone() };
     let token = fencing::token(lead.epoch, ask.generation);
-    let answer = state.site.control().hold(&target, token, &ask).await;
+    let answer = state.adapters.control().hold(&target, token, &ask).await;
     let now = clock.now();
     let mut core = lead.core();
     match answer {
--- a/crates/pool/src/sessions.rs
+++ b/crates/pool/src/sessions.rs
@@ -22,7 +22,7 @@
 
 impl WorkerSessions {
     /// Keeps a session with each worker that the core knows.
-    pub(crate) fn keep<S: state::PoolSite>(
+    pub(crate) fn keep<S: state::PoolAdapters>(
         &mut self,
         state: &Arc<state::PoolState<S>>,
         lead: &Arc<lead::LeadState>,
@@ -40,7 +40,7 @@
 
     /// Looks and orders are one task: where either panics, both are begun anew. Tasks would go on being
     /// started on a worker to which nothing is sent any more.
-    fn begin<S: state::PoolSite>(
+    fn begin<S: state::PoolAdapters>(
         &mut self,
         state: &Arc<state::PoolState<S>>,
         lead: &Arc<lead::LeadState>,
@@ -56,7 +56,7 @@
         self.workers.insert(begun.id(), worker);
     }
 
-    fn failed<S: state::PoolSite>(
+    fn failed<S: state::PoolAdapters>(
         &mut self,
         state: &state::PoolState<S>,
         lead: &lead::LeadState,
@@ -69,6 +69,6 @@
         if !self.workers.values().any(|it| *it == worker) {
             lead.drop_sender(&worker);
         }
-        lead.core().session_failed(&worker, state.site.clock().now());
+        lead.core().session_failed(&worker, state.adapters.clock().now());
     }
 }
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -12,17 +12,17 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::control;
-use crate::detour;
 use crate::document;
 use crate::evacuation;
 use crate::hand_over;
 use crate::lead;
 use crate::nudge;
+use crate::relay;
 use crate::settings;
 use crate::worker_entry;
 
 /// The platform and the peers as an instance reaches them.
-pub trait PoolSite: Clone + Send + Sync + 'static {
+pub trait PoolAdapters: Clone + Send + Sync + 'static {
     /// The store.
     type Store: table::TableService + row_feed::RowFeed;
     /// The workers.
@@ -50,37 +50,37 @@
 #[derive(Debug)]
 pub struct PoolState<S> {
     /// The platform and the peers.
-    pub site: S,
+    pub adapters: S,
     /// What the instance was told at its start.
     pub settings: settings::PoolSettings,
     /// When the process began.
-    pub(crate) began_at: Duration,
+    pub(crate) started_at: Duration,
     /// The configuration in force.
     pub document: document::DocumentSlot,
     /// The data centres under evacuation.
     pub evacuations: evacuation::EvacuationSlot,
     /// Ends when the instance is to leave.
-    pub leaving: CancellationToken,
+    pub shutdown: CancellationToken,
     /// Who holds the tenure, as last seen.
     holder: Mutex<Option<HolderView>>,
     /// The tenure, while this instance holds it.
     lead: Mutex<Option<Arc<lead::LeadState>>>,
     /// Number of the tenure from its taking on, before its rows are read.
-    taken: Mutex<Option<ids::Epoch>>,
+    taken_epoch: Mutex<Option<ids::Epoch>>,
     /// When an order of a tenure that is over here may have left last.
-    ordered_at: Mutex<Option<Duration>>,
+    last_order_at: Mutex<Option<Duration>>,
     /// What the last such tenure held against tasks and had not saved.
     unsaved: Mutex<Vec<model::UnsavedSuspicions>>,
     /// Whether the store gives this instance no answers, as its last long call showed.
-    store_away: AtomicBool,
+    store_unavailable: AtomicBool,
     /// Whether calls by way of peers are worth a try.
-    detours: Mutex<detour::DetourState>,
+    relays: Mutex<relay::RelayState>,
     /// Nudges that the holder has not acknowledged yet.
     nudges: Mutex<nudge::PendingNudges>,
     /// Instances that were found, this one included.
     members: Mutex<Vec<model::InstanceRow>>,
     /// Stronger instances to which this one has offered the tenure.
-    offered: Mutex<hand_over::OfferedInstances>,
+    offered_instances: Mutex<hand_over::OfferedInstances>,
     /// Entries of the list of workers that name no worker to use.
     faulty_entries: Mutex<worker_entry::FaultyEntries>,
 }
@@ -94,27 +94,27 @@
     pub address: ids::PeerAddress,
 }
 
-impl<S: PoolSite> PoolState<S> {
+impl<S: PoolAdapters> PoolState<S> {
     /// An instance that knows nothing yet.
-    pub fn new(site: S, settings: settings::PoolSettings) -> PoolState<S> {
-        let began_at = site.clock().now();
+    pub fn new(adapters: S, settings: settings::PoolSettings) -> PoolState<S> {
+        let started_at = adapters.clock().now();
         PoolState {
-            site,
+            adapters,
             settings,
-            began_at,
+            started_at,
             document: document::DocumentSlot::default(),
             evacuations: evacuation::EvacuationSlot::default(),
-            leaving: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             holder: Mutex::default(),
             lead: Mutex::default(),
-            taken: Mutex::default(),
-            ordered_at: Mutex::default(),
+            taken_epoch: Mutex::default(),
+            last_order_at: Mutex::default(),
             unsaved: Mutex::default(),
-            store_away: AtomicBool::new(false),
-            detours: Mutex::default(),
+            store_unavailable: AtomicBool::new(false),
+            relays: Mutex::default(),
             nudges: Mutex::default(),
             members: Mutex::default(),
-            offered: Mutex::default(),
+            offered_instances: Mutex::default(),
             faulty_entries: Mutex::default(),
         }
     }
@@ -129,17 +129,17 @@
     }
 
     /// Number of the tenure that this instance has taken and not ended.
-    pub(crate) fn taken(&self) -> Option<ids::Epoch> {
-        *lock(&self.taken)
+    pub(crate) fn taken_epoch(&self) -> Option<ids::Epoch> {
+        *lock(&self.taken_epoch)
     }
 
-    pub(crate) fn set_taken(&self, epoch: Option<ids::Epoch>) {
-        *lock(&self.taken) = epoch;
+    pub(crate) fn set_taken_epoch(&self, epoch: Option<ids::Epoch>) {
+        *lock(&self.taken_epoch) = epoch;
     }
 
     /// When an order of a tenure that is over here may have left last, if any has.
-    pub(crate) fn ordered_at(&self) -> Option<Duration> {
-        *lock(&self.ordered_at)
+    pub(crate) fn last_order_at(&self) -> Option<Duration> {
+        *lock(&self.last_order_at)
     }
 
     /// What the last tenure that is over here held against tasks and had not saved.
@@ -148,18 +148,18 @@
     }
 
     /// A tenure is over here, whose last order may have left at `ordered_at`.
-    pub(crate) fn note_ended(
+    pub(crate) fn record_tenure_end(
         &self,
-        ordered_at: Option<Duration>,
+        last_order_at: Option<Duration>,
         unsaved: Vec<model::UnsavedSuspicions>,
     ) {
-        let mut latest = lock(&self.ordered_at);
-        *latest = (*latest).max(ordered_at);
+        let mut latest = lock(&self.last_order_at);
+        *latest = (*latest).max(last_order_at);
         *lock(&self.unsaved) = unsaved;
     }
 
     /// Another instance that holds the tenure, as last seen.
-    pub fn other_holder(&self) -> Option<HolderView> {
+    pub fn remote_holder(&self) -> Option<HolderView> {
         let holder = lock(&self.holder).clone();
         holder.filter(|it| it.instance != self.settings.instance)
     }
@@ -185,24 +185,24 @@
     }
 
     /// Whether the store gives this instance no answers.
-    pub(crate) fn is_store_away(&self) -> bool {
-        self.store_away.load(Ordering::Relaxed)
+    pub(crate) fn is_store_unavailable(&self) -> bool {
+        self.store_unavailable.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn set_store_away(&self, is_away: bool) {
-        self.store_away.store(is_away, Ordering::Relaxed);
+    pub(crate) fn set_store_unavailable(&self, is_away: bool) {
+        self.store_unavailable.store(is_away, Ordering::Relaxed);
     }
 
-    pub(crate) fn detours(&self) -> MutexGuard<'_, detour::DetourState> {
-        lock(&self.detours)
+    pub(crate) fn relays(&self) -> MutexGuard<'_, relay::RelayState> {
+        lock(&self.relays)
     }
 
     pub(crate) fn nudges(&self) -> MutexGuard<'_, nudge::PendingNudges> {
         lock(&self.nudges)
     }
 
-    pub(crate) fn offered(&self) -> MutexGuard<'_, hand_over::OfferedInstances> {
-        lock(&self.offered)
+    pub(crate) fn offered_instances(&self) -> MutexGuard<'_, hand_over::OfferedInstances> {
+        lock(&self.offered_instances)
     }
 
     pub(crate) fn faulty_entries(&self) -> MutexGuard<'_, worker_entry::FaultyEntries> {
@@ -214,12 +214,12 @@
     }
 
     /// Whether a stronger instance than this was found.
-    pub(crate) fn knows_stronger(&self) -> bool {
-        !self.stronger().is_empty()
+    pub(crate) fn knows_stronger_instance(&self) -> bool {
+        !self.stronger_instances().is_empty()
     }
 
     /// Instances that were found and are stronger than this.
-    pub(crate) fn stronger(&self) -> BTreeSet<ids::InstanceId> {
+    pub(crate) fn stronger_instances(&self) -> BTreeSet<ids::InstanceId> {
         let members = lock(&self.members);
         let own = self.settings.strength_milli;
         let stronger = members.iter().filter(|it| it.strength_milli > own);
--- a/crates/pool/src/store_call.rs
+++ b/crates/pool/src/store_call.rs
@@ -39,27 +39,27 @@
 
 /// Writes. Every transaction of this crate may be sent twice: its condition holds once, or it
 /// writes the same again.
-pub(crate) async fn transact<S: state::PoolSite>(
+pub(crate) async fn transact<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     transaction: model::TableTransaction,
 ) -> Result<model::TableOutcome, error::CallError> {
     let step = model::TableTransaction::PATH;
-    if state.is_store_away() {
+    if state.is_store_unavailable() {
         return within(step, WRITE_DEADLINE, transact_insistently(state, transaction)).await;
     }
-    within(step, WRITE_DEADLINE, state.site.store().transact(transaction)).await
+    within(step, WRITE_DEADLINE, state.adapters.store().transact(transaction)).await
 }
 
 /// Sends a transaction again and again, and takes the first answer. A store that says nothing has
 /// lost the call, and once it is back only another one tells.
-async fn transact_insistently<S: state::PoolSite>(
+async fn transact_insistently<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     transaction: model::TableTransaction,
 ) -> Result<model::TableOutcome, error::CallError> {
     let mut calls = FuturesUnordered::new();
     let mut unclear = None;
     loop {
-        calls.push(state.site.store().transact(transaction.clone()));
+        calls.push(state.adapters.store().transact(transaction.clone()));
         let resend = time::sleep(RESEND);
         tokio::pin!(resend);
         loop {
@@ -85,30 +85,30 @@
 }
 
 /// Reads one row.
-pub(crate) async fn get<S: state::PoolSite>(
+pub(crate) async fn get<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     key: ids::RowKey,
 ) -> Result<model::TableRows, error::CallError> {
     let get = model::TableGet { keys: vec![key] };
-    within(model::TableGet::PATH, READ_DEADLINE, state.site.store().get(get)).await
+    within(model::TableGet::PATH, READ_DEADLINE, state.adapters.store().get(get)).await
 }
 
-pub(crate) async fn snapshot<S: state::PoolSite>(
+pub(crate) async fn snapshot<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     table: &str,
 ) -> Result<row_feed::FeedRows, error::CallError> {
-    let reading = state.site.store().snapshot(table, PAGE_DEADLINE);
+    let reading = state.adapters.store().snapshot(table, PAGE_DEADLINE);
     within(model::TableScan::PATH, TABLE_DEADLINE, reading).await
 }
 
-pub(crate) async fn follow<S: state::PoolSite>(
+pub(crate) async fn follow<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     table: &str,
     after: ids::RowVersion,
     wait: Duration,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
     let deadline = wait + FEED_SLACK;
-    let following = state.site.store().follow(table, after, wait);
+    let following = state.adapters.store().follow(table, after, wait);
     time::timeout(deadline, following)
         .await
         .unwrap_or_else(|_| Err(timed_out(model::TableScan::PATH, deadline).into()))
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -9,8 +9,8 @@
 use metrics::Label;
 use tokio::time::{self, Instant};
 
-use crate::detour;
 use crate::nudge;
+use crate::relay;
 use crate::state;
 use crate::store_call;
 use crate::writer;
@@ -28,7 +28,7 @@
 
 /// Stores a job graph under its id, unless it is stored already: by the own way to the store, or
 /// by that of a peer.
-pub async fn submit<S: state::PoolSite>(
+pub async fn submit<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     row: model::GraphRow,
@@ -44,36 +44,37 @@
     outcome
 }
 
-async fn submit_by_any_way<S: state::PoolSite>(
+async fn submit_by_any_way<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     row: model::GraphRow,
     deadline: Instant,
 ) -> model::SubmitOutcome {
     let mut may_be_stored = false;
-    if !state.is_store_away() {
-        match submit_here(state, graph, &row, deadline.min(Instant::now() + OWN_PATIENCE)).await {
+    if !state.is_store_unavailable() {
+        match submit_directly(state, graph, &row, deadline.min(Instant::now() + OWN_PATIENCE)).await
+        {
             model::SubmitOutcome::NotRun => {}
             model::SubmitOutcome::Unknown => may_be_stored = true,
             certain => return certain,
         }
     }
-    match detour::submit(state, graph, &row, deadline).await {
-        detour::DetourOutcome::Served(outcome) => return outcome,
-        detour::DetourOutcome::NotServed => {}
-        detour::DetourOutcome::Unclear => may_be_stored = true,
+    match relay::submit(state, graph, &row, deadline).await {
+        relay::RelayOutcome::Served(outcome) => return outcome,
+        relay::RelayOutcome::NotServed => {}
+        relay::RelayOutcome::Unclear => may_be_stored = true,
     }
     // The store may be back, or slow rather than away; one that refuses is given up on in there.
     // While a write may still land, its outcome is worth the rest of the caller's time: a caller
     // can't repeat what is unknown for nothing.
-    match submit_here(state, graph, &row, deadline).await {
+    match submit_directly(state, graph, &row, deadline).await {
         model::SubmitOutcome::NotRun if may_be_stored => model::SubmitOutcome::Unknown,
         outcome => outcome,
     }
 }
 
 /// Stores a job graph by the own way to the store.
-pub(crate) async fn submit_here<S: state::PoolSite>(
+pub(crate) async fn submit_directly<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     row: &model::GraphRow,
@@ -93,7 +94,7 @@
         match written {
             Ok(model::TableOutcome::Committed { versions }) => {
                 let version = versions.first().copied().unwrap_or_default();
-                nudge::tell(state, model::GraphNudge { graph, version, row: row.clone() });
+                nudge::send(state, model::GraphNudge { graph, version, row: row.clone() });
                 return model::SubmitOutcome::Accepted;
             }
             // Stored before: by an earlier call of the caller, or by a write of this one whose
@@ -146,7 +147,7 @@
 }
 
 /// What the row tells that was found in place of `wanted`. The holder may not know of it yet.
-fn settle<S: state::PoolSite>(
+fn settle<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     rows: &[model::TableRow],
@@ -159,6 +160,6 @@
     if row.account != wanted.account {
         return model::SubmitOutcome::Taken;
     }
-    nudge::tell(state, model::GraphNudge { graph, version, row });
+    nudge::send(state, model::GraphNudge { graph, version, row });
     model::SubmitOutcome::Accepted
 }
--- a/crates/pool/src/turner.rs
+++ b/crates/pool/src/turner.rs
@@ -38,7 +38,7 @@
 const METER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Turns until the tenure is over.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
 ) {
@@ -121,13 +121,13 @@
     }
 }
 
-fn turn<S: state::PoolSite>(state: &state::PoolState<S>, lead: &lead::LeadState) {
-    if !lead.may_order(state.site.clock()) {
+fn turn<S: state::PoolAdapters>(state: &state::PoolState<S>, lead: &lead::LeadState) {
+    if !lead.may_order(state.adapters.clock()) {
         return;
     }
     let mut core = lead.core();
-    core.set_wall(state.site.clock().wall());
-    core.turn(state.site.clock().now());
+    core.set_wall(state.adapters.clock().wall());
+    core.turn(state.adapters.clock().now());
     let orders = core.take_orders();
     core.take_finished().iter().for_each(meter_finished);
     metrics::counter!("almondpass_pool_worker_restarts_total").increment(core.take_n_restarts());
--- a/crates/pool/src/worker_follower.rs
+++ b/crates/pool/src/worker_follower.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use crate::document::PlatformReader;
-use crate::feed_watch;
+use crate::feed_monitor;
 use crate::lead;
 use crate::lead_loader;
 use crate::state;
@@ -29,20 +29,20 @@
 const BACK_WITHIN: Duration = Duration::from_millis(2_500);
 
 /// Follows until the tenure is over.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     lead: Arc<lead::LeadState>,
     mut after: ids::RowVersion,
 ) {
-    let mut watch = feed_watch::FeedWatch::new("workers");
+    let mut monitor = feed_monitor::FeedMonitor::new("workers");
     loop {
-        if watch.take_table_due() {
+        if monitor.take_table_due() {
             after = read_anew(&state, &lead, after).await.map_or(after, |it| after.max(it));
         }
-        let asked_at = state.site.clock().now();
+        let asked_at = state.adapters.clock().now();
         match store_call::follow(&state, S::Reader::WORKER_TABLE, after, Duration::ZERO).await {
             Ok(rows) => {
-                watch.answered(after);
+                monitor.record_answer(after);
                 take(&state, &lead, &rows.rows, after);
                 after = after.max(rows.version);
                 if !rows.more {
@@ -58,7 +58,7 @@
             }
             Err(row_feed::FeedFault::HistoryGone) => {}
             Err(error) => {
-                watch.failed(&error, after);
+                monitor.record_failure(&error, after);
                 time::sleep(AGAIN).await;
                 continue;
             }
@@ -72,7 +72,7 @@
     }
 }
 
-fn take<S: state::PoolSite>(
+fn take<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     rows: &[row_feed::FeedRow],
@@ -81,7 +81,7 @@
     if rows.is_empty() {
         return;
     }
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     let mut core = lead.core();
     for row in rows {
         let is_news = lead_loader::learn_worker(state, &mut core, row, now);
@@ -96,7 +96,7 @@
 
 /// Reads the whole list. Workers that it misses are given the time to come back, and are missing
 /// only if a second look misses them too.
-async fn read_anew<S: state::PoolSite>(
+async fn read_anew<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     after: ids::RowVersion,
@@ -109,7 +109,7 @@
     time::sleep(BACK_WITHIN).await;
     let second = read(state, lead, after).await?;
     let still_missing = missing_from(lead, &second.rows);
-    let now = state.site.clock().now();
+    let now = state.adapters.clock().now();
     let mut core = lead.core();
     for worker in missing.intersection(&still_missing) {
         core.unlist_worker(worker, now);
@@ -117,12 +117,12 @@
     Some(second.version)
 }
 
-async fn read<S: state::PoolSite>(
+async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     after: ids::RowVersion,
 ) -> Option<row_feed::FeedRows> {
-    let asked_at = state.site.clock().now();
+    let asked_at = state.adapters.clock().now();
     let read = store_call::snapshot(state, S::Reader::WORKER_TABLE).await;
     let rows = read.inspect_err(|error| tracing::debug!(%error, "workers can't be read")).ok()?;
     take(state, lead, &rows.rows, after);
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -34,7 +34,7 @@
 
 /// Writes until the tenure is over or to be given up, as it is when the instance leaves; then gives
 /// it up.
-pub(crate) async fn run<S: state::PoolSite>(
+pub(crate) async fn run<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     lead: &Arc<lead::LeadState>,
     taken: ids::RowVersion,
@@ -86,16 +86,16 @@
     Refused(error::CallError),
 }
 
-impl<S: state::PoolSite> TenureWriter<'_, S> {
+impl<S: state::PoolAdapters> TenureWriter<'_, S> {
     /// Waits for a reason to write. Tells whether the tenure is to be given up.
     async fn wait(&self) -> bool {
         let renewal = self.state.settings.tenure.renewal;
-        if !self.lead.is_firm(self.state.site.clock()) {
+        if !self.lead.is_firm(self.state.adapters.clock()) {
             return self.is_to_be_given_up();
         }
         tokio::select! {
             biased;
-            () = self.state.leaving.cancelled() => return true,
+            () = self.state.shutdown.cancelled() => return true,
             () = self.lead.giving_up.cancelled() => return true,
             () = self.lead.over.cancelled() => return false,
             () = time::sleep(renewal) => return false,
@@ -106,7 +106,7 @@
     }
 
     fn is_to_be_given_up(&self) -> bool {
-        self.state.leaving.is_cancelled() || self.lead.giving_up.is_cancelled()
+        self.state.shutdown.is_cancelled() || self.lead.giving_up.is_cancelled()
     }
 
     /// Saves what has changed, and renews the tenure with it. Tells whether the tenure is still held.
@@ -137,7 +137,7 @@
     }
 
     fn take_rows(&self) -> SentRows {
-        let now = self.state.site.clock().now();
+        let now = self.state.adapters.clock().now();
         let mut writes = Vec::new();
         let mut n_bytes = 0;
         let batch = self.lead.core().take_batch(now, |row| {
@@ -164,7 +164,7 @@
             tracing::error!(key = write.key, n_bytes, %error, "row is refused and set apart");
             metrics::counter!("almondpass_pool_rows_refused_total").increment(1);
             let mut core = self.lead.core();
-            core.row_refused(row.key, self.state.site.clock().now());
+            core.row_refused(row.key, self.state.adapters.clock().now());
             metrics::gauge!("almondpass_pool_rows_set_apart").set(core.n_refused_rows() as f64);
         }
     }
@@ -172,10 +172,10 @@
     /// Writes until the outcome is certain.
     async fn write(&mut self, rows: &[model::TableWrite], released: bool) -> WriteOutcome {
         self.renewal += 1;
-        let first_sent = self.state.site.clock().now();
+        let first_sent = self.state.adapters.clock().now();
         let writes = self.with_tenure(rows, released);
         let counts_from = loop {
-            let sent_at = self.state.site.clock().now();
+            let sent_at = self.state.adapters.clock().now();
             let outcome = self.transact(writes.clone()).await;
             match outcome {
                 Ok(model::TableOutcome::Committed { versions }) => {
@@ -208,10 +208,10 @@
     }
 
     fn missed(&self, error: &error::CallError) {
-        let now = self.state.site.clock().now();
+        let now = self.state.adapters.clock().now();
         let standing = self.lead.tenure().standing(now);
         tracing::warn!(%error, ?standing, renewal = self.renewal, "write of the tenure failed");
-        self.lead.tenure().missed(self.state.site.clock().now());
+        self.lead.tenure().missed(self.state.adapters.clock().now());
     }
 
     async fn transact(
@@ -226,7 +226,7 @@
     /// The rows behind that of the tenure.
     fn with_tenure(&self, rows: &[model::TableWrite], released: bool) -> Vec<model::TableWrite> {
         let settings = &self.state.settings;
-        let now = self.state.site.clock().now();
+        let now = self.state.adapters.clock().now();
         let (losses, settles_in, notes_silence) = {
             let core = self.lead.core();
             (core.recent_losses(now), core.settles_in(now), core.keeps_silence())
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -7,7 +7,8 @@
 
 use almondpass_graph::{catalog, order, resources, task_key, worker};
 use almondpass_pool::{
-    cancel, control, document, entry, instance, peers, settings, state, submit, worker_entry,
+    cancel, control, document, instance, job_query, peer_handler, settings, state, submit,
+    worker_entry,
 };
 use almondpass_ports::boot_clock;
 use almondpass_ports::table::TableService;
@@ -58,7 +59,7 @@
     clock: boot_clock::RuntimeClock,
 }
 
-impl state::PoolSite for BenchSite {
+impl state::PoolAdapters for BenchSite {
     type Store = table::TableFake;
     type Control = BenchControl;
     type Reader = BenchReader;
@@ -160,7 +161,7 @@
     const DOCUMENT_KEY: &'static str = "newest";
     const WORKER_TABLE: &'static str = "workers";
 
-    fn evacuated(key: &str) -> Option<&str> {
+    fn evacuated_data_center(key: &str) -> Option<&str> {
         key.strip_prefix("evacuate-")
     }
 
@@ -305,7 +306,7 @@
             tenure: settings::TenureTimes::default(),
         };
         let state = Arc::new(state::PoolState::new(site, settings));
-        self.net.register(address, peers::PeerDesk::new(Arc::clone(&state)));
+        self.net.register(address, peer_handler::PeerHandler::new(Arc::clone(&state)));
         let running = tokio::spawn(instance::run(Arc::clone(&state)));
         let address = address.to_owned();
         let fresh = BenchInstance { state, address, to_store, to_workers, panics, running };
@@ -535,7 +536,7 @@
         graph: ids::GraphId,
         deadline: Instant,
     ) -> model::GraphLooked {
-        entry::state_of(&self.instances[index].state, graph, Some("lab"), deadline).await
+        job_query::job_state(&self.instances[index].state, graph, Some("lab"), deadline).await
     }
 
     /// Waits until a job is shown with `wanted`, for at most `limit`.
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -164,7 +164,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let old = bench.holder();
-        bench.instances[old].state.leaving.cancel();
+        bench.instances[old].state.shutdown.cancel();
         time::sleep(Duration::from_millis(1_000)).await;
         assert_ne!(bench.holder(), old);
     });
@@ -375,7 +375,7 @@
         (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
         bench.instances[successor].to_store.set(fault::Condition::Silent);
         cut_from_peers(&bench, old);
-        let leaving = bench.instances[between].state.leaving.clone();
+        let leaving = bench.instances[between].state.shutdown.clone();
         let back = bench.instances[successor].to_store.clone();
         tokio::spawn(async move {
             time::sleep(Duration::from_millis(3_500)).await;
