--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -81,10 +81,10 @@
 fn turn(core: &mut core::PoolCore, now: Duration) {
     let workers = core.worker_ids().cloned().collect::<Vec<_>>();
     for worker in workers {
-        let listed = order::WorkerListed {
+        let listed = order::PollReply {
             clock_ms: now.as_millis() as u64,
             complete: false,
-            ..order::WorkerListed::default()
+            ..order::PollReply::default()
         };
         core.hold_answered(&worker, listed, now, now);
     }
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -66,7 +66,7 @@
             acked_at.get_or_insert(now);
             if !is_confirmed {
                 // It may never have started, and then no end is listed: only a look tells.
-                self.order_look(&stop.worker);
+                self.order_poll(&stop.worker);
             }
         }
     }
@@ -115,7 +115,7 @@
         let Some(run) = self.run_of(&start.worker, start.task, start.attempt) else { return };
         if run.phase == job::RunPhase::Ordered {
             run.phase = job::RunPhase::Unclear { since: now };
-            self.order_look(&start.worker);
+            self.order_poll(&start.worker);
         }
     }
 
@@ -141,8 +141,8 @@
         }
     }
 
-    pub(crate) fn order_look(&mut self, worker: &ids::WorkerId) {
-        let look = order::PoolOrder::Look { worker: worker.clone() };
+    pub(crate) fn order_poll(&mut self, worker: &ids::WorkerId) {
+        let look = order::PoolOrder::Poll { worker: worker.clone() };
         if self.orders.last() != Some(&look) {
             self.orders.push(look);
         }
@@ -170,7 +170,7 @@
             worker.pauses_until = worker.pauses_until.max(now + pause);
         }
         tracing::info!(worker = start.worker, ?refusal, "start refused");
-        self.order_look(&start.worker);
+        self.order_poll(&start.worker);
         self.withdraw(start, now);
     }
 
@@ -187,7 +187,7 @@
     /// orders behind them would wait for looks that have none either.
     pub(crate) fn missed(&mut self, worker: &ids::WorkerId) {
         if self.note_miss(worker) {
-            self.order_look(worker);
+            self.order_poll(worker);
         }
     }
 
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -68,7 +68,7 @@
                 && it.listing.upstream == job.upstream
                 && label.is_none_or(|label| it.listing.labels.contains(label))
                 && step.room().fits_in(it.listing.capacity)
-                && self.place_bar(id, it, now).is_none()
+                && self.exclusion_reason(id, it, now).is_none()
         };
         !self.ample.contains(&job.upstream) && self.workers.iter().any(|(id, it)| could_run(id, it))
     }
--- a/crates/graph/src/berth.rs
+++ b/crates/graph/src/candidate.rs
@@ -9,7 +9,7 @@
 
 /// What does not change about a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BerthPlace {
+pub struct WorkerProfile {
     /// The worker.
     pub worker: ids::WorkerId,
     /// Whose tasks it runs.
@@ -24,9 +24,9 @@
 
 /// A worker that may get tasks.
 #[derive(Clone, Debug)]
-pub struct WorkerBerth {
+pub struct WorkerCandidate {
     /// The worker.
-    pub place: Arc<BerthPlace>,
+    pub place: Arc<WorkerProfile>,
     /// Number of its rack, from 0; racks are compared often.
     pub rack: usize,
     /// Number of the upstream whose tasks it runs, for the same reason.
@@ -40,21 +40,21 @@
     /// Failed lately; used last.
     pub suspect: bool,
     /// Whether a task has it for itself, as it may crash it: nothing else starts there.
-    pub is_closed: bool,
+    pub is_exclusive: bool,
     /// Room that is being cleared for units.
     pub claims: Vec<(task_key::UnitKey, resources::Resources)>,
     /// Room that gathers for units that wait.
     pub reserved: Vec<(task_key::UnitKey, resources::Resources)>,
 }
 
-impl WorkerBerth {
+impl WorkerCandidate {
     /// Whether nothing is on it.
     pub fn is_empty(&self) -> bool {
         self.n_runs == 0
     }
 
     /// Of `free`, what `unit` may take: all that is not being cleared for others.
-    pub fn left_for(
+    pub fn available_to(
         &self,
         unit: task_key::UnitKey,
         free: resources::Resources,
@@ -68,19 +68,19 @@
         unit: task_key::UnitKey,
         free: resources::Resources,
     ) -> resources::Resources {
-        left_beside(&self.reserved, unit, self.left_for(unit, free))
+        left_beside(&self.reserved, unit, self.available_to(unit, free))
     }
 }
 
 /// What a unit asks for.
 #[derive(Clone, Debug)]
-pub struct PlaceAsk<'a> {
+pub struct PlacementRequest<'a> {
     /// The unit.
     pub unit: task_key::UnitKey,
     /// Number of the upstream whose workers it needs; one that no berth has where it has none.
     pub upstream: usize,
     /// What each task needs.
-    pub room: resources::Resources,
+    pub per_task: resources::Resources,
     /// Tasks to place together.
     pub n_tasks: u32,
     /// Whether they slow each other down across racks.
@@ -98,44 +98,49 @@
     /// Workers that it has to leave empty.
     pub keeps_empty: usize,
     /// Whether it may run where it takes longer: off the rack of its data, or across racks.
-    pub far: bool,
+    pub allows_remote: bool,
     /// Whether it has waited for so long that it may take what is reserved for others. Without an end
     /// to its patience the least urgent class starves on the heaviest days: jobs lay for 50 s with one
     /// task left to run, and 2 of 40 days earned less than a seventh of its worth.
     pub takes_reserved: bool,
     /// Whether its start is a trial: a task of it may crash its workers.
-    pub is_trial: bool,
+    pub may_crash_worker: bool,
     /// Whether it needs workers of its own.
-    pub is_apart: bool,
+    pub is_isolated: bool,
     /// Whether it may have them now.
     pub may_be_apart: bool,
 }
 
-impl PlaceAsk<'_> {
+impl PlacementRequest<'_> {
     /// How many of its tasks fit on that berth as it is, as far as the berth may be used at all.
-    pub fn count_now(&self, index: usize, berth: &WorkerBerth) -> u32 {
-        if self.is_apart && !(self.may_be_apart && berth.is_empty()) {
+    pub fn count_now(&self, index: usize, candidate: &WorkerCandidate) -> u32 {
+        if self.is_isolated && !(self.may_be_apart && candidate.is_empty()) {
             return 0;
         }
-        self.count_on(index, berth, berth.free)
+        self.count_on(index, candidate, candidate.free)
     }
 
     /// What has to be kept on a berth for one of its tasks: all of it where the unit runs apart.
-    pub fn kept_room(&self, berth: &WorkerBerth) -> resources::Resources {
-        if self.is_apart { berth.place.capacity } else { self.room }
+    pub fn kept_resources(&self, candidate: &WorkerCandidate) -> resources::Resources {
+        if self.is_isolated { candidate.place.capacity } else { self.per_task }
     }
 
     /// How many of its tasks fit in `free` of that berth, as far as the berth may be used at all.
-    pub fn count_on(&self, index: usize, berth: &WorkerBerth, free: resources::Resources) -> u32 {
-        if berth.is_closed || !self.allows(berth) {
+    pub fn count_on(
+        &self,
+        index: usize,
+        candidate: &WorkerCandidate,
+        free: resources::Resources,
+    ) -> u32 {
+        if candidate.is_exclusive || !self.allows(candidate) {
             return 0;
         }
         let left = if self.takes_reserved {
-            berth.left_for(self.unit, free)
+            candidate.available_to(self.unit, free)
         } else {
-            berth.unreserved_for(self.unit, free)
+            candidate.unreserved_for(self.unit, free)
         };
-        let fitting = self.room.count_in(left).min(self.n_tasks);
+        let fitting = self.per_task.count_in(left).min(self.n_tasks);
         if self.per_worker == 0 {
             return fitting;
         }
@@ -143,10 +148,10 @@
         fitting.min(self.per_worker.saturating_sub(present))
     }
 
-    fn allows(&self, berth: &WorkerBerth) -> bool {
-        berth.upstream == self.upstream
-            && self.label.is_none_or(|it| berth.place.labels.iter().any(|label| label == it))
-            && !self.avoids.contains(&berth.place.worker.as_str())
+    fn allows(&self, candidate: &WorkerCandidate) -> bool {
+        candidate.upstream == self.upstream
+            && self.label.is_none_or(|it| candidate.place.labels.iter().any(|label| label == it))
+            && !self.avoids.contains(&candidate.place.worker.as_str())
     }
 }
 
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -6,13 +6,13 @@
 
 use almondpass_schema::{ids, model};
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::failed_ask;
 use crate::job;
 use crate::order;
 use crate::pace;
-use crate::placing;
+use crate::placement;
 use crate::preemption;
 use crate::reservation;
 use crate::resources;
@@ -40,13 +40,13 @@
             return;
         }
         self.drop_claims(now);
-        let mut berths = self.berths(now);
-        if berths.is_empty() {
+        let mut candidates = self.candidates(now);
+        if candidates.is_empty() {
             self.resumed_at = now;
         }
-        self.start_units(units, &mut berths, now);
+        self.start_units(units, &mut candidates, now);
         if tells_waits {
-            self.tell_waits(&berths, now);
+            self.tell_waits(&candidates, now);
         }
     }
 
@@ -60,7 +60,7 @@
     fn start_units(
         &mut self,
         units: Vec<task_key::UnitKey>,
-        berths: &mut [berth::WorkerBerth],
+        candidates: &mut [candidate::WorkerCandidate],
         now: Duration,
     ) {
         let mut full = BTreeSet::<(ids::GraphId, u32)>::new();
@@ -74,7 +74,7 @@
             self.note_apart_wait(unit, now);
             let is_tried = !full.contains(&(unit.graph, unit.step));
             if is_tried && !self.is_hopeless(unit, &hopeless) {
-                let outcome = self.try_start(unit, berths, &mut failed, now);
+                let outcome = self.try_start(unit, candidates, &mut failed, now);
                 if outcome == StartOutcome::Started {
                     continue;
                 }
@@ -84,16 +84,16 @@
                     full.insert((unit.graph, unit.step));
                 }
                 if outcome == StartOutcome::NoRoom {
-                    hopeless.extend(self.hopeless_room(unit, berths));
+                    hopeless.extend(self.hopeless_room(unit, candidates));
                     if !self.is_urgent(unit) {
-                        self.reserve_for(unit, berths, now);
+                        self.reserve_for(unit, candidates, now);
                     }
                 }
             }
             // In its turn, before less urgent units are looked at: they would start in the room that
             // is about to be cleared, and be stopped again at once.
             if self.is_urgent(unit) {
-                self.clear_for_urgent(unit, berths, &mut round, now);
+                self.clear_for_urgent(unit, candidates, &mut round, now);
             }
         }
     }
@@ -107,17 +107,17 @@
     fn reserve_for(
         &self,
         unit: task_key::UnitKey,
-        berths: &mut [berth::WorkerBerth],
+        candidates: &mut [candidate::WorkerCandidate],
         now: Duration,
     ) {
         if unit.task.is_some() && !self.has_trial(unit) {
             return;
         }
-        let Some(ask) = self.ask(unit, berths, now) else { return };
-        let Some(chosen) = reservation::reserve(berths, &ask) else { return };
+        let Some(request) = self.placement_request(unit, candidates, now) else { return };
+        let Some(chosen) = reservation::reserve(candidates, &request) else { return };
         for index in chosen {
-            let room = ask.kept_room(&berths[index]);
-            berths[index].reserved.push((unit, room));
+            let room = request.kept_resources(&candidates[index]);
+            candidates[index].reserved.push((unit, room));
         }
     }
 
@@ -126,11 +126,11 @@
     fn hopeless_room(
         &self,
         unit: task_key::UnitKey,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
     ) -> Option<resources::Resources> {
         let job = self.jobs.get(&unit.graph)?;
         let room = job.steps.get(unit.step as usize)?.room();
-        let is_hopeless = !berths.iter().any(|it| room.fits_in(it.free));
+        let is_hopeless = !candidates.iter().any(|it| room.fits_in(it.free));
         is_hopeless.then_some(room)
     }
 
@@ -155,11 +155,12 @@
     }
 
     /// The workers that may get tasks now.
-    pub(crate) fn berths(&self, now: Duration) -> Vec<berth::WorkerBerth> {
-        let usable = self.workers.iter().filter(|(id, it)| self.place_bar(id, it, now).is_none());
+    pub(crate) fn candidates(&self, now: Duration) -> Vec<candidate::WorkerCandidate> {
+        let usable =
+            self.workers.iter().filter(|(id, it)| self.exclusion_reason(id, it, now).is_none());
         let mut racks = BTreeMap::<&str, usize>::new();
         let mut upstreams = BTreeMap::<&str, usize>::new();
-        let berths = usable.map(|(_, it)| berth::WorkerBerth {
+        let candidates = usable.map(|(_, it)| candidate::WorkerCandidate {
             place: Arc::clone(&it.place),
             rack: number_of(&it.place.rack, &mut racks),
             upstream: number_of(&it.place.upstream, &mut upstreams),
@@ -167,11 +168,11 @@
             free: it.free(),
             n_runs: it.runs.len() + it.strays.len(),
             suspect: it.health.is_suspect(),
-            is_closed: !it.apart_runs.is_empty(),
+            is_exclusive: !it.apart_runs.is_empty(),
             claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
             reserved: Vec::new(),
         });
-        berths.collect()
+        candidates.collect()
     }
 
     /// Accelerators of the workers on which something may start while they are well.
@@ -183,27 +184,30 @@
     fn try_start(
         &mut self,
         unit: task_key::UnitKey,
-        berths: &mut [berth::WorkerBerth],
+        candidates: &mut [candidate::WorkerCandidate],
         failed: &mut Vec<failed_ask::FailedAsk>,
         now: Duration,
     ) -> StartOutcome {
-        let Some(ask) = self.ask(unit, berths, now) else { return StartOutcome::Started };
+        let Some(request) = self.placement_request(unit, candidates, now) else {
+            return StartOutcome::Started;
+        };
         // Urgent units may have room that is kept for them alone, and gangs reserve some.
-        let is_plain = unit.task.is_some() && !self.is_urgent(unit) && !ask.is_trial;
-        if is_plain && failed.iter().any(|it| it.covers(&ask)) {
+        let is_plain = unit.task.is_some() && !self.is_urgent(unit) && !request.may_crash_worker;
+        if is_plain && failed.iter().any(|it| it.covers(&request)) {
             return StartOutcome::Covered;
         }
-        let Some(chosen) = placing::place(berths, &ask) else {
+        let Some(chosen) = placement::place(candidates, &request) else {
             if is_plain {
-                failed.extend(failed_ask::FailedAsk::of(&ask));
+                failed.extend(failed_ask::FailedAsk::of(&request));
             }
             return StartOutcome::NoRoom;
         };
-        let racks = chosen.iter().map(|it| berths[*it].rack).collect::<BTreeSet<_>>();
-        let is_off = ask.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
-        let is_far = is_off || (ask.same_rack && racks.len() > 1);
-        let workers = chosen.iter().map(|it| berths[*it].place.worker.clone()).collect::<Vec<_>>();
-        let places = UnitPlaces { workers, is_apart: ask.is_apart, is_far };
+        let racks = chosen.iter().map(|it| candidates[*it].rack).collect::<BTreeSet<_>>();
+        let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
+        let is_far = is_off || (request.same_rack && racks.len() > 1);
+        let workers =
+            chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
+        let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_far };
         self.start_unit(unit, places, now);
         StartOutcome::Started
     }
@@ -219,7 +223,7 @@
     }
 
     fn start_unit(&mut self, unit: task_key::UnitKey, places: UnitPlaces, now: Duration) {
-        let UnitPlaces { workers, is_apart, is_far } = places;
+        let UnitPlaces { workers, is_isolated, is_far } = places;
         let keys = self.unit_tasks(unit);
         let Some(job) = self.jobs.get_mut(&unit.graph) else { return };
         job.started = true;
@@ -231,7 +235,7 @@
             worker.claims.retain(|it| it.unit != unit);
         }
         for (key, worker) in keys.into_iter().zip(workers) {
-            self.start_task(key, worker, StartTerms { attempt, is_apart, is_far }, now);
+            self.start_task(key, worker, StartTerms { attempt, is_isolated, is_far }, now);
         }
     }
 
@@ -242,7 +246,7 @@
         terms: StartTerms,
         now: Duration,
     ) {
-        let StartTerms { attempt, is_apart, is_far } = terms;
+        let StartTerms { attempt, is_isolated, is_far } = terms;
         let start_term = self.terms.start_term;
         let Some(record) = self.workers.get_mut(&worker) else { return };
         let Some(deadline_ms) = record.clock.deadline_in(now, start_term) else { return };
@@ -270,7 +274,7 @@
         });
         record.runs.insert(key);
         record.used = record.used.plus(room);
-        if is_apart {
+        if is_isolated {
             record.apart_runs.insert(key);
         }
         tracing::info!(
@@ -312,7 +316,7 @@
 #[derive(Clone, Debug)]
 struct UnitPlaces {
     workers: Vec<ids::WorkerId>,
-    is_apart: bool,
+    is_isolated: bool,
     is_far: bool,
 }
 
@@ -320,7 +324,7 @@
 #[derive(Clone, Copy, Debug)]
 struct StartTerms {
     attempt: u32,
-    is_apart: bool,
+    is_isolated: bool,
     is_far: bool,
 }
 
--- a/crates/graph/src/place_bar.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -12,17 +12,17 @@
 
 /// What bars a worker from new tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum PlaceBar {
+pub(crate) enum ExclusionReason {
     /// The platform's list does not have it.
     Unlisted,
     /// Its entry has not been written lately, and it refuses nothing: its room may have shrunk.
-    OldNews,
+    StaleEntry,
     /// A successor would not find it.
     OffRoster,
     /// It has not answered under this tenure, or not lately.
     Silent,
     /// The list speaks of another life of it.
-    OtherLife,
+    OtherIncarnation,
     /// It is about to leave.
     Leaving,
     /// Its data centre is evacuated.
@@ -35,64 +35,64 @@
     Slow,
 }
 
-impl PlaceBar {
+impl ExclusionReason {
     /// A short name, for logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            PlaceBar::Unlisted => "unlisted",
-            PlaceBar::OldNews => "old news",
-            PlaceBar::OffRoster => "off the roster",
-            PlaceBar::Silent => "silent",
-            PlaceBar::OtherLife => "other life",
-            PlaceBar::Leaving => "leaving",
-            PlaceBar::Evacuated => "evacuated",
-            PlaceBar::Refusing => "refusing",
-            PlaceBar::Failing => "failing",
-            PlaceBar::Slow => "slow",
+            ExclusionReason::Unlisted => "unlisted",
+            ExclusionReason::StaleEntry => "old news",
+            ExclusionReason::OffRoster => "off the roster",
+            ExclusionReason::Silent => "silent",
+            ExclusionReason::OtherIncarnation => "other life",
+            ExclusionReason::Leaving => "leaving",
+            ExclusionReason::Evacuated => "evacuated",
+            ExclusionReason::Refusing => "refusing",
+            ExclusionReason::Failing => "failing",
+            ExclusionReason::Slow => "slow",
         }
     }
 }
 
 impl core::PoolCore {
     /// What bars a worker from new tasks now, if anything does.
-    pub(crate) fn place_bar(
+    pub(crate) fn exclusion_reason(
         &self,
         id: &ids::WorkerId,
         worker: &worker::WorkerRecord,
         now: Duration,
-    ) -> Option<PlaceBar> {
+    ) -> Option<ExclusionReason> {
         if !worker.listed {
-            return Some(PlaceBar::Unlisted);
+            return Some(ExclusionReason::Unlisted);
         }
         if !worker.answers() || now >= worker.answered_at + ANSWERED_WITHIN {
-            return Some(PlaceBar::Silent);
+            return Some(ExclusionReason::Silent);
         }
         if now < worker.pauses_until {
-            return Some(PlaceBar::Refusing);
+            return Some(ExclusionReason::Refusing);
         }
         if worker.health.is_paused(now) {
-            return Some(PlaceBar::Failing);
+            return Some(ExclusionReason::Failing);
         }
         if now < worker.slow_until {
-            return Some(PlaceBar::Slow);
+            return Some(ExclusionReason::Slow);
         }
         if worker.leaves_at.is_some() {
-            return Some(PlaceBar::Leaving);
+            return Some(ExclusionReason::Leaving);
         }
         if !worker.is_listed_life() {
-            return Some(PlaceBar::OtherLife);
+            return Some(ExclusionReason::OtherIncarnation);
         }
         if self.is_evacuated(worker) {
-            return Some(PlaceBar::Evacuated);
+            return Some(ExclusionReason::Evacuated);
         }
         if !self.roster.is_saved(id) {
-            return Some(PlaceBar::OffRoster);
+            return Some(ExclusionReason::OffRoster);
         }
         // A worker that refuses nothing would be filled beyond a room that has shrunk unheard, as
         // while the store is away.
         let is_unguarded = self.catalog.unguarded.contains(&worker.listing.upstream);
         let is_old = is_unguarded && worker.is_news_old(&self.terms, now);
-        is_old.then_some(PlaceBar::OldNews)
+        is_old.then_some(ExclusionReason::StaleEntry)
     }
 
     /// Whether nothing may start on a worker until its data centre is taken back.
--- a/crates/graph/src/failed_ask.rs
+++ b/crates/graph/src/failed_ask.rs
@@ -4,7 +4,7 @@
 //! none either, and need not be tried: on a pool that is full each waiting job would go over all
 //! workers, in each turn.
 
-use crate::berth;
+use crate::candidate;
 use crate::resources;
 
 /// What a single task asked for in vain.
@@ -21,31 +21,33 @@
 impl FailedAsk {
     /// What `ask` wanted, where that tells of others: not where it was alone in what it avoids, or in
     /// how many of its tasks a worker may have.
-    pub fn of(ask: &berth::PlaceAsk) -> Option<FailedAsk> {
-        let tells =
-            ask.n_tasks == 1 && ask.avoids.is_empty() && ask.per_worker == 0 && !ask.is_trial;
+    pub fn of(request: &candidate::PlacementRequest) -> Option<FailedAsk> {
+        let tells = request.n_tasks == 1
+            && request.avoids.is_empty()
+            && request.per_worker == 0
+            && !request.may_crash_worker;
         tells.then(|| FailedAsk {
-            upstream: ask.upstream,
-            room: ask.room,
-            label: ask.label.map(str::to_owned),
-            only_rack: only_rack(ask),
-            keeps_empty: ask.keeps_empty,
-            takes_reserved: ask.takes_reserved,
+            upstream: request.upstream,
+            room: request.per_task,
+            label: request.label.map(str::to_owned),
+            only_rack: only_rack(request),
+            keeps_empty: request.keeps_empty,
+            takes_reserved: request.takes_reserved,
         })
     }
 
     /// Whether `ask` wants no less than what was not found.
-    pub fn covers(&self, ask: &berth::PlaceAsk) -> bool {
-        self.upstream == ask.upstream
-            && self.room.fits_in(ask.room)
-            && self.label.as_deref().is_none_or(|it| ask.label == Some(it))
-            && self.only_rack.is_none_or(|it| only_rack(ask) == Some(it))
-            && self.keeps_empty <= ask.keeps_empty
-            && (self.takes_reserved || !ask.takes_reserved)
+    pub fn covers(&self, request: &candidate::PlacementRequest) -> bool {
+        self.upstream == request.upstream
+            && self.room.fits_in(request.per_task)
+            && self.label.as_deref().is_none_or(|it| request.label == Some(it))
+            && self.only_rack.is_none_or(|it| only_rack(request) == Some(it))
+            && self.keeps_empty <= request.keeps_empty
+            && (self.takes_reserved || !request.takes_reserved)
     }
 }
 
 /// The only rack that will do, if there is one.
-fn only_rack(ask: &berth::PlaceAsk) -> Option<usize> {
-    ask.rack_number.filter(|_| !ask.far)
+fn only_rack(request: &candidate::PlacementRequest) -> Option<usize> {
+    request.rack_number.filter(|_| !request.allows_remote)
 }
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -5,7 +5,7 @@
 
 use almondpass_schema::{ids, model};
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::job;
 use crate::losses;
@@ -149,7 +149,7 @@
                 now + left
             })
         });
-        record.place = Arc::new(berth::BerthPlace {
+        record.place = Arc::new(candidate::WorkerProfile {
             worker: worker.clone(),
             upstream: listing.upstream.clone(),
             rack: listing.rack.clone(),
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -10,7 +10,7 @@
 
 use almondpass_schema::ids;
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::job;
 use crate::suspicion;
@@ -36,33 +36,36 @@
 
 /// Whether these tasks of a unit may have workers of their own now. What is all but proved may at any
 /// time.
-pub(crate) fn may_be_apart(tasks: &[job::TaskRecord], berths: &[berth::WorkerBerth]) -> bool {
-    let n_closed = berths.iter().filter(|it| it.is_closed).count();
-    let has_room = n_closed < (berths.len() / WORKERS_A_SUSPECT).max(1);
+pub(crate) fn may_be_apart(
+    tasks: &[job::TaskRecord],
+    candidates: &[candidate::WorkerCandidate],
+) -> bool {
+    let n_closed = candidates.iter().filter(|it| it.is_exclusive).count();
+    let has_room = n_closed < (candidates.len() / WORKERS_A_SUSPECT).max(1);
     has_room || tasks.iter().any(|it| it.suspicion.is_strong())
 }
 
 /// Asks for workers of its own, where there are some now. Rather an accident has struck a unit that is no
 /// suspect than the unit its workers: it runs alone only where that costs no wait.
 pub(crate) fn apart_at_once<'a>(
-    ask: berth::PlaceAsk<'a>,
+    request: candidate::PlacementRequest<'a>,
     tasks: &'a [job::TaskRecord],
-    berths: &[berth::WorkerBerth],
-) -> berth::PlaceAsk<'a> {
-    let mut apart = berth::PlaceAsk { is_apart: true, ..ask.clone() };
-    apart.avoids.extend(avoided(tasks, berths));
-    let places = berths.iter().enumerate().map(|(index, it)| apart.count_now(index, it));
-    if places.sum::<u32>() >= apart.n_tasks { apart } else { ask }
+    candidates: &[candidate::WorkerCandidate],
+) -> candidate::PlacementRequest<'a> {
+    let mut apart = candidate::PlacementRequest { is_isolated: true, ..request.clone() };
+    apart.avoids.extend(avoided(tasks, candidates));
+    let places = candidates.iter().enumerate().map(|(index, it)| apart.count_now(index, it));
+    if places.sum::<u32>() >= apart.n_tasks { apart } else { request }
 }
 
 /// Workers that these tasks of a unit avoid, as they were lost under them; none where there are no others.
 pub(crate) fn avoided<'a>(
     tasks: &'a [job::TaskRecord],
-    berths: &[berth::WorkerBerth],
+    candidates: &[candidate::WorkerCandidate],
 ) -> BTreeSet<&'a str> {
     let lost_on = tasks.iter().flat_map(|it| &it.lost_on).map(String::as_str);
     let lost_on = lost_on.collect::<BTreeSet<_>>();
-    let has_others = berths.iter().any(|it| !lost_on.contains(it.place.worker.as_str()));
+    let has_others = candidates.iter().any(|it| !lost_on.contains(it.place.worker.as_str()));
     if has_others { lost_on } else { BTreeSet::new() }
 }
 
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -3,7 +3,7 @@
 //! orders out.
 
 pub mod ack_window;
-pub mod berth;
+pub mod candidate;
 pub mod catalog;
 pub mod core;
 pub mod failed_ask;
@@ -18,7 +18,7 @@
 pub mod objective;
 pub mod order;
 pub mod pace;
-pub mod placing;
+pub mod placement;
 pub mod preemption_plan;
 pub mod progress;
 pub mod prospect;
@@ -38,17 +38,17 @@
 
 mod ample_pool;
 mod answers;
-mod asking;
 mod avoidance;
 mod dispatch;
 mod ends;
 mod exclusion_limit;
+mod exclusion_reason;
 mod hanging;
 mod inheritance;
 mod isolation;
 mod listing;
 mod overdue;
-mod place_bar;
+mod placement_request;
 mod preemption;
 mod slow_workers;
 mod unsaved;
--- a/crates/graph/src/listing.rs
+++ b/crates/graph/src/listing.rs
@@ -38,7 +38,11 @@
 
 impl core::PoolCore {
     /// How to look at a worker next; nothing where it is no longer known.
-    pub fn hold_ask(&mut self, worker: &ids::WorkerId, now: Duration) -> Option<order::HoldAsk> {
+    pub fn hold_ask(
+        &mut self,
+        worker: &ids::WorkerId,
+        now: Duration,
+    ) -> Option<order::PollRequest> {
         let lease = self.terms.lease;
         let busy_wait = if self.has_urgent(worker) { URGENT_WAIT } else { BUSY_WAIT };
         let n_workers = self.workers.len() as u32;
@@ -59,7 +63,7 @@
             (true, false) => IDLE_WAIT,
         };
         record.trust.asked(wait, ack);
-        Some(order::HoldAsk {
+        Some(order::PollRequest {
             address: record.listing.address.clone(),
             generation: record.generation,
             deadline_ms,
@@ -91,7 +95,7 @@
     pub fn hold_answered(
         &mut self,
         worker: &ids::WorkerId,
-        listed: order::WorkerListed,
+        listed: order::PollReply,
         sent_at: Duration,
         now: Duration,
     ) {
--- a/crates/graph/src/order.rs
+++ b/crates/graph/src/order.rs
@@ -15,7 +15,7 @@
     /// Stop an attempt of a task, and refuse it if it comes later.
     Stop(StopOrder),
     /// List what is on the worker, at once.
-    Look {
+    Poll {
         /// The worker.
         worker: ids::WorkerId,
     },
@@ -61,7 +61,7 @@
 
 /// How the next look at a worker is to be made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HoldAsk {
+pub struct PollRequest {
     /// Its control address.
     pub address: ids::PeerAddress,
     /// The life of the worker that is meant, as the scheduler counts.
@@ -76,7 +76,7 @@
 
 /// What a worker lists.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorkerListed {
+pub struct PollReply {
     /// The life of the worker that answers, where the platform tells lives apart.
     pub incarnation: Option<ids::Incarnation>,
     /// Its clock.
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -34,7 +34,7 @@
                 run.phase = job::RunPhase::Unclear { since: now };
             }
             self.overdue.push(start.phase);
-            self.order_look(&start.worker);
+            self.order_poll(&start.worker);
         }
     }
 
--- a/crates/graph/src/asking.rs
+++ b/crates/graph/src/placement_request.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::isolation;
 use crate::job;
-use crate::placing;
+use crate::placement;
 use crate::preemption;
 use crate::resources;
 use crate::task_key;
@@ -17,12 +17,12 @@
 
 impl core::PoolCore {
     /// What a unit asks for.
-    pub(crate) fn ask<'a>(
+    pub(crate) fn placement_request<'a>(
         &'a self,
         unit: task_key::UnitKey,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         now: Duration,
-    ) -> Option<berth::PlaceAsk<'a>> {
+    ) -> Option<candidate::PlacementRequest<'a>> {
         let job = self.jobs.get(&unit.graph)?;
         let step = job.steps.get(unit.step as usize)?;
         let tasks = match unit.task {
@@ -32,44 +32,46 @@
         let waited = now.saturating_sub(tasks.first()?.waits_since);
         let waited = waited.min(self.wall.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
-        let is_trial = tasks.iter().any(|it| it.suspicion.is_on_trial());
+        let may_crash_worker = tasks.iter().any(|it| it.suspicion.is_on_trial());
         let is_patient = waited < isolation::LONGEST_APART_WAIT
             && tasks.iter().all(|it| self.waited_apart(it, now) < isolation::APART_PATIENCE);
-        let may_stand = is_trial || waited >= STANDING_PATIENCE;
+        let may_stand = may_crash_worker || waited >= STANDING_PATIENCE;
         let stands = may_stand && self.stands_beside_room(job);
-        let may_be_apart = is_trial && (stands || isolation::may_be_apart(tasks, berths));
+        let may_be_apart =
+            may_crash_worker && (stands || isolation::may_be_apart(tasks, candidates));
         let takes_any = waited >= STANDING_PATIENCE && stands;
-        let mut ask = berth::PlaceAsk {
+        let mut request = candidate::PlacementRequest {
             unit,
-            upstream: upstream_number(&job.upstream, berths),
-            room: resources::Resources::of_step(&step.spec),
+            upstream: upstream_number(&job.upstream, candidates),
+            per_task: resources::Resources::of_step(&step.spec),
             n_tasks: tasks.len() as u32,
             same_rack: step.spec.same_rack && tasks.len() > 1,
-            rack_number: step.spec.rack.as_deref().map(|it| rack_number(it, berths)),
+            rack_number: step.spec.rack.as_deref().map(|it| rack_number(it, candidates)),
             label: step.spec.label.as_deref(),
             per_worker: step.spec.per_worker,
-            present: present(step, berths),
+            present: present(step, candidates),
             avoids: tasks.iter().filter_map(|it| it.avoids.as_deref()).collect(),
             // What may crash its worker takes an empty one, before it takes others with it.
-            keeps_empty: if is_trial || takes_any {
+            keeps_empty: if may_crash_worker || takes_any {
                 0
             } else {
-                self.kept_empty(job, berths, waited)
+                self.kept_empty(job, candidates, waited)
             },
-            far: false,
+            allows_remote: false,
             takes_reserved: stands || waited >= self.slack(job),
-            is_trial,
-            is_apart: is_suspect && is_patient,
+            may_crash_worker,
+            is_isolated: is_suspect && is_patient,
             may_be_apart,
         };
-        if ask.is_apart {
-            ask.avoids.extend(isolation::avoided(tasks, berths));
+        if request.is_isolated {
+            request.avoids.extend(isolation::avoided(tasks, candidates));
         } else if may_be_apart && is_patient {
-            ask = isolation::apart_at_once(ask, tasks, berths);
+            request = isolation::apart_at_once(request, tasks, candidates);
         }
-        ask.far =
-            takes_any || waited >= self.near_patience(job) || !placing::could_be_near(berths, &ask);
-        Some(ask)
+        request.allows_remote = takes_any
+            || waited >= self.near_patience(job)
+            || !placement::could_be_near(candidates, &request);
+        Some(request)
     }
 
     /// Whether nothing of a job runs or is about to, and less than half of its pool is in use. What is kept
@@ -94,41 +96,41 @@
     fn kept_empty(
         &self,
         job: &job::JobRecord,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         waited: Duration,
     ) -> usize {
         if job.priority == preemption::URGENT || waited >= self.slack(job) {
             return 0;
         }
         // By the largest: the room of any one worker may have shrunk for a while.
-        let rooms = berths.iter().map(|it| it.place.capacity);
+        let rooms = candidates.iter().map(|it| it.place.capacity);
         let each = rooms.max_by_key(|it| it.accelerators).unwrap_or_default();
-        let n = self.headroom.n_workers(each, berths.len());
+        let n = self.headroom.n_workers(each, candidates.len());
         if job.priority == preemption::URGENT + 1 { n / 2 } else { 2 * n }
     }
 }
 
 /// Number of an upstream; one that no berth has where it has no workers.
-fn upstream_number(upstream: &str, berths: &[berth::WorkerBerth]) -> usize {
-    let known = berths.iter().find(|it| it.place.upstream == upstream);
+fn upstream_number(upstream: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
+    let known = candidates.iter().find(|it| it.place.upstream == upstream);
     known.map_or(usize::MAX, |it| it.upstream)
 }
 
 /// Number of a rack; one that no berth has where the rack is not there.
-fn rack_number(rack: &str, berths: &[berth::WorkerBerth]) -> usize {
-    let known = berths.iter().find(|it| it.place.rack == rack);
+fn rack_number(rack: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
+    let known = candidates.iter().find(|it| it.place.rack == rack);
     known.map_or(usize::MAX, |it| it.rack)
 }
 
 /// Tasks of a step on each berth, where the step limits them.
-fn present(step: &job::StepRecord, berths: &[berth::WorkerBerth]) -> Vec<u32> {
+fn present(step: &job::StepRecord, candidates: &[candidate::WorkerCandidate]) -> Vec<u32> {
     if step.spec.per_worker == 0 {
         return Vec::new();
     }
     let workers = step.tasks.iter().filter_map(|it| it.run.as_ref()).map(|it| &it.worker);
-    let mut present = vec![0; berths.len()];
+    let mut present = vec![0; candidates.len()];
     for worker in workers {
-        if let Some(index) = berths.iter().position(|it| it.place.worker == *worker) {
+        if let Some(index) = candidates.iter().position(|it| it.place.worker == *worker) {
             present[index] += 1;
         }
     }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -5,7 +5,7 @@
 
 use almondpass_schema::ids;
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::job;
 use crate::preemption_plan;
@@ -80,7 +80,7 @@
     pub(crate) fn clear_for_urgent(
         &mut self,
         unit: task_key::UnitKey,
-        berths: &mut [berth::WorkerBerth],
+        candidates: &mut [candidate::WorkerCandidate],
         round: &mut ClearingRound,
         now: Duration,
     ) {
@@ -88,31 +88,35 @@
             return;
         }
         round.n_left -= 1;
-        self.clear_for(unit, berths, round, now);
+        self.clear_for(unit, candidates, round, now);
     }
 
     fn clear_for(
         &mut self,
         unit: task_key::UnitKey,
-        berths: &mut [berth::WorkerBerth],
+        candidates: &mut [candidate::WorkerCandidate],
         round: &mut ClearingRound,
         now: Duration,
     ) {
         let is_guaranteed = self.is_within_guarantee(unit.graph);
         let pool = if is_guaranteed { &mut round.for_guaranteed } else { &mut round.for_others };
-        let pool = pool.get_or_insert_with(|| self.victim_pool(is_guaranteed, berths, now));
-        let Some(ask) = self.ask(unit, berths, now) else { return };
-        let Some(plan) = preemption_plan::reclaim(berths, pool, &ask) else { return };
-        if plan.cost > self.most_cost(unit, &ask, now) {
+        let pool = pool.get_or_insert_with(|| self.victim_pool(is_guaranteed, candidates, now));
+        let Some(request) = self.placement_request(unit, candidates, now) else { return };
+        let Some(plan) = preemption_plan::reclaim(candidates, pool, &request) else { return };
+        if plan.cost > self.most_cost(unit, &request, now) {
             return;
         }
-        let kept = plan.berths.iter().map(|it| ask.kept_room(&berths[*it])).collect::<Vec<_>>();
+        let kept = plan
+            .candidates
+            .iter()
+            .map(|it| request.kept_resources(&candidates[*it]))
+            .collect::<Vec<_>>();
         tracing::info!(
             job = format_args!("{:016x}", unit.graph),
             step = unit.step,
             n_victims = plan.victims.len(),
             cost = plan.cost,
-            n_workers = plan.berths.len(),
+            n_workers = plan.candidates.len(),
             "room is cleared for urgent work"
         );
         for victim in &plan.victims {
@@ -125,9 +129,9 @@
         let other = if is_guaranteed { &mut round.for_others } else { &mut round.for_guaranteed };
         *other = None;
         let until = now + self.terms.stop_timeout + CLAIM_SLACK;
-        for (index, room) in plan.berths.into_iter().zip(kept) {
-            berths[index].claims.push((unit, room));
-            if let Some(record) = self.workers.get_mut(&berths[index].place.worker) {
+        for (index, room) in plan.candidates.into_iter().zip(kept) {
+            candidates[index].claims.push((unit, room));
+            if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
                 record.claims.push(worker::RoomClaim { unit, room, until });
             }
         }
@@ -136,7 +140,12 @@
     /// Most work that may be thrown away for a unit, in core-milliseconds. A guarantee is owed its room
     /// at any cost, and in time: only for the first part of its bound is the cheaper way tried,
     /// which is waiting for work that ends.
-    fn most_cost(&self, unit: task_key::UnitKey, ask: &berth::PlaceAsk, now: Duration) -> u64 {
+    fn most_cost(
+        &self,
+        unit: task_key::UnitKey,
+        request: &candidate::PlacementRequest,
+        now: Duration,
+    ) -> u64 {
         let Some(job) = self.jobs.get(&unit.graph) else { return 0 };
         let is_guaranteed = self.is_within_guarantee(unit.graph);
         let margin = self.terms.stop_timeout + RECLAIM_MARGIN;
@@ -144,13 +153,13 @@
             return u64::MAX;
         }
         let run = self.run_times.mean(&job.class).as_millis() as u64;
-        let own = run * u64::from(ask.n_tasks) * (ask.room.weight() / 1_000).max(1);
+        let own = run * u64::from(request.n_tasks) * (request.per_task.weight() / 1_000).max(1);
         MOST_COST * own
     }
 
     /// Room of tasks that are being stopped, by berth.
-    fn freeing(&self, berths: &[berth::WorkerBerth]) -> Vec<resources::Resources> {
-        let on_berth = |it: &berth::WorkerBerth| {
+    fn freeing(&self, candidates: &[candidate::WorkerCandidate]) -> Vec<resources::Resources> {
+        let on_berth = |it: &candidate::WorkerCandidate| {
             let runs = self.workers.get(&it.place.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
@@ -158,19 +167,19 @@
                 .filter(|key| self.run(**key).is_some_and(|it| it.phase.is_stopping()));
             stopping.fold(resources::Resources::default(), |sum, key| sum.plus(self.room_of(*key)))
         };
-        berths.iter().map(on_berth).collect()
+        candidates.iter().map(on_berth).collect()
     }
 
     /// Units that may be stopped for urgent work, which is within its account's guarantee or not.
     fn victim_pool(
         &self,
         is_guaranteed: bool,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         now: Duration,
     ) -> preemption_plan::VictimPool {
         let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::ReclaimVictim>::new();
-        for (index, berth) in berths.iter().enumerate() {
-            let Some(record) = self.workers.get(&berth.place.worker) else { continue };
+        for (index, candidate) in candidates.iter().enumerate() {
+            let Some(record) = self.workers.get(&candidate.place.worker) else { continue };
             for key in &record.runs {
                 let Some(job) = self.jobs.get(&key.graph) else { continue };
                 let is_urgent = job.priority == URGENT;
@@ -188,7 +197,7 @@
                 entry.runs.push((index, self.room_of(*key)));
             }
         }
-        preemption_plan::VictimPool::new(self.freeing(berths), victims.into_values().collect())
+        preemption_plan::VictimPool::new(self.freeing(candidates), victims.into_values().collect())
     }
 
     /// Work that stopping a run throws away; nothing where it is stopping already.
--- a/crates/graph/src/preemption_plan.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::berth;
+use crate::candidate;
 use crate::resources;
 use crate::task_key;
 
@@ -23,50 +23,53 @@
     /// Victims by index.
     pub victims: BTreeSet<usize>,
     /// Berths on which the unit will run, one for each task.
-    pub berths: Vec<usize>,
+    pub candidates: Vec<usize>,
     /// Work that is lost, in core-milliseconds, with what the new starts cost.
     pub cost: u64,
 }
 
 /// Chooses whom to stop for `ask`, at least cost.
 pub fn reclaim(
-    berths: &[berth::WorkerBerth],
+    candidates: &[candidate::WorkerCandidate],
     pool: &VictimPool,
-    ask: &berth::PlaceAsk,
+    request: &candidate::PlacementRequest,
 ) -> Option<ReclaimPlan> {
-    let groups = berth_groups(berths, ask);
-    let plans = groups.iter().filter_map(|it| plan_within(it, berths, pool, ask));
+    let groups = berth_groups(candidates, request);
+    let plans = groups.iter().filter_map(|it| plan_within(it, candidates, pool, request));
     plans.min_by_key(|it| it.cost)
 }
 
 /// Sets of berths within one of which the unit has to lie: a rack each where that matters.
-fn berth_groups(berths: &[berth::WorkerBerth], ask: &berth::PlaceAsk) -> Vec<Vec<usize>> {
-    let all = || (0..berths.len()).collect::<Vec<_>>();
-    if ask.far || (!ask.same_rack && ask.rack_number.is_none()) {
+fn berth_groups(
+    candidates: &[candidate::WorkerCandidate],
+    request: &candidate::PlacementRequest,
+) -> Vec<Vec<usize>> {
+    let all = || (0..candidates.len()).collect::<Vec<_>>();
+    if request.allows_remote || (!request.same_rack && request.rack_number.is_none()) {
         return vec![all()];
     }
     let mut by_rack = BTreeMap::<usize, Vec<usize>>::new();
     for index in all() {
-        by_rack.entry(berths[index].rack).or_default().push(index);
+        by_rack.entry(candidates[index].rack).or_default().push(index);
     }
     let allowed = by_rack.into_iter();
-    let allowed = allowed.filter(|(rack, _)| ask.rack_number.is_none_or(|it| it == *rack));
+    let allowed = allowed.filter(|(rack, _)| request.rack_number.is_none_or(|it| it == *rack));
     allowed.map(|(_, it)| it).collect()
 }
 
 fn plan_within(
     group: &[usize],
-    berths: &[berth::WorkerBerth],
+    candidates: &[candidate::WorkerCandidate],
     pool: &VictimPool,
-    ask: &berth::PlaceAsk,
+    request: &candidate::PlacementRequest,
 ) -> Option<ReclaimPlan> {
-    let mut state = PlanState::new(group, berths, pool, ask);
+    let mut state = PlanState::new(group, candidates, pool, request);
     let mut placed = Vec::<usize>::new();
-    for _ in 0..ask.n_tasks {
+    for _ in 0..request.n_tasks {
         placed.push(state.take_cheapest()?);
     }
     let cost = state.stopped.iter().map(|it| pool.victims[*it].cost).sum();
-    Some(ReclaimPlan { victims: state.stopped, berths: placed, cost })
+    Some(ReclaimPlan { victims: state.stopped, candidates: placed, cost })
 }
 
 /// Units that may be stopped, where each holds room, and the room of those that are stopping. Made
@@ -87,8 +90,8 @@
     pub fn new(freeing: Vec<resources::Resources>, victims: Vec<ReclaimVictim>) -> VictimPool {
         let mut by_berth = vec![BTreeMap::<usize, resources::Resources>::new(); freeing.len()];
         for (victim, it) in victims.iter().enumerate() {
-            for (berth, room) in &it.runs {
-                let freed = by_berth[*berth].entry(victim).or_default();
+            for (candidate, room) in &it.runs {
+                let freed = by_berth[*candidate].entry(victim).or_default();
                 *freed = freed.plus(*room);
             }
         }
@@ -113,17 +116,17 @@
         if !self.stopping.insert(victim) {
             return;
         }
-        for (berth, room) in &self.victims[victim].runs {
-            self.freeing[*berth] = self.freeing[*berth].plus(*room);
+        for (candidate, room) in &self.victims[victim].runs {
+            self.freeing[*candidate] = self.freeing[*candidate].plus(*room);
         }
     }
 }
 
 /// A plan for a group of berths, as far as it is made.
 struct PlanState<'a> {
-    berths: &'a [berth::WorkerBerth],
+    candidates: &'a [candidate::WorkerCandidate],
     pool: &'a VictimPool,
-    ask: &'a berth::PlaceAsk<'a>,
+    request: &'a candidate::PlacementRequest<'a>,
     /// What is in use on each berth of the group, less what the plan frees and with what it takes. What is
     /// free follows from it: a worker whose room has shrunk may have more in use than it offers.
     used: BTreeMap<usize, resources::Resources>,
@@ -142,15 +145,15 @@
 impl<'a> PlanState<'a> {
     fn new(
         group: &[usize],
-        berths: &'a [berth::WorkerBerth],
+        candidates: &'a [candidate::WorkerCandidate],
         pool: &'a VictimPool,
-        ask: &'a berth::PlaceAsk<'a>,
+        request: &'a candidate::PlacementRequest<'a>,
     ) -> PlanState<'a> {
-        let used_on = |index: usize| berths[index].used.minus(pool.freeing[index]);
+        let used_on = |index: usize| candidates[index].used.minus(pool.freeing[index]);
         let mut state = PlanState {
-            berths,
+            candidates,
             pool,
-            ask,
+            request,
             used: group.iter().map(|it| (*it, used_on(*it))).collect(),
             n_placed: BTreeMap::new(),
             options: BTreeMap::new(),
@@ -170,15 +173,15 @@
         let mut changed = BTreeSet::from([index]);
         for victim in option.victims {
             self.stopped.insert(victim);
-            for (berth, room) in &self.pool.victims[victim].runs {
-                if let Some(used) = self.used.get_mut(berth) {
+            for (candidate, room) in &self.pool.victims[victim].runs {
+                if let Some(used) = self.used.get_mut(candidate) {
                     *used = used.minus(*room);
-                    changed.insert(*berth);
+                    changed.insert(*candidate);
                 }
             }
         }
         if let Some(used) = self.used.get_mut(&index) {
-            *used = used.plus(self.ask.room);
+            *used = used.plus(self.request.per_task);
         }
         *self.n_placed.entry(index).or_default() += 1;
         changed.into_iter().for_each(|it| self.renew_option(it));
@@ -194,9 +197,9 @@
 
     /// The cheapest way to run one more task there, if there is any.
     fn option_on(&self, index: usize) -> Option<PlanOption> {
-        let berth = &self.berths[index];
+        let candidate = &self.candidates[index];
         // The limit per worker has to hold with the tasks of this plan, whose room is taken here.
-        let limit = self.ask.count_on(index, berth, berth.place.capacity);
+        let limit = self.request.count_on(index, candidate, candidate.place.capacity);
         if limit <= self.n_placed.get(&index).copied().unwrap_or_default() {
             return None;
         }
@@ -217,11 +220,11 @@
 
     /// Whether one more task fits on a berth with that much in use. One that runs apart needs it empty.
     fn fits(&self, index: usize, used: resources::Resources) -> bool {
-        let berth = &self.berths[index];
-        let free = berth.place.capacity.minus(used);
+        let candidate = &self.candidates[index];
+        let free = candidate.place.capacity.minus(used);
         let n_placed = self.n_placed.get(&index).copied().unwrap_or_default();
         let is_empty = n_placed > 0 || used == resources::Resources::default();
-        let left = berth.left_for(self.ask.unit, free);
-        self.ask.room.fits_in(left) && (is_empty || !self.ask.is_apart)
+        let left = candidate.available_to(self.request.unit, free);
+        self.request.per_task.fits_in(left) && (is_empty || !self.request.is_isolated)
     }
 }
--- a/crates/graph/src/reservation.rs
+++ b/crates/graph/src/reservation.rs
@@ -9,48 +9,53 @@
 
 use std::cmp::Reverse;
 
-use crate::berth;
+use crate::candidate;
 
 /// Chooses the berths that come free for the unit soonest, one for each task; nothing where it would
 /// not fit if all workers were empty.
-pub fn reserve(berths: &[berth::WorkerBerth], ask: &berth::PlaceAsk) -> Option<Vec<usize>> {
-    let outlook = Outlook { berths, ask };
+pub fn reserve(
+    candidates: &[candidate::WorkerCandidate],
+    request: &candidate::PlacementRequest,
+) -> Option<Vec<usize>> {
+    let outlook = Outlook { candidates, request };
     let mut group = outlook.group()?;
-    group.sort_by_key(|it| Reverse((outlook.n_now(*it), berths[*it].free.accelerators)));
-    let mut chosen = Vec::with_capacity(ask.n_tasks as usize);
+    group.sort_by_key(|it| Reverse((outlook.n_now(*it), candidates[*it].free.accelerators)));
+    let mut chosen = Vec::with_capacity(request.n_tasks as usize);
     for index in group {
-        let missing = ask.n_tasks as usize - chosen.len();
+        let missing = request.n_tasks as usize - chosen.len();
         let taken = missing.min(outlook.n_ever(index) as usize);
         chosen.extend(std::iter::repeat_n(index, taken));
     }
-    (chosen.len() == ask.n_tasks as usize).then_some(chosen)
+    (chosen.len() == request.n_tasks as usize).then_some(chosen)
 }
 
 /// What each berth offers the unit now, and would if it were empty.
 #[derive(Clone, Copy, Debug)]
 struct Outlook<'a> {
-    berths: &'a [berth::WorkerBerth],
-    ask: &'a berth::PlaceAsk<'a>,
+    candidates: &'a [candidate::WorkerCandidate],
+    request: &'a candidate::PlacementRequest<'a>,
 }
 
 impl Outlook<'_> {
     fn n_now(&self, index: usize) -> u32 {
-        let it = &self.berths[index];
-        self.ask.count_now(index, it)
+        let it = &self.candidates[index];
+        self.request.count_now(index, it)
     }
 
     fn n_ever(&self, index: usize) -> u32 {
-        let it = &self.berths[index];
-        self.ask.count_on(index, it, it.place.capacity)
+        let it = &self.candidates[index];
+        self.request.count_on(index, it, it.place.capacity)
     }
 
     /// The berths within which the unit has to lie.
     fn group(&self) -> Option<Vec<usize>> {
-        let usable = (0..self.berths.len()).filter(|it| self.n_ever(*it) > 0);
+        let usable = (0..self.candidates.len()).filter(|it| self.n_ever(*it) > 0);
         let mut group = usable.collect::<Vec<_>>();
-        if !self.ask.far && (self.ask.same_rack || self.ask.rack_number.is_some()) {
+        if !self.request.allows_remote
+            && (self.request.same_rack || self.request.rack_number.is_some())
+        {
             let rack = self.nearest_rack(&group)?;
-            group.retain(|it| self.berths[*it].rack == rack);
+            group.retain(|it| self.candidates[*it].rack == rack);
         }
         Some(group)
     }
@@ -58,18 +63,20 @@
     /// Of the racks that could ever hold the unit, the one that lacks least. That a rack gathers
     /// more and more room keeps the choice the same from turn to turn.
     fn nearest_rack(&self, group: &[usize]) -> Option<usize> {
-        let n_racks = self.berths.iter().map(|it| it.rack + 1).max().unwrap_or_default();
+        let n_racks = self.candidates.iter().map(|it| it.rack + 1).max().unwrap_or_default();
         let mut racks = vec![RackOutlook::default(); n_racks];
         for index in group {
-            let rack = &mut racks[self.berths[*index].rack];
+            let rack = &mut racks[self.candidates[*index].rack];
             rack.n_ever += self.n_ever(*index);
             rack.n_now += self.n_now(*index);
-            rack.accelerators += self.berths[*index].free.accelerators;
+            rack.accelerators += self.candidates[*index].free.accelerators;
         }
         let possible = racks.iter().enumerate().filter(|(number, it)| {
-            it.n_ever >= self.ask.n_tasks && self.ask.rack_number.is_none_or(|rack| rack == *number)
+            it.n_ever >= self.request.n_tasks
+                && self.request.rack_number.is_none_or(|rack| rack == *number)
         });
-        let best = possible.max_by_key(|(_, it)| (it.n_now.min(self.ask.n_tasks), it.accelerators));
+        let best =
+            possible.max_by_key(|(_, it)| (it.n_now.min(self.request.n_tasks), it.accelerators));
         best.map(|(number, _)| number)
     }
 }
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -5,11 +5,11 @@
 
 use almondpass_schema::ids;
 
-use crate::berth;
+use crate::candidate;
 use crate::core;
 use crate::dispatch;
+use crate::exclusion_reason;
 use crate::job;
-use crate::place_bar;
 use crate::resources;
 use crate::task_key;
 
@@ -171,8 +171,9 @@
     pub fn wait_reason(&self, graph: ids::GraphId, now: Duration) -> Option<WaitReason> {
         let job = self.jobs.get(&graph)?;
         let wait = self.job_wait(graph, job, now)?;
-        let berths = self.berths(now);
-        let outlook = wait.unit.and_then(|it| self.outlook(it, &berths, now)).unwrap_or_default();
+        let candidates = self.candidates(now);
+        let outlook =
+            wait.unit.and_then(|it| self.outlook(it, &candidates, now)).unwrap_or_default();
         Some(self.reason(&wait, job, &outlook, now))
     }
 
@@ -182,14 +183,14 @@
     }
 
     /// Tells why jobs wait, and counts those that are left standing.
-    pub(crate) fn tell_waits(&mut self, berths: &[berth::WorkerBerth], now: Duration) {
+    pub(crate) fn tell_waits(&mut self, candidates: &[candidate::WorkerCandidate], now: Duration) {
         self.waits_told_at = now;
         let waits = self.job_waits(now);
         let standing = || waits.iter().filter(|it| it.is_standing);
         let mut judged = JudgedShapes::default();
         let mut left = Vec::new();
         for wait in standing() {
-            if self.is_left(wait, berths, &mut judged, now) {
+            if self.is_left(wait, candidates, &mut judged, now) {
                 left.push(*wait);
             }
         }
@@ -200,13 +201,13 @@
         self.wait_counts.n_newly_left += newly_left.len() as u64;
         for wait in newly_left.iter().take(MOST_TOLD) {
             self.wait_counts.n_lines += 1;
-            self.log_wait(wait, berths, now, true);
+            self.log_wait(wait, candidates, now, true);
         }
         let mut due = waits.into_iter().filter(|it| it.is_due).collect::<Vec<_>>();
         due.sort_by_key(|it| (!it.is_standing, it.since));
         for wait in due.into_iter().take(MOST_TOLD) {
             self.wait_counts.n_lines += 1;
-            self.log_wait(&wait, berths, now, false);
+            self.log_wait(&wait, candidates, now, false);
             if let Some(job) = self.jobs.get_mut(&wait.graph) {
                 job.wait.told(now);
             }
@@ -245,7 +246,7 @@
     fn is_left(
         &self,
         wait: &JobWait,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         judged: &mut JudgedShapes,
         now: Duration,
     ) -> bool {
@@ -253,7 +254,7 @@
         if now < wait.since + LEFT_AFTER || !self.ample.contains(&job.upstream) {
             return false;
         }
-        wait.unit.is_none_or(|it| self.has_much_room(it, job, berths, judged, now))
+        wait.unit.is_none_or(|it| self.has_much_room(it, job, candidates, judged, now))
     }
 
     /// Whether there is much room for a unit. Units of one shape are judged once: behind a takeover thousands
@@ -262,7 +263,7 @@
         &self,
         unit: task_key::UnitKey,
         job: &job::JobRecord,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         judged: &mut JudgedShapes,
         now: Duration,
     ) -> bool {
@@ -271,7 +272,8 @@
         if let Some((_, has_much_room)) = known {
             return *has_much_room;
         }
-        let has_much_room = self.outlook(unit, berths, now).is_some_and(|it| it.has_much_room());
+        let has_much_room =
+            self.outlook(unit, candidates, now).is_some_and(|it| it.has_much_room());
         judged.shapes.extend(shape.map(|it| (it, has_much_room)));
         has_much_room
     }
@@ -285,14 +287,15 @@
     fn log_wait(
         &self,
         wait: &JobWait,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         now: Duration,
         is_left: bool,
     ) {
         let Some(job) = self.jobs.get(&wait.graph) else { return };
-        let outlook = wait.unit.and_then(|it| self.outlook(it, berths, now)).unwrap_or_default();
+        let outlook =
+            wait.unit.and_then(|it| self.outlook(it, candidates, now)).unwrap_or_default();
         let reason = self.reason(wait, job, &outlook, now);
-        let n_workers = berths.iter().filter(|it| it.place.upstream == job.upstream).count();
+        let n_workers = candidates.iter().filter(|it| it.place.upstream == job.upstream).count();
         let message = if is_left { "job is left standing beside room" } else { "job waits" };
         macro_rules! tell {
             ($level:ident) => {
@@ -325,23 +328,27 @@
     fn outlook(
         &self,
         unit: task_key::UnitKey,
-        berths: &[berth::WorkerBerth],
+        candidates: &[candidate::WorkerCandidate],
         now: Duration,
     ) -> Option<UnitOutlook> {
-        let ask = self.ask(unit, berths, now)?;
-        let any = berth::PlaceAsk { takes_reserved: true, is_apart: false, ..ask.clone() };
-        let counts = berths.iter().enumerate().map(|(index, it)| any.count_now(index, it));
+        let request = self.placement_request(unit, candidates, now)?;
+        let any = candidate::PlacementRequest {
+            takes_reserved: true,
+            is_isolated: false,
+            ..request.clone()
+        };
+        let counts = candidates.iter().enumerate().map(|(index, it)| any.count_now(index, it));
         let (n_fitting, n_with_room) = counts.fold((0, 0), |(sum, n_with_room), count| {
             (sum + count, n_with_room + usize::from(count > 0))
         });
         Some(UnitOutlook {
-            n_tasks: ask.n_tasks,
-            same_rack: ask.same_rack,
-            accelerators_each: ask.room.accelerators,
+            n_tasks: request.n_tasks,
+            same_rack: request.same_rack,
+            accelerators_each: request.per_task.accelerators,
             n_fitting,
             n_with_room,
-            keeps_empty: ask.keeps_empty,
-            is_far_allowed: ask.far,
+            keeps_empty: request.keeps_empty,
+            is_far_allowed: request.allows_remote,
         })
     }
 
@@ -386,10 +393,10 @@
 
     /// How many workers of an upstream are no place, why, and for how long at most none of them was heard.
     fn barred(&self, upstream: &str, now: Duration) -> String {
-        let mut barred = BTreeMap::<place_bar::PlaceBar, (usize, Duration)>::new();
+        let mut barred = BTreeMap::<exclusion_reason::ExclusionReason, (usize, Duration)>::new();
         let of_upstream = self.workers.iter().filter(|(_, it)| it.listing.upstream == upstream);
         for (id, worker) in of_upstream {
-            let Some(bar) = self.place_bar(id, worker, now) else { continue };
+            let Some(bar) = self.exclusion_reason(id, worker, now) else { continue };
             let (n_workers, age) = barred.entry(bar).or_default();
             *n_workers += 1;
             *age = (*age).max(now.saturating_sub(worker.answered_at));
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -7,7 +7,7 @@
 use almondpass_schema::ids;
 
 use crate::ack_window;
-use crate::berth;
+use crate::candidate;
 use crate::health;
 use crate::lease_clock;
 use crate::losses;
@@ -61,7 +61,7 @@
     /// What the list said last.
     pub listing: WorkerListing,
     /// The same as placing needs it.
-    pub place: Arc<berth::BerthPlace>,
+    pub place: Arc<candidate::WorkerProfile>,
     /// The life that its entry told of last.
     pub told_life: Option<ids::Incarnation>,
     /// Whether the list has it now.
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -29,7 +29,7 @@
 
 impl worker::WorkerRecord {
     /// In which life the worker gave an answer to a look sent at `sent_at`.
-    pub(crate) fn life_of(&self, listed: &order::WorkerListed, sent_at: Duration) -> AnswerLife {
+    pub(crate) fn life_of(&self, listed: &order::PollReply, sent_at: Duration) -> AnswerLife {
         let (Some(told), Some(known)) = (listed.incarnation, self.incarnation) else {
             // Where lives are not told apart, the clock tells: within one it never falls behind.
             let is_behind = self.clock.is_behind(listed.clock_ms, sent_at);
@@ -81,7 +81,7 @@
     pub(crate) fn worker_restarted(
         &mut self,
         worker: &ids::WorkerId,
-        listed: &order::WorkerListed,
+        listed: &order::PollReply,
         now: Duration,
     ) {
         let Some(record) = self.workers.get(worker) else { return };
@@ -103,7 +103,7 @@
         self.carry_runs_over(worker, now);
         // With a higher token: from its answer on, nothing that was sent to the former life takes
         // effect in this one.
-        self.order_look(worker);
+        self.order_poll(worker);
     }
 
     /// Readies the runs of a worker for its later life. A start may have reached that before any look
@@ -142,7 +142,7 @@
             }
             order::PoolOrder::Start(start) => (&start.worker, start.generation),
             order::PoolOrder::Stop(stop) => (&stop.worker, stop.generation),
-            order::PoolOrder::Look { .. } => return false,
+            order::PoolOrder::Poll { .. } => return false,
         };
         !self.is_generation(worker, generation)
     }
--- a/crates/graph/tests/pool/beliefs.rs
+++ b/crates/graph/tests/pool/beliefs.rs
@@ -162,11 +162,11 @@
         for (clock_ms, percent) in [(first, 0), (then, 1), (then, u32::MAX), (first, 99)] {
             bench.pass(1_500);
             let running = starts.iter().map(|it| support::running(it, percent));
-            let listed = order::WorkerListed {
+            let listed = order::PollReply {
                 clock_ms,
                 running: running.collect(),
                 complete: true,
-                ..order::WorkerListed::default()
+                ..order::PollReply::default()
             };
             bench.core.hold_ask(&support::worker_id(0), bench.now);
             bench.core.hold_answered(&support::worker_id(0), listed, bench.now, bench.now);
@@ -243,7 +243,7 @@
     let mut again = Vec::new();
     for _ in 0..SURELY_OVER_MS / LOOK_MS {
         bench.pass(LOOK_MS);
-        let listed = order::WorkerListed {
+        let listed = order::PollReply {
             incarnation: Some(7),
             clock_ms: (bench.now - born).as_millis() as u64,
             running: Vec::new(),
--- a/crates/graph/tests/pool/oddities.rs
+++ b/crates/graph/tests/pool/oddities.rs
@@ -93,7 +93,7 @@
                 let is_acked = self.rng.random_bool(0.7);
                 self.bench.core.stop_answered(&stop, is_acked, now);
             }
-            order::PoolOrder::Look { worker } => {
+            order::PoolOrder::Poll { worker } => {
                 self.bench.core.hold_ask(&worker, now);
             }
         }
@@ -103,7 +103,7 @@
         let worker = support::worker_id(self.rng.random_range(0..N_WORKERS));
         let now = self.bench.now;
         self.bench.core.hold_ask(&worker, now);
-        let listed = order::WorkerListed {
+        let listed = order::PollReply {
             incarnation: self.rng.random_bool(0.5).then(|| self.rng.random_range(0..3)),
             clock_ms: self.clock(),
             running: (0..self.rng.random_range(0..4)).map(|_| self.listed_run()).collect(),
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -18,8 +18,8 @@
     began: Duration,
     running: &[order::ListedRun],
     ended: &[order::ListedEnd],
-) -> order::WorkerListed {
-    order::WorkerListed {
+) -> order::PollReply {
+    order::PollReply {
         incarnation,
         clock_ms: (bench.now - began).as_millis() as u64,
         running: running.to_vec(),
@@ -225,7 +225,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     let orders = bench.turn();
     assert_eq!(support::starts(&orders), []);
-    assert!(orders.iter().any(|it| matches!(it, order::PoolOrder::Look { .. })));
+    assert!(orders.iter().any(|it| matches!(it, order::PoolOrder::Poll { .. })));
     answers_fresh(&mut bench);
     assert_eq!(support::starts(&bench.turn()).len(), 1);
 }
@@ -249,7 +249,7 @@
             bench.core.stop_answered(&stop, false, bench.now);
         }
     }
-    let is_look = |it: &&order::PoolOrder| matches!(it, order::PoolOrder::Look { .. });
+    let is_look = |it: &&order::PoolOrder| matches!(it, order::PoolOrder::Poll { .. });
     assert_eq!(bench.core.take_orders().iter().filter(is_look).count(), 1);
 }
 
--- a/crates/graph/tests/pool/slowness.rs
+++ b/crates/graph/tests/pool/slowness.rs
@@ -136,7 +136,7 @@
         }
     }
     // What the first worker said half a second after the start comes with what the others say now.
-    let listed = order::WorkerListed {
+    let listed = order::PollReply {
         incarnation: None,
         clock_ms: (asked + Duration::from_millis(500)).as_millis() as u64,
         running: vec![support::running(&starts[0], 20)],
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -147,7 +147,7 @@
         ended: &[order::ListedEnd],
         sent_at: Duration,
     ) {
-        let listed = order::WorkerListed {
+        let listed = order::PollReply {
             incarnation: None,
             clock_ms: self.clock_ms(),
             running: running.to_vec(),
--- a/crates/pool/src/control.rs
+++ b/crates/pool/src/control.rs
@@ -37,8 +37,8 @@
         &self,
         target: &WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::HoldAsk,
-    ) -> impl Future<Output = Result<order::WorkerListed, ControlFault>> + Send;
+        ask: &order::PollRequest,
+    ) -> impl Future<Output = Result<order::PollReply, ControlFault>> + Send;
 
     /// Starts a task.
     fn start(
--- a/crates/pool/src/lead.rs
+++ b/crates/pool/src/lead.rs
@@ -155,7 +155,7 @@
         let worker = match &order {
             order::PoolOrder::Start(it) => &it.worker,
             order::PoolOrder::Stop(it) => &it.worker,
-            order::PoolOrder::Look { worker } => worker,
+            order::PoolOrder::Poll { worker } => worker,
         };
         let senders = state::lock(&self.senders);
         let Some(sender) = senders.get(worker) else { return Some(order) };
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -40,7 +40,7 @@
     let kind = match &order {
         order::PoolOrder::Start(_) => "start",
         order::PoolOrder::Stop(_) => "stop",
-        order::PoolOrder::Look { .. } => "look",
+        order::PoolOrder::Poll { .. } => "look",
     };
     metrics::counter!("almondpass_pool_orders_total", "kind" => kind).increment(1);
     match order {
@@ -68,7 +68,7 @@
                 }
             }
         }
-        order::PoolOrder::Look { worker } => {
+        order::PoolOrder::Poll { worker } => {
             session::look_now(state, lead, &worker).await;
         }
     }
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -81,7 +81,7 @@
     state: &state::PoolState<S>,
     lead: &lead::LeadState,
     worker: &ids::WorkerId,
-    ask: order::HoldAsk,
+    ask: order::PollRequest,
 ) -> LookOutcome {
     let clock = state.adapters.clock();
     let sent_at = clock.now();
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -122,8 +122,8 @@
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::HoldAsk,
-    ) -> Result<order::WorkerListed, control::ControlFault> {
+        ask: &order::PollRequest,
+    ) -> Result<order::PollReply, control::ControlFault> {
         self.panics.strike(pool_fleet::HOLD);
         self.fleet.hold(target, token, ask).await
     }
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -337,8 +337,8 @@
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::HoldAsk,
-    ) -> Result<order::WorkerListed, control::ControlFault> {
+        ask: &order::PollRequest,
+    ) -> Result<order::PollReply, control::ControlFault> {
         let expires = Instant::now() + ask.wait;
         let hides_lives = state::lock(&self.state).hides_lives;
         loop {
--- a/crates/standin/src/pool_worker.rs
+++ b/crates/standin/src/pool_worker.rs
@@ -214,8 +214,8 @@
     pub fn hold(
         &mut self,
         token: ids::FencingToken,
-        ask: &order::HoldAsk,
-    ) -> Option<order::WorkerListed> {
+        ask: &order::PollRequest,
+    ) -> Option<order::PollReply> {
         self.pass_time();
         if !self.accepts(token) {
             return None;
@@ -302,14 +302,14 @@
         is_accepted
     }
 
-    fn listed(&self) -> order::WorkerListed {
+    fn listed(&self) -> order::PollReply {
         let running = self.runs.iter().map(|(task, run)| order::ListedRun {
             task: *task,
             attempt: run.attempt,
             checkpoint: None,
             percent: percent(run),
         });
-        order::WorkerListed {
+        order::PollReply {
             incarnation: Some(self.incarnation),
             clock_ms: self.clock_ms(),
             running: running.collect(),
