--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -86,7 +86,7 @@
             complete: false,
             ..order::PollReply::default()
         };
-        core.hold_answered(&worker, listed, now, now);
+        core.poll_answered(&worker, listed, now, now);
     }
     core.turn(now);
     for order in core.take_orders() {
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -28,8 +28,8 @@
     ) {
         match answer {
             order::StartAnswer::Started { clock_ms } => {
-                let is_seen = self.start_heard(start, clock_ms, now);
-                self.start_confirmed(start, is_seen, now);
+                let is_confirmed_by_incarnation = self.start_heard(start, clock_ms, now);
+                self.start_confirmed(start, is_confirmed_by_incarnation, now);
             }
             order::StartAnswer::Refused(refusal) => self.start_refused(start, refusal, now),
             order::StartAnswer::NotSent => {
@@ -85,15 +85,21 @@
         true
     }
 
-    fn start_confirmed(&mut self, start: &order::StartOrder, is_seen: bool, now: Duration) {
+    fn start_confirmed(
+        &mut self,
+        start: &order::StartOrder,
+        is_confirmed_by_incarnation: bool,
+        now: Duration,
+    ) {
         let clock = self.workers.get(&start.worker).and_then(|it| it.clock.reading(now));
         let Some(run) = self.run_of(&start.worker, start.task, start.attempt) else { return };
         run.is_confirmed = true;
-        run.is_seen |= is_seen;
-        run.known_since = run.known_since.or(clock.filter(|_| is_seen));
+        run.is_confirmed_by_incarnation |= is_confirmed_by_incarnation;
+        run.first_confirmed_clock =
+            run.first_confirmed_clock.or(clock.filter(|_| is_confirmed_by_incarnation));
         if matches!(run.phase, job::RunPhase::Ordered | job::RunPhase::Unclear { .. }) {
             run.phase = job::RunPhase::Running { confirmed_at: now };
-            run.percent_at = now;
+            run.percent_changed_at = now;
             self.note_begin(start.task, now);
         }
     }
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -67,7 +67,7 @@
             task.avoids.as_ref() != Some(id)
                 && it.listing.upstream == job.upstream
                 && label.is_none_or(|label| it.listing.labels.contains(label))
-                && step.room().fits_in(it.listing.capacity)
+                && step.task_resources().fits_in(it.listing.capacity)
                 && self.exclusion_reason(id, it, now).is_none()
         };
         !self.ample.contains(&job.upstream) && self.workers.iter().any(|(id, it)| could_run(id, it))
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -9,7 +9,6 @@
 use crate::avoidance;
 use crate::catalog;
 use crate::headroom;
-use crate::inheritance;
 use crate::job;
 use crate::loss_history;
 use crate::losses;
@@ -17,6 +16,7 @@
 use crate::roster;
 use crate::run_times;
 use crate::save_queue;
+use crate::takeover;
 use crate::task_key;
 use crate::terms;
 use crate::wait_note;
@@ -82,7 +82,7 @@
     /// What the clock of the day showed last, as time since 1970: runs are due by it.
     pub(crate) wall: Duration,
     /// Whether a successor may go by what the roster notes of silent workers.
-    pub(crate) keeps_silence: bool,
+    pub(crate) keeps_silence_notes: bool,
     /// Data centres under evacuation: nothing starts on their workers.
     pub(crate) evacuated: Arc<[ids::DataCenter]>,
 }
@@ -131,7 +131,7 @@
             waits_told_at: Duration::ZERO,
             wait_counts: waiting::WaitCounts::default(),
             wall: Duration::ZERO,
-            keeps_silence: false,
+            keeps_silence_notes: false,
             evacuated: Arc::default(),
         }
     }
@@ -196,7 +196,7 @@
     /// How far a job is, as far as callers may be told: an end only once it is durable.
     pub fn state_of(&self, graph: ids::GraphId) -> Option<ShownJob<'_>> {
         let job = self.jobs.get(&graph)?;
-        let state = match job.durable {
+        let state = match job.durable_state {
             model::GraphState::Pending | model::GraphState::Running if job.started => {
                 model::GraphState::Running
             }
@@ -253,12 +253,12 @@
     /// Whether every worker on which tasks of an earlier tenure may be has answered, or their
     /// leases have lapsed.
     pub fn is_settled(&self, now: Duration) -> bool {
-        self.settled(now) == inheritance::SettledShare::All
+        self.settled(now) == takeover::SettledJobs::All
     }
 
     /// What has settled by `now` of what an earlier tenure has left.
-    pub(crate) fn settled(&self, now: Duration) -> inheritance::SettledShare {
-        inheritance::SettledShare::of(self, now)
+    pub(crate) fn settled(&self, now: Duration) -> takeover::SettledJobs {
+        takeover::SettledJobs::of(self, now)
     }
 
     /// Whether each worker on which a successor has to expect tasks answers.
@@ -301,11 +301,11 @@
     pub(crate) fn vacate(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
-        let room = step.room();
+        let room = step.task_resources();
         let Some(task) = step.tasks.get_mut(key.task as usize) else { return };
         let Some(run) = task.run.take() else { return };
         task.ended_attempt = task.ended_attempt.max(run.attempt);
-        task.waits_since = now;
+        task.waiting_since = now;
         // Its outcome is settled: a successor must not take the start for lost.
         let was_on_record = task.suspicion.trial.take().is_some();
         if run.is_confirmed && job.runs().next().is_none() {
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -8,7 +8,7 @@
 
 use crate::candidate;
 use crate::core;
-use crate::failed_ask;
+use crate::failed_placement;
 use crate::job;
 use crate::order;
 use crate::pace;
@@ -65,7 +65,7 @@
     ) {
         let mut full = BTreeSet::<(ids::GraphId, u32)>::new();
         let mut hopeless = Vec::<resources::Resources>::new();
-        let mut failed = Vec::<failed_ask::FailedAsk>::new();
+        let mut failed = Vec::<failed_placement::FailedPlacement>::new();
         let mut round = self.clearing_round();
         for unit in units {
             if !self.is_on_record(unit, now) {
@@ -129,7 +129,7 @@
         candidates: &[candidate::WorkerCandidate],
     ) -> Option<resources::Resources> {
         let job = self.jobs.get(&unit.graph)?;
-        let room = job.steps.get(unit.step as usize)?.room();
+        let room = job.steps.get(unit.step as usize)?.task_resources();
         let is_hopeless = !candidates.iter().any(|it| room.fits_in(it.free));
         is_hopeless.then_some(room)
     }
@@ -138,7 +138,7 @@
     fn is_hopeless(&self, unit: task_key::UnitKey, hopeless: &[resources::Resources]) -> bool {
         let Some(job) = self.jobs.get(&unit.graph) else { return true };
         let Some(step) = job.steps.get(unit.step as usize) else { return true };
-        let room = step.room();
+        let room = step.task_resources();
         job.priority != preemption::URGENT && hopeless.iter().any(|it| it.fits_in(room))
     }
 
@@ -185,7 +185,7 @@
         &mut self,
         unit: task_key::UnitKey,
         candidates: &mut [candidate::WorkerCandidate],
-        failed: &mut Vec<failed_ask::FailedAsk>,
+        failed: &mut Vec<failed_placement::FailedPlacement>,
         now: Duration,
     ) -> StartOutcome {
         let Some(request) = self.placement_request(unit, candidates, now) else {
@@ -198,16 +198,16 @@
         }
         let Some(chosen) = placement::place(candidates, &request) else {
             if is_plain {
-                failed.extend(failed_ask::FailedAsk::of(&request));
+                failed.extend(failed_placement::FailedPlacement::of(&request));
             }
             return StartOutcome::NoRoom;
         };
         let racks = chosen.iter().map(|it| candidates[*it].rack).collect::<BTreeSet<_>>();
         let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
-        let is_far = is_off || (request.same_rack && racks.len() > 1);
+        let is_remote = is_off || (request.same_rack && racks.len() > 1);
         let workers =
             chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
-        let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_far };
+        let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_remote };
         self.start_unit(unit, places, now);
         StartOutcome::Started
     }
@@ -223,7 +223,7 @@
     }
 
     fn start_unit(&mut self, unit: task_key::UnitKey, places: UnitPlaces, now: Duration) {
-        let UnitPlaces { workers, is_isolated, is_far } = places;
+        let UnitPlaces { workers, is_isolated, is_remote } = places;
         let keys = self.unit_tasks(unit);
         let Some(job) = self.jobs.get_mut(&unit.graph) else { return };
         job.started = true;
@@ -235,7 +235,7 @@
             worker.claims.retain(|it| it.unit != unit);
         }
         for (key, worker) in keys.into_iter().zip(workers) {
-            self.start_task(key, worker, StartTerms { attempt, is_isolated, is_far }, now);
+            self.start_task(key, worker, StartTerms { attempt, is_isolated, is_remote }, now);
         }
     }
 
@@ -246,31 +246,31 @@
         terms: StartTerms,
         now: Duration,
     ) {
-        let StartTerms { attempt, is_isolated, is_far } = terms;
+        let StartTerms { attempt, is_isolated, is_remote } = terms;
         let start_term = self.terms.start_term;
         let Some(record) = self.workers.get_mut(&worker) else { return };
         let Some(deadline_ms) = record.clock.deadline_in(now, start_term) else { return };
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let body = job.body.clone();
         let Some(step) = job.step_mut(key) else { return };
-        let room = step.room();
+        let room = step.task_resources();
         let Some(task) = step.tasks.get_mut(key.task as usize) else { return };
         task.attempt = attempt;
         task.run = Some(job::TaskRun {
             worker: worker.clone(),
             attempt,
             phase: job::RunPhase::Ordered,
-            bound: Some(job::StartBound { generation: record.generation, deadline_ms }),
+            start_deadline: Some(job::StartDeadline { generation: record.generation, deadline_ms }),
             is_confirmed: false,
-            is_overdue: false,
-            is_seen: false,
-            is_far,
-            is_whole: task.checkpoint.is_none(),
+            is_reported_overdue: false,
+            is_confirmed_by_incarnation: false,
+            is_remote,
+            is_from_scratch: task.checkpoint.is_none(),
             since: now,
             percent: 0,
-            percent_at: now,
+            percent_changed_at: now,
             pace: pace::RunPace::unbegun(),
-            known_since: None,
+            first_confirmed_clock: None,
         });
         record.runs.insert(key);
         record.used = record.used.plus(room);
@@ -282,7 +282,7 @@
             task = %key,
             attempt,
             worker,
-            waited_ms = now.saturating_sub(task.waits_since).as_millis() as u64,
+            waited_ms = now.saturating_sub(task.waiting_since).as_millis() as u64,
             resumes = task.checkpoint.is_some(),
             free_accelerators = record.free().accelerators,
             "task starts"
@@ -317,7 +317,7 @@
 struct UnitPlaces {
     workers: Vec<ids::WorkerId>,
     is_isolated: bool,
-    is_far: bool,
+    is_remote: bool,
 }
 
 /// How a task starts.
@@ -325,7 +325,7 @@
 struct StartTerms {
     attempt: u32,
     is_isolated: bool,
-    is_far: bool,
+    is_remote: bool,
 }
 
 /// Units of a job that may start at the time of day `wall`.
--- a/crates/graph/src/failed_ask.rs
+++ b/crates/graph/src/failed_placement.rs
@@ -9,7 +9,7 @@
 
 /// What a single task asked for in vain.
 #[derive(Clone, Debug)]
-pub struct FailedAsk {
+pub struct FailedPlacement {
     upstream: usize,
     room: resources::Resources,
     label: Option<String>,
@@ -18,15 +18,15 @@
     takes_reserved: bool,
 }
 
-impl FailedAsk {
+impl FailedPlacement {
     /// What `ask` wanted, where that tells of others: not where it was alone in what it avoids, or in
     /// how many of its tasks a worker may have.
-    pub fn of(request: &candidate::PlacementRequest) -> Option<FailedAsk> {
+    pub fn of(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
         let tells = request.n_tasks == 1
             && request.avoids.is_empty()
             && request.per_worker == 0
             && !request.may_crash_worker;
-        tells.then(|| FailedAsk {
+        tells.then(|| FailedPlacement {
             upstream: request.upstream,
             room: request.per_task,
             label: request.label.map(str::to_owned),
--- a/crates/graph/src/hanging.rs
+++ b/crates/graph/src/hanging.rs
@@ -33,7 +33,7 @@
                 let is_running =
                     matches!(run.phase, job::RunPhase::Running { .. }) && run.percent < 100;
                 // Counted up to the last answer: without answers no progress is seen either.
-                let stood = worker.answered_at.saturating_sub(run.percent_at);
+                let stood = worker.answered_at.saturating_sub(run.percent_changed_at);
                 if is_running && stood >= HANGS_AFTER && stood >= self.hang_patience(*key, run) {
                     hanging.push((id.clone(), *key));
                 }
@@ -53,7 +53,7 @@
                 record.health.hung(is_spare, now);
             }
             if let Some(task) = self.jobs.get_mut(&key.graph).and_then(|it| it.task_mut(key)) {
-                task.n_hangs += 1;
+                task.n_stalls += 1;
             }
             self.stop_run(key, now);
         }
@@ -61,15 +61,15 @@
 
     /// How long a run may show no progress.
     fn hang_patience(&self, key: task_key::TaskKey, run: &job::TaskRun) -> Duration {
-        let worked = run.percent_at.saturating_sub(run.since);
+        let worked = run.percent_changed_at.saturating_sub(run.since);
         let is_cheap = self.saves(key) || worked <= HANGS_AFTER;
         let least = if is_cheap { HANGS_AFTER } else { HANGS_LONG_AFTER };
         let seen = run.pace.latest().filter(|it| *it > 0.0);
         let pace = seen.or_else(|| self.class_pace(key)).unwrap_or_else(|| self.declared_pace(key));
         let expected = Duration::from_secs_f64(HANGS_PERCENT / pace);
         let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
-        let n_hangs = task.map_or(0, |it| it.n_hangs.min(MOST_DOUBLINGS));
-        least.max(expected) * (1 << n_hangs)
+        let n_stalls = task.map_or(0, |it| it.n_stalls.min(MOST_DOUBLINGS));
+        least.max(expected) * (1 << n_stalls)
     }
 
     /// The pace that the caller has declared, in percent per second.
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -65,7 +65,7 @@
     pub fn admit(&mut self, admitted: AdmittedJob, now: Duration) {
         let graph = admitted.graph;
         let cancelled = admitted.row.cancelled;
-        let is_undivided = admitted.progress.is_undivided();
+        let is_unchunked = admitted.progress.is_unchunked();
         self.jobs.entry(graph).or_insert_with(|| {
             tracing::info!(
                 job = format_args!("{graph:016x}"),
@@ -79,7 +79,7 @@
             record_of(admitted, now)
         });
         self.sort_in(graph);
-        if is_undivided {
+        if is_unchunked {
             let n_chunks = self.jobs.get(&graph).map_or(0, progress::n_chunks);
             self.touch_all(graph, n_chunks);
         }
@@ -95,7 +95,7 @@
             return;
         }
         job.state = model::GraphState::Cancelled;
-        job.durable = model::GraphState::Cancelled;
+        job.durable_state = model::GraphState::Cancelled;
         self.active.remove(&graph);
         self.finish(graph, now);
         self.stop_all(graph, now);
@@ -244,12 +244,12 @@
         started: false,
         state: model::GraphState::Pending,
         failure: None,
-        durable: model::GraphState::Pending,
+        durable_state: model::GraphState::Pending,
     };
     let has_progress = !admitted.progress.is_empty();
     admitted.progress.restore_into(&mut job);
     if has_progress && !row.cancelled {
-        progress::conclude(&mut job);
+        progress::infer_end(&mut job);
     }
     job.ended_at = job.has_ended().then_some(now);
     if job.inherited {
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -63,10 +63,10 @@
     tasks: &'a [job::TaskRecord],
     candidates: &[candidate::WorkerCandidate],
 ) -> BTreeSet<&'a str> {
-    let lost_on = tasks.iter().flat_map(|it| &it.lost_on).map(String::as_str);
-    let lost_on = lost_on.collect::<BTreeSet<_>>();
-    let has_others = candidates.iter().any(|it| !lost_on.contains(it.place.worker.as_str()));
-    if has_others { lost_on } else { BTreeSet::new() }
+    let lost_workers = tasks.iter().flat_map(|it| &it.lost_workers).map(String::as_str);
+    let lost_workers = lost_workers.collect::<BTreeSet<_>>();
+    let has_others = candidates.iter().any(|it| !lost_workers.contains(it.place.worker.as_str()));
+    if has_others { lost_workers } else { BTreeSet::new() }
 }
 
 impl core::PoolCore {
@@ -103,8 +103,10 @@
             return;
         }
         for key in self.unit_tasks(unit) {
-            if let Some(task) = self.task_of(key).filter(|it| it.apart_since < it.waits_since) {
-                task.apart_since = now;
+            if let Some(task) =
+                self.task_of(key).filter(|it| it.isolatable_since < it.waiting_since)
+            {
+                task.isolatable_since = now;
             }
         }
     }
@@ -112,10 +114,10 @@
     /// How long a task has waited for a worker of its own: not while nothing could be started, as before a takeover
     /// has settled. Else it would run beside others right behind an outage, where what is lost says least.
     pub(crate) fn waited_apart(&self, task: &job::TaskRecord, now: Duration) -> Duration {
-        if task.apart_since < task.waits_since {
+        if task.isolatable_since < task.waiting_since {
             return Duration::ZERO;
         }
-        now.saturating_sub(task.apart_since.max(self.resumed_at))
+        now.saturating_sub(task.isolatable_since.max(self.resumed_at))
     }
 
     /// Whether a task of a unit is held back until the loss of its worker is surer.
@@ -126,7 +128,7 @@
     /// Whether a unit can't start because a start of it is not on record yet.
     pub(crate) fn awaits_record(&self, unit: task_key::UnitKey) -> bool {
         self.unit_records(unit).iter().any(|it| {
-            let is_durable = it.trial_mark.is_some_and(|mark| self.unsaved.is_durable(mark));
+            let is_durable = it.start_change.is_some_and(|mark| self.unsaved.is_durable(mark));
             it.suspicion.inherited_trial.is_some() || (it.suspicion.is_suspect() && !is_durable)
         })
     }
@@ -206,10 +208,10 @@
             task.suspicion.trial = Some(attempt);
             let mark = self.touch(key);
             if let Some(task) = self.task_of(key) {
-                task.trial_mark = mark;
+                task.start_change = mark;
             }
         }
-        let mark = self.task_of(key).and_then(|it| it.trial_mark);
+        let mark = self.task_of(key).and_then(|it| it.start_change);
         mark.is_some_and(|it| self.unsaved.is_durable(it))
     }
 
@@ -224,7 +226,7 @@
     /// Has a task go elsewhere next, if it can: lost under it twice, one worker says less than two.
     pub(crate) fn avoid(&mut self, key: task_key::TaskKey, worker: &ids::WorkerId) {
         if let Some(task) = self.task_of(key) {
-            task.lost_on.insert(worker.clone());
+            task.lost_workers.insert(worker.clone());
         }
     }
 
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -50,7 +50,7 @@
     pub failure: Option<model::FailureCause>,
     /// How far it is as far as a successor would read it; the only state that callers are told
     /// when it is an end.
-    pub durable: model::GraphState,
+    pub durable_state: model::GraphState,
 }
 
 /// A step and how far it is.
@@ -61,7 +61,7 @@
     /// The tasks.
     pub tasks: Vec<TaskRecord>,
     /// Failures of the gang.
-    pub gang_failures: FailureCount,
+    pub gang_failures: FailedAttempts,
 }
 
 /// A task and how far it is.
@@ -76,34 +76,34 @@
     /// Highest attempt that is known to be over.
     pub ended_attempt: u32,
     /// Its failures.
-    pub failures: FailureCount,
+    pub failures: FailedAttempts,
     /// Newest checkpoint.
     pub checkpoint: Option<Arc<str>>,
     /// How often it was stopped because it stood still.
-    pub n_hangs: u32,
+    pub n_stalls: u32,
     /// Worker on which it failed last, which it avoids.
     pub avoids: Option<ids::WorkerId>,
     /// Until when it does.
     pub avoids_until: Duration,
     /// Since when it waits.
-    pub waits_since: Duration,
+    pub waiting_since: Duration,
     /// What speaks for it that it crashes the workers that start it.
     pub suspicion: suspicion::TaskSuspicion,
     /// Workers that were lost under it, and may be what is wrong.
-    pub lost_on: BTreeSet<ids::WorkerId>,
+    pub lost_workers: BTreeSet<ids::WorkerId>,
     /// It does not start before: whether the worker under it is lost will be surer soon.
     pub held_until: Duration,
     /// Since when it could run apart, as far as its start and its room go; before `waits_since` where it could not yet.
-    pub apart_since: Duration,
+    pub isolatable_since: Duration,
     /// The change that puts its next start on record.
-    pub trial_mark: Option<save_queue::SaveMark>,
+    pub start_change: Option<save_queue::SaveMark>,
 }
 
 /// The attempts that failed. Each counts once although a worker may list its end to two
 /// schedulers, and in whatever order the ends are listed: a worker that was cut off lists an early
 /// attempt late.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FailureCount {
+pub struct FailedAttempts {
     attempts: Vec<u32>,
 }
 
@@ -117,33 +117,33 @@
     /// How far the orders for it are.
     pub phase: RunPhase,
     /// What bounds its start, where this scheduler has ordered it.
-    pub bound: Option<StartBound>,
+    pub start_deadline: Option<StartDeadline>,
     /// Whether the worker has said that it has, or had, it.
     pub is_confirmed: bool,
     /// Whether it was told of as unsettled for too long.
-    pub is_overdue: bool,
+    pub is_reported_overdue: bool,
     /// Whether the known life of the worker has said so. Else a later one may have it, under a lease
     /// by another clock.
-    pub is_seen: bool,
+    pub is_confirmed_by_incarnation: bool,
     /// Whether it takes longer here, away from its data or from its gang.
-    pub is_far: bool,
+    pub is_remote: bool,
     /// Whether it was here from its beginning, so that its end tells how long its class takes.
-    pub is_whole: bool,
+    pub is_from_scratch: bool,
     /// When it was ordered, or found.
     pub since: Duration,
     /// Progress that the worker reported last, in percent.
     pub percent: u32,
     /// When the progress last changed.
-    pub percent_at: Duration,
+    pub percent_changed_at: Duration,
     /// How fast it progresses.
     pub pace: pace::RunPace,
     /// What the clock of the worker showed when it was first known to have it.
-    pub known_since: Option<Duration>,
+    pub first_confirmed_clock: Option<Duration>,
 }
 
 /// Until when a start may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StartBound {
+pub struct StartDeadline {
     /// The life of the worker that it was meant for, as the scheduler counts.
     pub generation: u32,
     /// On the clock of that life: the start is refused behind it.
@@ -196,10 +196,10 @@
     }
 }
 
-impl FailureCount {
+impl FailedAttempts {
     /// Failures of these attempts.
-    pub fn of_attempts(attempts: Vec<u32>) -> FailureCount {
-        FailureCount { attempts }
+    pub fn from_attempts(attempts: Vec<u32>) -> FailedAttempts {
+        FailedAttempts { attempts }
     }
 
     /// The attempts that failed.
@@ -213,7 +213,7 @@
     }
 
     /// Counts the failure of `attempt`, unless it was counted before.
-    pub fn count_attempt(&mut self, attempt: u32) -> bool {
+    pub fn record(&mut self, attempt: u32) -> bool {
         if self.attempts.contains(&attempt) {
             return false;
         }
@@ -287,10 +287,10 @@
 
     /// Whether moments of the run of a task compare with those of its other runs: it began anew, by itself and
     /// near its data.
-    pub fn tells_moments(&self, key: task_key::TaskKey) -> bool {
+    pub fn has_comparable_run_time(&self, key: task_key::TaskKey) -> bool {
         let Some(step) = self.step(key).filter(|it| !it.spec.gang) else { return false };
         let run = step.tasks.get(key.task as usize).and_then(|it| it.run.as_ref());
-        run.is_some_and(|it| it.is_whole && !it.is_far)
+        run.is_some_and(|it| it.is_from_scratch && !it.is_remote)
     }
 
     /// The runs of its tasks.
@@ -308,9 +308,9 @@
 impl StepRecord {
     /// A step of which nothing has run.
     pub fn new(spec: model::GraphStep, now: Duration) -> StepRecord {
-        let task = TaskRecord { waits_since: now, ..TaskRecord::default() };
+        let task = TaskRecord { waiting_since: now, ..TaskRecord::default() };
         let tasks = vec![task; spec.tasks as usize];
-        StepRecord { spec, tasks, gang_failures: FailureCount::default() }
+        StepRecord { spec, tasks, gang_failures: FailedAttempts::default() }
     }
 
     /// Whether all tasks have ended well.
@@ -319,7 +319,7 @@
     }
 
     /// What each task needs.
-    pub fn room(&self) -> resources::Resources {
+    pub fn task_resources(&self) -> resources::Resources {
         resources::Resources::of_step(&self.spec)
     }
 
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -217,7 +217,7 @@
             let task = job.task(*key)?;
             let run = task.run.as_ref()?;
             let struck_by =
-                job.tells_moments(*key).then(|| scene.lost_by.saturating_sub(run.since));
+                job.has_comparable_run_time(*key).then(|| scene.lost_by.saturating_sub(run.since));
             let longest = struck_by.map(|it| task.suspicion.longest_run().max(it));
             let exposure = self.exposure(*key, now);
             let early = longest.map_or(exposure, |it| it.min(exposure));
--- a/crates/graph/src/upkeep.rs
+++ b/crates/graph/src/maintenance.rs
@@ -81,19 +81,20 @@
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.run(key) else { return true };
         let longest = lease_clock::at_most(self.terms.longest_lease);
-        run.is_seen || now >= run.since + self.terms.start_term + longest
+        run.is_confirmed_by_incarnation || now >= run.since + self.terms.start_term + longest
     }
 
     /// Whether no life behind the known one of its worker can have taken a start: it would have told of itself
     /// in the list by the time up to which that was read.
     fn is_of_known_life(&self, key: task_key::TaskKey) -> bool {
         let Some(run) = self.run(key) else { return false };
-        let (Some(bound), Some(worker)) = (run.bound, self.workers.get(&run.worker)) else {
+        let (Some(start), Some(worker)) = (run.start_deadline, self.workers.get(&run.worker))
+        else {
             return false;
         };
         let is_told_life = worker.incarnation.is_some() && worker.told_life == worker.incarnation;
         let told_by = run.since + self.terms.start_term + self.terms.heartbeat + ENTRY_MARGIN;
-        is_told_life && bound.generation == worker.generation && self.list_read_at >= told_by
+        is_told_life && start.generation == worker.generation && self.list_read_at >= told_by
     }
 
     fn repeat_stops(&mut self, now: Duration) {
@@ -184,7 +185,7 @@
         if let Some(pace) = run.pace.latest().filter(|it| *it > 0.0) {
             let left = f64::from(100 - run.percent.min(100)) / pace;
             return Duration::from_secs_f64(left)
-                .saturating_sub(now.saturating_sub(run.percent_at));
+                .saturating_sub(now.saturating_sub(run.percent_changed_at));
         }
         let class = self.jobs.get(&key.graph).map(|it| it.class.as_str()).unwrap_or_default();
         self.run_times.mean(class).saturating_sub(ran)
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -10,7 +10,7 @@
 use crate::core;
 use crate::job;
 use crate::lease_clock;
-use crate::listing;
+use crate::poll_answers;
 use crate::task_key;
 
 /// A start that is overdue.
@@ -29,7 +29,7 @@
             self.tell_overdue(&start, now);
             let task = self.jobs.get_mut(&start.task.graph).and_then(|it| it.task_mut(start.task));
             let Some(run) = task.and_then(|it| it.run.as_mut()) else { continue };
-            run.is_overdue = true;
+            run.is_reported_overdue = true;
             if run.phase == job::RunPhase::Ordered {
                 run.phase = job::RunPhase::Unclear { since: now };
             }
@@ -49,7 +49,7 @@
         for (id, worker) in &self.workers {
             for key in &worker.runs {
                 let Some(run) = self.run(*key) else { continue };
-                let is_open = !run.is_confirmed && !run.is_overdue;
+                let is_open = !run.is_confirmed && !run.is_reported_overdue;
                 if is_open && now >= run.since + longest {
                     overdue.push(OverdueStart { worker: id.clone(), task: *key, phase: run.phase });
                 }
@@ -61,7 +61,7 @@
     /// How long a start may stay unsettled at most, on a worker that answers: a look sent then finds it
     /// behind its deadline.
     fn longest_open(&self) -> Duration {
-        lease_clock::at_most(self.terms.start_term + 2 * listing::LATE_SLACK)
+        lease_clock::at_most(self.terms.start_term + 2 * poll_answers::START_DEADLINE_SLACK)
     }
 
     fn tell_overdue(&self, start: &OverdueStart, now: Duration) {
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -64,13 +64,13 @@
         is_open && (is_near || request.allows_remote) && request.count_now(*index, it) > 0
     });
     let best = fitting.min_by_key(|(_, it)| {
-        let is_far = request.rack_number.is_some_and(|rack| it.rack != rack);
+        let is_remote = request.rack_number.is_some_and(|rack| it.rack != rack);
         let left = it.free.minus(request.per_task);
         // Among workers left alike, that of the fullest rack: racks that empty serve gangs.
         let rack = free_by_rack[it.rack];
         // What may crash its worker runs where it puts least at risk.
         let n_at_risk = if request.may_crash_worker { it.n_runs } else { 0 };
-        (is_far, n_at_risk, it.suspect, left.accelerators, rack, left.cpu_milli)
+        (is_remote, n_at_risk, it.suspect, left.accelerators, rack, left.cpu_milli)
     });
     best.map(|(index, _)| index)
 }
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -29,7 +29,7 @@
             Some(task) => &step.tasks[task as usize..=task as usize],
             None => &step.tasks[..],
         };
-        let waited = now.saturating_sub(tasks.first()?.waits_since);
+        let waited = now.saturating_sub(tasks.first()?.waiting_since);
         let waited = waited.min(self.wall.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
         let may_crash_worker = tasks.iter().any(|it| it.suspicion.is_on_trial());
--- a/crates/graph/src/listing.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -31,14 +31,14 @@
 
 /// A start counts as refused for its deadline this much behind it: what runs and what the clock shows may
 /// not be of quite the same moment.
-pub(crate) const LATE_SLACK: Duration = Duration::from_millis(100);
+pub(crate) const START_DEADLINE_SLACK: Duration = Duration::from_millis(100);
 
 /// Wait before a stop is sent again to a worker that lists the run still.
 const STRAY_AGAIN: Duration = Duration::from_millis(500);
 
 impl core::PoolCore {
     /// How to look at a worker next; nothing where it is no longer known.
-    pub fn hold_ask(
+    pub fn next_poll(
         &mut self,
         worker: &ids::WorkerId,
         now: Duration,
@@ -84,7 +84,7 @@
     }
 
     /// A look at a worker had no answer.
-    pub fn hold_missed(&mut self, worker: &ids::WorkerId) {
+    pub fn poll_missed(&mut self, worker: &ids::WorkerId) {
         if self.note_miss(worker) {
             let n_runs = self.workers.get(worker).map_or(0, |it| it.runs.len());
             tracing::info!(worker, n_runs, "worker does not answer");
@@ -92,7 +92,7 @@
     }
 
     /// Takes in what a worker lists, in answer to a look sent at `sent_at`.
-    pub fn hold_answered(
+    pub fn poll_answered(
         &mut self,
         worker: &ids::WorkerId,
         listed: order::PollReply,
@@ -119,7 +119,7 @@
         record.oldest_listed = listed.ended.first().map(|it| it.number);
         let is_first = !record.fenced;
         record.fenced = true;
-        self.end_silence(worker);
+        self.withdraw_silence_note(worker);
         self.heard(worker, listed.clock_ms, now);
         if is_first {
             self.adopt_lease(worker, life);
@@ -192,29 +192,29 @@
         let usual = self.class_pace(listed.task).or_else(|| self.sibling_pace(listed.task));
         let key = listed.task;
         let Some(job) = self.jobs.get_mut(&listed.task.graph) else { return };
-        let tells_moments = job.tells_moments(key);
+        let has_comparable_run_time = job.has_comparable_run_time(key);
         let Some(task) = job.task_mut(listed.task) else { return };
         let Some(run) = task.run.as_mut() else { return };
         run.is_confirmed = true;
-        run.is_seen = true;
+        run.is_confirmed_by_incarnation = true;
         let attempt = run.attempt;
         let mut has_begun = false;
         if matches!(run.phase, job::RunPhase::Ordered | job::RunPhase::Unclear { .. }) {
             run.phase = job::RunPhase::Running { confirmed_at: now };
-            run.percent_at = now;
+            run.percent_changed_at = now;
             has_begun = true;
         }
-        let known_since = *run.known_since.get_or_insert(clock);
+        let first_confirmed_clock = *run.first_confirmed_clock.get_or_insert(clock);
         run.pace.observe(clock, listed.percent, usual);
         if run.percent != listed.percent {
             run.percent = listed.percent;
-            run.percent_at = now;
+            run.percent_changed_at = now;
         }
         if listed.checkpoint.is_some() && listed.checkpoint != task.checkpoint {
             task.checkpoint = listed.checkpoint;
         }
-        if tells_moments {
-            task.suspicion.note_survived(clock.saturating_sub(known_since));
+        if has_comparable_run_time {
+            task.suspicion.note_survived(clock.saturating_sub(first_confirmed_clock));
         }
         if has_begun {
             self.note_begin(key, now);
@@ -231,7 +231,7 @@
         job.started = true;
         job.state = almondpass_schema::model::GraphState::Running;
         let Some(step) = job.step_mut(listed.task) else { return };
-        let room = step.room();
+        let room = step.task_resources();
         let Some(task) = step.tasks.get_mut(listed.task.task as usize) else { return };
         task.attempt = task.attempt.max(listed.attempt);
         if listed.checkpoint.is_some() {
@@ -241,17 +241,17 @@
             worker: worker.clone(),
             attempt: listed.attempt,
             phase: job::RunPhase::Running { confirmed_at: now },
-            bound: None,
+            start_deadline: None,
             is_confirmed: true,
-            is_overdue: false,
-            is_seen: true,
-            is_far: false,
-            is_whole: false,
+            is_reported_overdue: false,
+            is_confirmed_by_incarnation: true,
+            is_remote: false,
+            is_from_scratch: false,
             since: now,
             percent: listed.percent,
-            percent_at: now,
+            percent_changed_at: now,
             pace: pace::RunPace::new(clock, listed.percent),
-            known_since: Some(clock),
+            first_confirmed_clock: Some(clock),
         });
         if task.suspicion.inherited_trial == Some(listed.attempt) {
             task.suspicion.trial = task.suspicion.inherited_trial.take();
@@ -269,7 +269,7 @@
 
     fn stop_stray(&mut self, worker: &ids::WorkerId, run: &order::ListedRun, now: Duration) {
         let job = self.jobs.get(&run.task.graph);
-        let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::room);
+        let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
         let room = room.unwrap_or(record.listing.capacity);
         let fresh = worker::StrayRun { attempt: run.attempt, room, asked_at: None };
@@ -350,13 +350,14 @@
     /// deadline. Without it a worker that answers no stop would keep the task for as long as it does so.
     /// A later life has another clock: there it is over once a lease has surely lapsed, had that life taken it.
     fn is_start_over(&self, key: task_key::TaskKey, run: &job::TaskRun, at: ListedAt) -> bool {
-        let (Some(bound), Some(record)) = (run.bound, self.workers.get(&run.worker)) else {
+        let (Some(start), Some(record)) = (run.start_deadline, self.workers.get(&run.worker))
+        else {
             return false;
         };
-        if bound.generation != record.generation {
-            return !run.is_seen && self.has_surely_lapsed(key, at.sent_at);
+        if start.generation != record.generation {
+            return !run.is_confirmed_by_incarnation && self.has_surely_lapsed(key, at.sent_at);
         }
-        let over_at = Duration::from_millis(bound.deadline_ms).saturating_add(LATE_SLACK);
+        let over_at = Duration::from_millis(start.deadline_ms).saturating_add(START_DEADLINE_SLACK);
         at.clock > over_at
     }
 }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -217,7 +217,7 @@
 
     fn room_of(&self, key: task_key::TaskKey) -> resources::Resources {
         let step = self.jobs.get(&key.graph).and_then(|it| it.step(key));
-        step.map(job::StepRecord::room).unwrap_or_default()
+        step.map(job::StepRecord::task_resources).unwrap_or_default()
     }
 
     /// Whether the account of a job needs no more for its urgent work than is guaranteed to it, as of
--- a/crates/graph/src/progress.rs
+++ b/crates/graph/src/progress.rs
@@ -17,7 +17,7 @@
 /// Tasks of one chunk. A task takes about 90 bytes, and 420 with the longest checkpoint name and 19
 /// failures, so that a chunk stays below 27 KB where the platform takes 64. One under which seven
 /// workers were lost takes 370 more; a chunk of such tasks alone takes less than 52.
-pub const CHUNK_TASKS: u32 = 64;
+pub const TASKS_PER_CHUNK: u32 = 64;
 
 /// Longest name of a checkpoint that is saved, in bytes; the platform's take 16. A successor starts
 /// a task with a longer one anew, instead of a row being refused for its length.
@@ -32,20 +32,20 @@
 /// How many chunks a job has.
 pub fn n_chunks(job: &job::JobRecord) -> u32 {
     let n_tasks = job.steps.iter().map(|it| it.tasks.len() as u32).sum::<u32>();
-    n_tasks.div_ceil(CHUNK_TASKS).max(1)
+    n_tasks.div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
 /// How many chunks a job has, by the row of its acceptance.
-pub fn n_chunks_of(row: &model::GraphRow) -> u32 {
+pub fn n_chunks_of_row(row: &model::GraphRow) -> u32 {
     let runs = row.graph.schedule.as_ref().map_or(1, |it| it.runs.get());
     let n_tasks = row.graph.steps.iter().map(|it| it.tasks).sum::<u32>();
-    n_tasks.saturating_mul(runs).div_ceil(CHUNK_TASKS).max(1)
+    n_tasks.saturating_mul(runs).div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
 /// The chunk of a task.
 pub fn chunk_of(job: &job::JobRecord, key: task_key::TaskKey) -> Option<u32> {
     let step = job.step_index(key)? as usize;
-    Some((first_task_of(job, step) + key.task) / CHUNK_TASKS)
+    Some((first_task_of(job, step) + key.task) / TASKS_PER_CHUNK)
 }
 
 /// The chunks of the tasks of a task's step.
@@ -54,15 +54,15 @@
     let first = first_task_of(job, index);
     let n_tasks = job.steps.get(index)?.tasks.len() as u32;
     let last = first + n_tasks.saturating_sub(1);
-    Some(first / CHUNK_TASKS..=last / CHUNK_TASKS)
+    Some(first / TASKS_PER_CHUNK..=last / TASKS_PER_CHUNK)
 }
 
 /// What is to be durable of a chunk of a job; nothing where it has no such chunk.
-pub fn progress_of(job: &job::JobRecord, chunk: u32) -> Option<model::ProgressRow> {
+pub fn chunk_row(job: &job::JobRecord, chunk: u32) -> Option<model::ProgressRow> {
     if chunk >= n_chunks(job) {
         return None;
     }
-    let wanted = chunk * CHUNK_TASKS..(chunk + 1) * CHUNK_TASKS;
+    let wanted = chunk * TASKS_PER_CHUNK..(chunk + 1) * TASKS_PER_CHUNK;
     let mut row = model::ProgressRow {
         state: job.state,
         failure: job.failure,
@@ -110,14 +110,14 @@
 
     /// Whether the head tells of tasks of other chunks too, as a release without chunks wrote it: it is
     /// to be written anew, and with it all that it told of.
-    pub fn is_undivided(&self) -> bool {
+    pub fn is_unchunked(&self) -> bool {
         let Some(head) = self.chunks.get(&HEAD_CHUNK) else { return false };
         let mut n_told = 0;
         for step in &head.steps {
             let tasks = step.done.iter().chain(step.attempts.iter().map(|it| &it.task));
             n_told += tasks.max().map_or(0, |it| it + 1);
         }
-        n_told > CHUNK_TASKS
+        n_told > TASKS_PER_CHUNK
     }
 
     /// Takes what was saved into the record of the job.
@@ -136,14 +136,14 @@
         }
         // A chunk is written only behind the end of a task.
         job.state = told.unwrap_or(model::GraphState::Running);
-        job.durable = job.state;
+        job.durable_state = job.state;
         job.started = job.state != model::GraphState::Pending;
     }
 }
 
 /// Ends a job whose tasks show that it has ended: the head may not have been written yet when the
 /// scheduler ended. Not for a job that was cancelled, whose tasks may end in any way behind that.
-pub fn conclude(job: &mut job::JobRecord) {
+pub fn infer_end(job: &mut job::JobRecord) {
     if job.has_ended() {
         return;
     }
@@ -154,7 +154,7 @@
             if is_complete { model::GraphState::Completed } else { model::GraphState::Failed };
         job.state = shown;
         job.failure = failure;
-        job.durable = shown;
+        job.durable_state = shown;
         job.started = true;
     }
 }
@@ -180,7 +180,7 @@
 fn step_progress(step: &job::StepRecord, within: Range<u32>) -> model::StepProgress {
     let tasks =
         || within.clone().filter_map(|index| Some((index, step.tasks.get(index as usize)?)));
-    let failures = |task: u32, it: &job::FailureCount| model::TaskFailures {
+    let failures = |task: u32, it: &job::FailedAttempts| model::TaskFailures {
         task,
         attempts: it.attempts().to_vec(),
     };
@@ -233,7 +233,7 @@
 }
 
 /// What was saved of a task.
-pub(crate) fn restored_suspicion(saved: &model::TaskLosses) -> suspicion::TaskSuspicion {
+pub(crate) fn restore_suspicion(saved: &model::TaskLosses) -> suspicion::TaskSuspicion {
     let span = |ms: u32| Duration::from_millis(u64::from(ms));
     let losses = saved.losses.iter().map(|it| suspicion::TaskLoss {
         attempt: it.attempt,
@@ -256,7 +256,7 @@
         }
     }
     for it in saved.failures {
-        let failures = job::FailureCount::of_attempts(it.attempts);
+        let failures = job::FailedAttempts::from_attempts(it.attempts);
         if step.spec.gang {
             step.gang_failures = failures;
         } else if let Some(task) = step.tasks.get_mut(it.task as usize) {
@@ -265,7 +265,7 @@
     }
     for it in saved.losses {
         if let Some(task) = step.tasks.get_mut(it.task as usize) {
-            task.suspicion = restored_suspicion(&it);
+            task.suspicion = restore_suspicion(&it);
         }
     }
     for it in saved.trials {
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -13,17 +13,17 @@
     /// Up to `most` jobs whose end is durable and was long enough ago. Their rows may go: that of the
     /// acceptance first, then, with [`PoolCore::forget`](core::PoolCore::forget), that of the
     /// progress. The other way round a successor would run the job once more.
-    pub fn expired(&self, now: Duration, most: usize) -> Vec<ids::GraphId> {
+    pub fn expired_jobs(&self, now: Duration, most: usize) -> Vec<ids::GraphId> {
         let retention = self.terms.retention;
-        let expired = self.jobs.iter().filter(|(graph, it)| {
+        let expired_jobs = self.jobs.iter().filter(|(graph, it)| {
             let is_old = it.ended_at.is_some_and(|ended| now >= ended + retention);
             is_old && is_settled(it) && self.is_saved(**graph, progress::n_chunks(it))
         });
-        expired.map(|(graph, _)| *graph).take(most).collect()
+        expired_jobs.map(|(graph, _)| *graph).take(most).collect()
     }
 
     /// Forgets a job whose acceptance is gone from the store, or was never there.
-    pub fn forget(&mut self, graph: ids::GraphId) {
+    pub fn forget_job(&mut self, graph: ids::GraphId) {
         self.active.remove(&graph);
         let Some(job) = self.jobs.remove(&graph) else { return };
         self.touch_all(graph, progress::n_chunks(&job));
@@ -43,7 +43,7 @@
 /// Whether the end is durable and nothing of the job is on a worker any more.
 fn is_settled(job: &job::JobRecord) -> bool {
     let is_durable =
-        !matches!(job.durable, model::GraphState::Pending | model::GraphState::Running);
+        !matches!(job.durable_state, model::GraphState::Pending | model::GraphState::Running);
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
     is_durable && tasks.all(|it| it.run.is_none())
 }
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -48,7 +48,7 @@
         mut add: impl FnMut(&SaveRow) -> bool,
     ) -> Option<SaveBatch> {
         self.review_roster();
-        self.review_silent(now);
+        self.note_silent_workers(now);
         let refused = self.unsaved.take_refused(now);
         let is_alone = refused.is_some();
         let mut batch = SaveBatch::default();
@@ -78,7 +78,7 @@
             self.unsaved.saved(row.key);
             self.row_saved(row);
         }
-        self.review_kept_silence();
+        self.note_roster_saved();
         for worker in self.workers.values_mut() {
             worker.settle_ends(&self.unsaved);
         }
@@ -95,7 +95,7 @@
         let content = match key {
             save_queue::SaveKey::Progress { graph, chunk } => {
                 let job = self.jobs.get(&graph);
-                let row = job.and_then(|it| progress::progress_of(it, chunk));
+                let row = job.and_then(|it| progress::chunk_row(it, chunk));
                 row.map_or(SaveContent::Gone, SaveContent::Progress)
             }
             save_queue::SaveKey::Roster { page } => self.roster_page(page),
@@ -144,9 +144,9 @@
                 SaveContent::Progress(saved),
             ) => {
                 if let Some(job) = self.jobs.get_mut(&graph)
-                    && job.durable != model::GraphState::Cancelled
+                    && job.durable_state != model::GraphState::Cancelled
                 {
-                    job.durable = saved.state;
+                    job.durable_state = saved.state;
                 }
             }
             _ => {}
@@ -162,7 +162,7 @@
         let own = progress::chunk_of(job, key)?;
         let is_gang = job.step(key)?.spec.gang;
         let chunks = if is_gang { progress::chunks_of_step(job, key)? } else { own..=own };
-        if job.state != job.durable {
+        if job.state != job.durable_state {
             self.unsaved
                 .touch(save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK });
         }
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -103,8 +103,8 @@
 
     /// How many times as long a run takes where it is.
     pub(crate) fn far_factor(&self, key: task_key::TaskKey) -> f64 {
-        let is_far = self.run(key).is_some_and(|it| it.is_far);
-        if is_far { self.terms.remote_factor } else { 1.0 }
+        let is_remote = self.run(key).is_some_and(|it| it.is_remote);
+        if is_remote { self.terms.remote_factor } else { 1.0 }
     }
 
     /// Median pace of the other tasks of the step, in percent per second.
--- a/crates/graph/src/inheritance.rs
+++ b/crates/graph/src/takeover.rs
@@ -22,36 +22,36 @@
 
 /// How much has settled of what an earlier tenure has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SettledShare {
+pub(crate) enum SettledJobs {
     /// Any task may run on some worker that has not answered.
-    Nothing,
+    NoneInherited,
     /// Only tasks whose starts are on record may.
-    AllButRecorded,
+    AllButSavedStarts,
     /// All workers have answered, or their leases have lapsed.
     All,
 }
 
-impl SettledShare {
-    pub(crate) fn of(core: &core::PoolCore, now: Duration) -> SettledShare {
+impl SettledJobs {
+    pub(crate) fn of(core: &core::PoolCore, now: Duration) -> SettledJobs {
         if now >= core.settles_at {
-            return SettledShare::All;
+            return SettledJobs::All;
         }
         let is_open = |it: &worker::WorkerRecord| it.inherited && !it.fenced;
         let mut open = core.workers.iter().filter(|(_, it)| is_open(it)).peekable();
         if open.peek().is_none() {
-            return SettledShare::All;
+            return SettledJobs::All;
         }
         let is_recorded = open.all(|(id, _)| core.roster.is_on_record(id));
-        if is_recorded { SettledShare::AllButRecorded } else { SettledShare::Nothing }
+        if is_recorded { SettledJobs::AllButSavedStarts } else { SettledJobs::NoneInherited }
     }
 
     /// Whether what of a job runs is known.
     pub(crate) fn covers(self, job: &job::JobRecord) -> bool {
         match self {
             _ if !job.inherited => true,
-            SettledShare::Nothing => false,
-            SettledShare::AllButRecorded => !has_recorded_start(job),
-            SettledShare::All => true,
+            SettledJobs::NoneInherited => false,
+            SettledJobs::AllButSavedStarts => !has_recorded_start(job),
+            SettledJobs::All => true,
         }
     }
 }
@@ -65,7 +65,7 @@
 impl core::PoolCore {
     /// Notes of each worker that has been silent for a while that all that may run there is on record, once
     /// that is durable.
-    pub(crate) fn review_silent(&mut self, now: Duration) {
+    pub(crate) fn note_silent_workers(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(id, it)| {
             it.n_missed > 0 && now >= it.missed_at + NOTED_AFTER && !self.roster.is_on_record(id)
         });
@@ -78,8 +78,8 @@
 
     /// Takes in whether the earlier scheduler has kept what the roster notes of silent workers. Where it
     /// has not, it may have started tasks there all the same, and the notes are taken back.
-    pub fn inherit_silence(&mut self, is_kept: bool) {
-        self.keeps_silence = is_kept;
+    pub fn inherit_silence_notes(&mut self, is_kept: bool) {
+        self.keeps_silence_notes = is_kept;
         if is_kept {
             return;
         }
@@ -89,18 +89,18 @@
     }
 
     /// Whether a successor may go by what the roster notes of silent workers.
-    pub fn keeps_silence(&self) -> bool {
-        self.keeps_silence
+    pub fn keeps_silence_notes(&self) -> bool {
+        self.keeps_silence_notes
     }
 
     /// Takes note that rows were saved: once the roster is, no note of an earlier scheduler is left.
-    pub(crate) fn review_kept_silence(&mut self) {
+    pub(crate) fn note_roster_saved(&mut self) {
         let is_roster = |it: save_queue::SaveKey| matches!(it, save_queue::SaveKey::Roster { .. });
-        self.keeps_silence |= !self.unsaved.lacks_any(is_roster);
+        self.keeps_silence_notes |= !self.unsaved.lacks_any(is_roster);
     }
 
     /// A worker has answered: it may get tasks once the note of its silence is gone.
-    pub(crate) fn end_silence(&mut self, worker: &ids::WorkerId) {
+    pub(crate) fn withdraw_silence_note(&mut self, worker: &ids::WorkerId) {
         self.put_on_roster(worker, false);
     }
 
--- a/crates/graph/src/ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -25,7 +25,7 @@
         let known = task.run.as_ref();
         let known = known.filter(|it| it.worker == *worker && it.attempt == end.attempt);
         let since = known.map(|it| it.since);
-        let tells = known.is_some_and(|it| it.is_whole && !it.is_far);
+        let tells = known.is_some_and(|it| it.is_from_scratch && !it.is_remote);
         task.attempt = task.attempt.max(end.attempt);
         task.ended_attempt = task.ended_attempt.max(end.attempt);
         if end.checkpoint.is_some() {
@@ -125,7 +125,7 @@
             return None;
         }
         let failures = if is_gang { &mut step.gang_failures } else { &mut task.failures };
-        let is_new = failures.count_attempt(attempt);
+        let is_new = failures.record(attempt);
         let is_last = failures.count() >= most;
         self.keep_off(key, worker, now);
         if !is_new {
--- a/crates/graph/src/unsaved.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -56,7 +56,7 @@
 
     fn learn_losses(&mut self, key: task_key::TaskKey, told: &model::TaskLosses, now: Duration) {
         let Some(task) = self.task_of(key).filter(|it| !it.done) else { return };
-        let former = progress::restored_suspicion(told);
+        let former = progress::restore_suspicion(told);
         task.suspicion.note_survived(former.survived());
         let ended = task.ended_attempt;
         let open = former.losses().iter().filter(|it| it.attempt > ended);
@@ -89,7 +89,7 @@
     job: &job::JobRecord,
     chunk: u32,
 ) -> Option<model::UnsavedSuspicions> {
-    let row = progress::progress_of(job, chunk)?;
+    let row = progress::chunk_row(job, chunk)?;
     let steps = row.steps.into_iter();
     let steps = steps.map(|it| model::StepSuspicions { losses: it.losses, trials: it.trials });
     let steps = steps.collect::<Vec<_>>();
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -122,7 +122,7 @@
         tells.then(|| UnitShape {
             upstream: job.upstream.clone(),
             label: step.spec.label.clone(),
-            room: step.room(),
+            room: step.task_resources(),
             n_tasks: tasks.len(),
         })
     }
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -114,9 +114,9 @@
         for key in record.runs.clone() {
             let task = self.jobs.get_mut(&key.graph).and_then(|it| it.task_mut(key));
             let Some(run) = task.and_then(|it| it.run.as_mut()) else { continue };
-            run.is_seen = false;
+            run.is_confirmed_by_incarnation = false;
             run.pace = pace::RunPace::unbegun();
-            run.known_since = None;
+            run.first_confirmed_clock = None;
             if run.phase.is_stopping() {
                 run.phase = job::RunPhase::Stopping { asked_at: now, acked_at: None };
                 let attempt = run.attempt;
--- a/crates/graph/tests/pool/beliefs.rs
+++ b/crates/graph/tests/pool/beliefs.rs
@@ -168,8 +168,8 @@
                 complete: true,
                 ..order::PollReply::default()
             };
-            bench.core.hold_ask(&support::worker_id(0), bench.now);
-            bench.core.hold_answered(&support::worker_id(0), listed, bench.now, bench.now);
+            bench.core.next_poll(&support::worker_id(0), bench.now);
+            bench.core.poll_answered(&support::worker_id(0), listed, bench.now, bench.now);
             bench.turn();
             bench.pass(40_000);
             bench.turn();
@@ -250,7 +250,7 @@
             ended: Vec::new(),
             complete: true,
         };
-        bench.core.hold_answered(&start.worker, listed, bench.now, bench.now);
+        bench.core.poll_answered(&start.worker, listed, bench.now, bench.now);
         let orders = bench.turn();
         for stop in support::stops(&orders) {
             bench.core.stop_answered(&stop, false, bench.now);
--- a/crates/graph/tests/pool/failures.rs
+++ b/crates/graph/tests/pool/failures.rs
@@ -18,7 +18,7 @@
     let first = bench.turn_and_start().remove(0);
     let cut_off = support::index_of(&first.worker);
     let other = 1 - cut_off;
-    bench.core.hold_missed(&first.worker);
+    bench.core.poll_missed(&first.worker);
     bench.pass(8_000);
     bench.lists(other, &[], &[]);
     let second = bench.turn_and_start().remove(0);
--- a/crates/graph/tests/pool/oddities.rs
+++ b/crates/graph/tests/pool/oddities.rs
@@ -94,7 +94,7 @@
                 self.bench.core.stop_answered(&stop, is_acked, now);
             }
             order::PoolOrder::Poll { worker } => {
-                self.bench.core.hold_ask(&worker, now);
+                self.bench.core.next_poll(&worker, now);
             }
         }
     }
@@ -102,7 +102,7 @@
     fn answer_look(&mut self) {
         let worker = support::worker_id(self.rng.random_range(0..N_WORKERS));
         let now = self.bench.now;
-        self.bench.core.hold_ask(&worker, now);
+        self.bench.core.next_poll(&worker, now);
         let listed = order::PollReply {
             incarnation: self.rng.random_bool(0.5).then(|| self.rng.random_range(0..3)),
             clock_ms: self.clock(),
@@ -111,12 +111,12 @@
             complete: self.rng.random_bool(0.8),
         };
         let sent_at = now.saturating_sub(Duration::from_millis(self.rng.random_range(0..3_000)));
-        self.bench.core.hold_answered(&worker, listed, sent_at, now);
+        self.bench.core.poll_answered(&worker, listed, sent_at, now);
     }
 
     fn lose_look(&mut self) {
         let worker = support::worker_id(self.rng.random_range(0..N_WORKERS));
-        self.bench.core.hold_missed(&worker);
+        self.bench.core.poll_missed(&worker);
     }
 
     fn change_entry(&mut self) {
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -67,7 +67,7 @@
     ended: &[order::ListedEnd],
 ) {
     let listed = says(bench, incarnation, began, running, ended);
-    bench.core.hold_answered(&support::worker_id(0), listed, bench.now, bench.now);
+    bench.core.poll_answered(&support::worker_id(0), listed, bench.now, bench.now);
 }
 
 /// The worker answers in a second life that has just begun.
@@ -77,7 +77,7 @@
 }
 
 fn last_seen(bench: &mut support::PoolBench) -> u64 {
-    bench.core.hold_ask(&support::worker_id(0), bench.now).unwrap().last_seen
+    bench.core.next_poll(&support::worker_id(0), bench.now).unwrap().last_seen
 }
 
 /// The worker ends the task of job 1 in its first life, and that is acknowledged; then it starts
@@ -86,7 +86,7 @@
     let (mut bench, _) = bench_with_end();
     assert_eq!(last_seen(&mut bench), 1);
     bench.pass(600);
-    bench.core.hold_missed(&support::worker_id(0));
+    bench.core.poll_missed(&support::worker_id(0));
     bench.pass(250);
     let began = bench.now;
     bench.pass(100);
@@ -98,7 +98,7 @@
 #[test]
 fn no_end_is_acknowledged_while_the_life_is_in_doubt() {
     let (mut bench, end) = bench_with_end();
-    bench.core.hold_missed(&support::worker_id(0));
+    bench.core.poll_missed(&support::worker_id(0));
     assert_eq!(last_seen(&mut bench), 0);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], std::slice::from_ref(&end));
     assert_eq!(last_seen(&mut bench), 1);
@@ -277,7 +277,7 @@
     bench.pass(10);
     let late = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
     let sent_at = bench.now - Duration::from_secs(1);
-    bench.core.hold_answered(&support::worker_id(0), late, sent_at, bench.now);
+    bench.core.poll_answered(&support::worker_id(0), late, sent_at, bench.now);
     assert_eq!(support::starts(&bench.turn()), []);
     bench.pass(10);
     let began = bench.now - Duration::from_millis(120);
@@ -314,8 +314,8 @@
     bench.pass(1_000);
     let mut listed = says(&bench, None, Duration::ZERO, &[support::running(&start, 1)], &[]);
     listed.clock_ms = 100;
-    bench.core.hold_answered(&start.worker, listed, bench.now, bench.now);
-    bench.core.hold_missed(&start.worker);
+    bench.core.poll_answered(&start.worker, listed, bench.now, bench.now);
+    bench.core.poll_missed(&start.worker);
     // 10 s on a clock that is 2% slow.
     for (millis, n_starts) in [(6_700, 0), (3_400, 0), (200, 1)] {
         bench.pass(millis);
@@ -356,7 +356,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = support::starts(&bench.turn()).remove(0);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
-    bench.core.hold_missed(&start.worker);
+    bench.core.poll_missed(&start.worker);
     let other = 1 - support::index_of(&start.worker);
     // It may leave for 2.5 s; the lease is 10 s then, on a clock that is 2% slow.
     for (millis, n_starts) in [(6_700, 0), (5_900, 0), (200, 1)] {
@@ -378,7 +378,7 @@
     for index in 0..2 {
         bench.core.learn_worker(support::worker_id(index), entry(index, FIRST), bench.now);
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
-        bench.core.hold_answered(&support::worker_id(index), listed, bench.now, bench.now);
+        bench.core.poll_answered(&support::worker_id(index), listed, bench.now, bench.now);
     }
     bench.save();
     bench.admit(1, support::job(1, support::tasks(1)));
@@ -394,7 +394,7 @@
             bench.core.list_read(bench.now);
         }
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
-        bench.core.hold_answered(&other, listed, bench.now, bench.now);
+        bench.core.poll_answered(&other, listed, bench.now, bench.now);
         if !support::starts(&bench.turn()).is_empty() {
             return Some((bench.now - start.ordered_at).as_millis());
         }
--- a/crates/graph/tests/pool/rosters.rs
+++ b/crates/graph/tests/pool/rosters.rs
@@ -14,7 +14,7 @@
 fn with_a_forgotten_worker() -> support::PoolBench {
     let mut bench = support::PoolBench::new(2);
     bench.core.unlist_worker(&support::worker_id(1), bench.now);
-    bench.core.hold_missed(&support::worker_id(1));
+    bench.core.poll_missed(&support::worker_id(1));
     bench.pass(20_000);
     bench.lists(0, &[], &[]);
     bench.turn();
@@ -62,7 +62,7 @@
 #[test]
 fn a_worker_noted_as_silent_gets_tasks_once_the_note_is_gone() {
     let mut bench = support::PoolBench::new(1);
-    bench.core.hold_missed(&support::worker_id(0));
+    bench.core.poll_missed(&support::worker_id(0));
     bench.pass(800);
     bench.turn();
     bench.pass(800);
@@ -81,7 +81,7 @@
     let mut first = support::PoolBench::new(2);
     first.admit(1, support::job(1, support::tasks(1)));
     let start = first.turn_and_start().remove(0);
-    first.core.hold_missed(&start.worker);
+    first.core.poll_missed(&start.worker);
     first.save();
     let (silent, other) = (support::index_of(&start.worker), 1 - support::index_of(&start.worker));
 
@@ -94,7 +94,7 @@
         next.core.inherit_worker(entry, 0);
         next.core.learn_worker(support::worker_id(index), support::listing(index), next.now);
     }
-    next.core.inherit_silence(notes_silence);
+    next.core.inherit_silence_notes(notes_silence);
     next.inherit(1, support::job(1, support::tasks(1)), first.saved.remove(&1));
     next.inherit(2, support::job(1, support::tasks(1)), None);
     next.lists(other, &[], &[]);
@@ -120,7 +120,7 @@
 fn notes_that_an_earlier_release_has_left_tell_nothing() {
     let mut next = successor_of(false);
     assert!(started(&mut next).is_empty());
-    assert!(next.core.keeps_silence());
+    assert!(next.core.keeps_silence_notes());
 }
 
 /// A successor waits for the lease of a worker that is dead, and listed on, although it has long lapsed.
@@ -128,7 +128,7 @@
 fn a_worker_whose_lease_has_lapsed_holds_up_no_successor() {
     let mut bench = support::PoolBench::new(2);
     bench.save();
-    bench.core.hold_missed(&support::worker_id(1));
+    bench.core.poll_missed(&support::worker_id(1));
     bench.pass(20_000);
     bench.lists(0, &[], &[]);
     bench.turn();
--- a/crates/graph/tests/pool/slowness.rs
+++ b/crates/graph/tests/pool/slowness.rs
@@ -144,7 +144,7 @@
         complete: true,
     };
     bench.now = asked + Duration::from_millis(1_700);
-    bench.core.hold_answered(&starts[0].worker, listed, asked, bench.now);
+    bench.core.poll_answered(&starts[0].worker, listed, asked, bench.now);
     assert_eq!(support::stops(&bench.turn()), []);
 }
 
--- a/crates/graph/tests/pool/stops.rs
+++ b/crates/graph/tests/pool/stops.rs
@@ -70,8 +70,8 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.turn_and_start().remove(0);
     let silent = support::index_of(&start.worker);
-    bench.core.hold_ask(&start.worker, bench.now);
-    bench.core.hold_missed(&start.worker);
+    bench.core.next_poll(&start.worker, bench.now);
+    bench.core.poll_missed(&start.worker);
     // The lease is 6.5 s, and a clock that is 2% slow makes 6.63 s of it.
     for (millis, n_starts) in [(6_500, 0), (100, 0), (100, 1)] {
         bench.pass(millis);
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -154,7 +154,7 @@
             ended: ended.to_vec(),
             complete: true,
         };
-        self.core.hold_answered(&worker_id(worker), listed, sent_at, self.now);
+        self.core.poll_answered(&worker_id(worker), listed, sent_at, self.now);
     }
 
     fn clock_ms(&self) -> u64 {
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -145,7 +145,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.turn_and_start().remove(0);
     let index = support::index_of(&start.worker);
-    bench.core.hold_missed(&start.worker);
+    bench.core.poll_missed(&start.worker);
     bench.pass(7_000);
     bench.turn();
     bench.core.unlist_worker(&start.worker, bench.now);
@@ -162,7 +162,7 @@
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.turn_and_start().remove(0);
-    bench.core.hold_missed(&start.worker);
+    bench.core.poll_missed(&start.worker);
     bench.pass(7_000);
     bench.turn();
     assert_eq!(n_suspects(&bench), 0);
@@ -198,7 +198,7 @@
         pass_with(&mut bench, &starts, 16);
         let struck = starts.iter().filter(|it| it.task.graph <= 8).cloned().collect::<Vec<_>>();
         for start in &struck {
-            bench.core.hold_missed(&start.worker);
+            bench.core.poll_missed(&start.worker);
         }
         bench.pass(600);
         for start in &struck {
--- a/crates/pool/src/lead.rs
+++ b/crates/pool/src/lead.rs
@@ -198,7 +198,7 @@
         settles_at: taken.settles_at,
     });
     // The tenure is renewed, and with it what is known of losses, before anything is loaded.
-    core.inherit_silence(taken.notes_silence);
+    core.inherit_silence_notes(taken.notes_silence);
     core.begin_losses(taken.losses.as_ref(), state.adapters.clock().now());
     let lead = Arc::new(LeadState::new(&taken, state.settings.tenure, core));
     let _held = HeldTenure { state: &state, lead: &lead };
--- a/crates/pool/src/lead_loader.rs
+++ b/crates/pool/src/lead_loader.rs
@@ -83,7 +83,7 @@
     for row in &roster.rows {
         inherit_page(&mut core, row);
     }
-    core.inherit_silence(taken.notes_silence);
+    core.inherit_silence_notes(taken.notes_silence);
     let mut progress = progress_by_graph(progress);
     let accepted = graphs.rows.iter().filter_map(|it| task_key::parse_graph(&it.key));
     let accepted = accepted.collect::<BTreeSet<_>>();
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -101,7 +101,7 @@
     let accepted = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
     let Some((row, _)) = accepted else { return Ok(None) };
     let mut saved = progress::SavedChunks::default();
-    for chunk in 0..progress::n_chunks_of(&row) {
+    for chunk in 0..progress::n_chunks_of_row(&row) {
         let key = keys::progress(graph, chunk);
         if let Some((content, _)) = job_query::read_row::<S, model::ProgressRow>(state, key).await?
         {
--- a/crates/pool/src/retention.rs
+++ b/crates/pool/src/retention.rs
@@ -31,13 +31,13 @@
         if !lead.is_firm(state.adapters.clock()) || state.is_store_unavailable() {
             continue;
         }
-        let expired = lead.core().expired(state.adapters.clock().now(), AT_A_TIME);
+        let expired = lead.core().expired_jobs(state.adapters.clock().now(), AT_A_TIME);
         for graph in expired {
             if !remove(&state, graph).await {
                 break;
             }
             tracing::info!(job = format_args!("{graph:016x}"), "ended job is forgotten");
-            lead.core().forget(graph);
+            lead.core().forget_job(graph);
             lead.save_due.notify_one();
         }
     }
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -61,7 +61,7 @@
     worker: &ids::WorkerId,
 ) -> LookOutcome {
     let now = state.adapters.clock().now();
-    let Some(ask) = lead.core().hold_ask(worker, now) else { return LookOutcome::Over };
+    let Some(ask) = lead.core().next_poll(worker, now) else { return LookOutcome::Over };
     look_as(state, lead, worker, ask).await
 }
 
@@ -72,7 +72,7 @@
     worker: &ids::WorkerId,
 ) -> LookOutcome {
     let now = state.adapters.clock().now();
-    let Some(mut ask) = lead.core().hold_ask(worker, now) else { return LookOutcome::Over };
+    let Some(mut ask) = lead.core().next_poll(worker, now) else { return LookOutcome::Over };
     ask.wait = Duration::ZERO;
     look_as(state, lead, worker, ask).await
 }
@@ -92,7 +92,7 @@
     let mut core = lead.core();
     match answer {
         Ok(listed) => {
-            core.hold_answered(worker, listed, sent_at, now);
+            core.poll_answered(worker, listed, sent_at, now);
             drop(core);
             lead.turn_due.notify_one();
             LookOutcome::Answered
@@ -109,7 +109,7 @@
         }
         Err(control::ControlFault::Call(error)) => {
             tracing::debug!(worker, %error, "look without answer");
-            core.hold_missed(worker);
+            core.poll_missed(worker);
             LookOutcome::Missed
         }
     }
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -229,7 +229,7 @@
         let now = self.state.adapters.clock().now();
         let (losses, settles_in, notes_silence) = {
             let core = self.lead.core();
-            (core.recent_losses(now), core.settles_in(now), core.keeps_silence())
+            (core.recent_losses(now), core.settles_in(now), core.keeps_silence_notes())
         };
         let tenure = model::PoolTenure {
             holder: settings.instance.clone(),
