--- a/crates/pool/src/cancel.rs
+++ b/crates/pool/src/cancel.rs
@@ -75,7 +75,7 @@
     row.cancelled = true;
     let transaction = model::TableTransaction {
         conditions: vec![model::TableCondition { key: keys::graph(graph), version }],
-        writes: vec![writer::write_of(keys::graph(graph), &row)],
+        writes: vec![writer::encode_write(keys::graph(graph), &row)],
     };
     let outcome = store_call::transact(state, transaction).await;
     let Ok(model::TableOutcome::Committed { versions }) = outcome else {
--- a/crates/pool/src/seat.rs
+++ b/crates/pool/src/contender.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3;
 
 use crate::document;
-use crate::lead;
+use crate::leader;
 use crate::predecessor_list;
 use crate::state;
 use crate::store_call;
@@ -29,7 +29,7 @@
 pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut watch = tenure_watch::TenureWatch::default();
     let mut floor = SettleFloor::default();
-    let look = spread(&state.settings.instance, state.settings.tenure.look);
+    let look = spread(&state.settings.instance, state.settings.tenure.watch_interval);
     while !state.shutdown.is_cancelled() {
         let before = watch.seen().cloned();
         read(&state, &mut watch).await;
@@ -40,7 +40,7 @@
         }));
         match take(&state, &watch, &mut floor).await {
             TakeOutcome::Taken(taken) => {
-                let was_given_up = lead::run(Arc::clone(&state), taken).await;
+                let was_given_up = leader::run(Arc::clone(&state), taken).await;
                 watch = tenure_watch::TenureWatch::default();
                 if was_given_up {
                     leave_to_others(&state).await;
@@ -68,7 +68,7 @@
 /// Waits until each other instance has had a look. One that can write and not read, or panics at what it
 /// reads, would otherwise be the first each time to take the tenure that it has just given up.
 async fn leave_to_others<S: state::PoolAdapters>(state: &state::PoolState<S>) {
-    let looks = state.settings.tenure.look.mul_f64(2.0 * (1.0 + SPREAD));
+    let looks = state.settings.tenure.watch_interval.mul_f64(2.0 * (1.0 + SPREAD));
     tokio::select! {
         () = time::sleep(looks) => {}
         () = state.shutdown.cancelled() => {}
@@ -94,11 +94,11 @@
             let row = rows.rows.into_iter().next();
             let version = row.as_ref().map_or(0, |it| it.version);
             let tenure = row.and_then(|it| it.value).and_then(|it| codec::decode(&it).ok());
-            watch.saw(version, tenure, now);
+            watch.record_read(version, tenure, now);
         }
         Err(error) => {
             tracing::debug!(%error, "the tenure can't be read");
-            watch.missed(now);
+            watch.record_failure(now);
         }
     }
 }
@@ -122,7 +122,7 @@
         let Some((before, row)) = before.zip(row) else { return };
         let is_other = before.row.as_ref().is_some_and(|it| it.epoch < row.epoch);
         if is_other && !row.names_earlier {
-            let earlier = predecessor_list::PredecessorList::of_row(state, before);
+            let earlier = predecessor_list::PredecessorList::from_row(state, before);
             self.until = self.until.max(earlier.settles_at());
         }
     }
@@ -130,7 +130,7 @@
 
 /// What became of taking the tenure.
 enum TakeOutcome {
-    Taken(lead::TakenTenure),
+    Taken(leader::TakenTenure),
     /// It is not free, or another was first.
     NotTaken,
     /// The write had no answer.
@@ -152,8 +152,8 @@
         return TakeOutcome::NotTaken;
     };
     let losses = seen.row.as_ref().and_then(|it| it.losses.clone());
-    let mut predecessors = predecessor_list::PredecessorList::of_row(state, seen);
-    predecessors.add_others(floor.until);
+    let mut predecessors = predecessor_list::PredecessorList::from_row(state, seen);
+    predecessors.add_unnamed(floor.until);
     let settles_at = predecessors.settles_at().max(now);
     let notes_silence = seen.row.as_ref().is_some_and(|it| it.notes_silence);
     let row = model::PoolTenure {
@@ -170,7 +170,7 @@
     };
     let transaction = model::TableTransaction {
         conditions: vec![model::TableCondition { key: keys::pool_tenure(), version: seen.version }],
-        writes: vec![writer::write_of(keys::pool_tenure(), &row)],
+        writes: vec![writer::encode_write(keys::pool_tenure(), &row)],
     };
     let sent_at = state.adapters.clock().now();
     let versions = match store_call::transact(state, transaction).await {
@@ -180,7 +180,7 @@
     };
     let Some(version) = versions.first().copied() else { return TakeOutcome::NotTaken };
     let epoch = row.epoch;
-    TakeOutcome::Taken(lead::TakenTenure {
+    TakeOutcome::Taken(leader::TakenTenure {
         epoch,
         version,
         sent_at,
@@ -212,13 +212,13 @@
     seen: &tenure_watch::SeenRow,
 ) -> Duration {
     let times = state.settings.tenure;
-    if seen.is_of(&state.settings.peer_address) {
+    if seen.is_held_at(&state.settings.peer_address) {
         return Duration::ZERO;
     }
     // Who is strong shows only once all have written their rows.
-    let first = if seen.row.is_none() { times.first_start } else { Duration::ZERO };
+    let first = if seen.row.is_none() { times.first_start_delay } else { Duration::ZERO };
     let to_stronger =
-        if state.knows_stronger_instance() { times.deference } else { Duration::ZERO };
+        if state.knows_stronger_instance() { times.weaker_delay } else { Duration::ZERO };
     first + to_stronger
 }
 
--- a/crates/pool/src/document_follower.rs
+++ b/crates/pool/src/document_follower.rs
@@ -80,12 +80,18 @@
     read: &row_feed::FeedRows,
 ) {
     take_document(state, &read.rows);
-    state.evacuations.offer(evacuation::view_of(read, S::Reader::evacuated_data_center), "store");
+    state
+        .evacuations
+        .replace(evacuation::view_from_table(read, S::Reader::evacuated_data_center), "store");
 }
 
 fn take_changes<S: state::PoolAdapters>(state: &state::PoolState<S>, read: &row_feed::FeedRows) {
     take_document(state, &read.rows);
-    state.evacuations.follow(read.rows.iter(), read.version, S::Reader::evacuated_data_center);
+    state.evacuations.apply_changes(
+        read.rows.iter(),
+        read.version,
+        S::Reader::evacuated_data_center,
+    );
 }
 
 fn take_document<S: state::PoolAdapters>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
@@ -123,7 +129,7 @@
             offer(state, &source, "peer");
         }
         if let Some(view) = pulled.evacuations {
-            state.evacuations.offer(view, "peer");
+            state.evacuations.replace(view, "peer");
         }
     }
 }
--- a/crates/pool/src/evacuation.rs
+++ b/crates/pool/src/evacuation.rs
@@ -17,13 +17,13 @@
 /// The evacuations in force.
 #[derive(Debug)]
 pub struct EvacuationSlot {
-    book: Mutex<EvacuationBook>,
+    evacuated: Mutex<EvacuationSet>,
     changes: watch::Sender<u64>,
 }
 
 /// What is known, as of one version of the store.
 #[derive(Debug, Default)]
-struct EvacuationBook {
+struct EvacuationSet {
     version: Option<ids::RowVersion>,
     /// Since when each is in force here.
     since: BTreeMap<ids::DataCenter, Instant>,
@@ -31,7 +31,7 @@
 
 impl Default for EvacuationSlot {
     fn default() -> EvacuationSlot {
-        EvacuationSlot { book: Mutex::default(), changes: watch::Sender::new(0) }
+        EvacuationSlot { evacuated: Mutex::default(), changes: watch::Sender::new(0) }
     }
 }
 
@@ -43,64 +43,65 @@
 
     /// What is known, for peers; nothing before the first read.
     pub fn view(&self) -> Option<model::EvacuationView> {
-        let book = state::lock(&self.book);
-        let data_centers = book.since.keys().cloned().collect();
-        book.version.map(|version| model::EvacuationView { version, data_centers })
+        let evacuated = state::lock(&self.evacuated);
+        let data_centers = evacuated.since.keys().cloned().collect();
+        evacuated.version.map(|version| model::EvacuationView { version, data_centers })
     }
 
     /// The data centres under evacuation.
     pub fn data_centers(&self) -> Arc<[ids::DataCenter]> {
-        state::lock(&self.book).since.keys().cloned().collect()
+        state::lock(&self.evacuated).since.keys().cloned().collect()
     }
 
     /// Takes in all of them, as of a version of the store. `origin` says who brought it.
-    pub fn offer(&self, view: model::EvacuationView, origin: &str) {
-        let mut book = state::lock(&self.book);
-        if book.version.is_some_and(|it| view.version <= it) {
+    pub fn replace(&self, view: model::EvacuationView, origin: &str) {
+        let mut evacuated = state::lock(&self.evacuated);
+        if evacuated.version.is_some_and(|it| view.version <= it) {
             return;
         }
-        let ended = book.since.keys().filter(|it| !view.data_centers.contains(it));
+        let ended = evacuated.since.keys().filter(|it| !view.data_centers.contains(it));
         let mut has_changed = false;
         for data_center in ended.cloned().collect::<Vec<_>>() {
-            has_changed |= book.end(&data_center, view.version, origin);
+            has_changed |= evacuated.end(&data_center, view.version, origin);
         }
         for data_center in view.data_centers {
-            has_changed |= book.begin(data_center, view.version, origin);
+            has_changed |= evacuated.begin(data_center, view.version, origin);
         }
-        book.version = Some(view.version);
-        self.tell(&book, has_changed);
+        evacuated.version = Some(view.version);
+        self.notify(&evacuated, has_changed);
     }
 
     /// Takes in what has changed until `version`: each row that `name` takes for one of an evacuation.
-    pub fn follow<'a>(
+    pub fn apply_changes<'a>(
         &self,
         rows: impl Iterator<Item = &'a row_feed::FeedRow>,
         version: ids::RowVersion,
         name: impl Fn(&str) -> Option<&str>,
     ) {
-        let mut book = state::lock(&self.book);
-        let Some(known) = book.version else { return };
+        let mut evacuated = state::lock(&self.evacuated);
+        let Some(known) = evacuated.version else { return };
         let mut has_changed = false;
         for row in rows.filter(|it| it.version > known) {
             let Some(data_center) = name(&row.key) else { continue };
             has_changed |= match row.value {
-                Some(_) => book.begin(data_center.to_owned(), row.version, "store"),
-                None => book.end(data_center, row.version, "store"),
+                Some(_) => evacuated.begin(data_center.to_owned(), row.version, "store"),
+                None => evacuated.end(data_center, row.version, "store"),
             };
         }
-        book.version = Some(version.max(known));
-        self.tell(&book, has_changed);
+        evacuated.version = Some(version.max(known));
+        self.notify(&evacuated, has_changed);
     }
 
-    fn tell(&self, book: &EvacuationBook, has_changed: bool) {
+    fn notify(&self, evacuated: &EvacuationSet, has_changed: bool) {
         if has_changed {
-            metrics::gauge!("almondpass_pool_evacuated_data_centers").set(book.since.len() as f64);
+            metrics::gauge!("almondpass_pool_evacuated_data_centers")
+                .set(evacuated.since.len() as f64);
             self.changes.send_modify(|it| *it += 1);
         }
     }
 }
 
-impl EvacuationBook {
+impl EvacuationSet {
     /// Tells whether it was not known.
     fn begin(
         &mut self,
@@ -126,7 +127,7 @@
 }
 
 /// The evacuations that a whole read of the table tells.
-pub(crate) fn view_of<'a>(
+pub(crate) fn view_from_table<'a>(
     read: &'a row_feed::FeedRows,
     name: impl Fn(&'a str) -> Option<&'a str>,
 ) -> model::EvacuationView {
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -11,11 +11,11 @@
 use tokio::time;
 
 use crate::feed_monitor;
-use crate::lead;
-use crate::lead_loader;
+use crate::leader;
 use crate::missed_job;
 use crate::state;
 use crate::store_call;
+use crate::tenure_loader;
 
 /// How long the store may wait for a change. Bounds for how long a connection that has gone
 /// silent is believed in.
@@ -27,16 +27,16 @@
 /// Follows until the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
     mut after: ids::RowVersion,
 ) {
     let mut monitor = feed_monitor::FeedMonitor::new("jobs");
     loop {
         match next(&state, &mut monitor, after).await {
             // Rows that could not be taken come again.
-            Ok(rows) if take(&state, &lead, &rows.rows) => {
+            Ok(rows) if take(&state, &leader, &rows.rows) => {
                 after = after.max(rows.version);
-                lead.set_graphs_until(after);
+                leader.set_applied_graph_version(after);
             }
             Ok(_) => time::sleep(AGAIN).await,
             Err(error) => {
@@ -72,30 +72,31 @@
 /// Takes rows of accepted job graphs into the core.
 fn take<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    lead: &Arc<lead::LeadState>,
+    leader: &Arc<leader::LeaderState>,
     rows: &[row_feed::FeedRow],
 ) -> bool {
     let admitted = rows.iter().filter_map(|row| {
-        let admitted = lead_loader::read_graph(row, intake::JobOrigin::Feed, lead.taken_at)?;
-        is_new(state, lead, &admitted).then_some(admitted)
+        let admitted =
+            tenure_loader::decode_graph_row(row, intake::JobOrigin::Feed, leader.taken_version)?;
+        is_new(state, leader, &admitted).then_some(admitted)
     });
-    rows.is_empty() || admit(state, lead, admitted)
+    rows.is_empty() || admit(state, leader, admitted)
 }
 
 /// Whether a row is to be taken in as it is. One that the feed has passed and that is not
 /// known was forgotten since, or missed: only the store can tell, and what was saved of its progress.
 fn is_new<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    lead: &Arc<lead::LeadState>,
+    leader: &Arc<leader::LeaderState>,
     admitted: &intake::AdmittedJob,
 ) -> bool {
-    if lead.core().knows(admitted.graph, admitted.row.cancelled) {
+    if leader.core().knows(admitted.graph, admitted.row.cancelled) {
         return false;
     }
-    if admitted.version > lead.graphs_until() {
+    if admitted.version > leader.applied_graph_version() {
         return true;
     }
-    missed_job::recover(state, lead, admitted.graph);
+    missed_job::recover(state, leader, admitted.graph);
     false
 }
 
@@ -103,10 +104,10 @@
 /// can't be taken, the feed or another nudge brings it.
 pub(crate) fn accept_nudge<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    lead: &Arc<lead::LeadState>,
+    leader: &Arc<leader::LeaderState>,
     nudge: &model::GraphNudge,
 ) -> bool {
-    if lead.core().knows(nudge.graph, nudge.row.cancelled) {
+    if leader.core().knows(nudge.graph, nudge.row.cancelled) {
         return true;
     }
     let admitted = intake::AdmittedJob {
@@ -115,25 +116,25 @@
         version: nudge.version,
         origin: intake::JobOrigin::Nudge,
         progress: progress::SavedChunks::default(),
-        inherited: nudge.version < lead.taken_at,
+        inherited: nudge.version < leader.taken_version,
     };
-    is_new(state, lead, &admitted) && admit(state, lead, std::iter::once(admitted))
+    is_new(state, leader, &admitted) && admit(state, leader, std::iter::once(admitted))
 }
 
 /// Takes job graphs into the core. A holder that isn't firm takes none: another may have taken
 /// over, and would not know that this one has started them.
 pub(crate) fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     admitted: impl Iterator<Item = intake::AdmittedJob>,
 ) -> bool {
-    if !lead.is_firm(state.adapters.clock()) {
+    if !leader.is_exclusive(state.adapters.clock()) {
         return false;
     }
     let now = state.adapters.clock().now();
     for it in admitted {
-        lead.core().admit(it, now);
+        leader.core().admit(it, now);
     }
-    lead.turn_due.notify_one();
+    leader.round_due.notify_one();
     true
 }
--- a/crates/pool/src/hand_over.rs
+++ b/crates/pool/src/hand_over.rs
@@ -11,7 +11,7 @@
 use almondpass_schema::ids;
 use tokio::time;
 
-use crate::lead;
+use crate::leader;
 use crate::state;
 
 /// A tenure is kept for at least this long, and behind its settling: its beginning is the busiest time, the
@@ -36,23 +36,27 @@
 /// Gives the tenure up once a stronger instance is found to which it was not offered before.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
 ) {
-    while !lead.core().is_settled(state.adapters.clock().now()) {
+    while !leader.core().is_settled(state.adapters.clock().now()) {
         time::sleep(INTERVAL).await;
     }
     time::sleep(KEPT_FOR).await;
     let mut wanted_since = None;
     loop {
         // While the store is away a tenure that is given up could be taken by nobody.
-        let may_write = lead.is_firm(state.adapters.clock()) && !state.is_store_unavailable();
+        let may_write =
+            leader.is_exclusive(state.adapters.clock()) && !state.is_store_unavailable();
         if may_write && knows_new(&state) {
             let now = state.adapters.clock().now();
             let since = *wanted_since.get_or_insert(now);
-            if now >= since + SILENCE_PATIENCE || lead.core().all_answer() {
-                tracing::info!(epoch = lead.epoch, "tenure is handed over to a stronger instance");
+            if now >= since + SILENCE_PATIENCE || leader.core().all_answer() {
+                tracing::info!(
+                    epoch = leader.epoch,
+                    "tenure is handed over to a stronger instance"
+                );
                 note_offered(&state);
-                lead.giving_up.cancel();
+                leader.release_requested.cancel();
                 return;
             }
         }
--- a/crates/pool/src/instance.rs
+++ b/crates/pool/src/instance.rs
@@ -4,20 +4,24 @@
 
 use tokio::task::JoinSet;
 
+use crate::contender;
 use crate::document_follower;
 use crate::member_list;
-use crate::part;
-use crate::seat;
 use crate::state;
+use crate::supervisor;
 
 /// Follows the configuration and the peers, and schedules when it is this instance's turn.
 /// Returns once the instance is leaving and has given up the tenure.
 pub async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut parts = JoinSet::new();
     let shared = Arc::clone(&state);
-    parts.spawn(part::keep("configuration", move || document_follower::run(Arc::clone(&shared))));
+    parts.spawn(supervisor::restart_on_panic("configuration", move || {
+        document_follower::run(Arc::clone(&shared))
+    }));
     let shared = Arc::clone(&state);
-    parts.spawn(part::keep("members", move || member_list::run(Arc::clone(&shared))));
-    part::keep("tenure", || seat::run(Arc::clone(&state))).await;
+    parts.spawn(supervisor::restart_on_panic("members", move || {
+        member_list::run(Arc::clone(&shared))
+    }));
+    supervisor::restart_on_panic("tenure", || contender::run(Arc::clone(&state))).await;
     parts.shutdown().await;
 }
--- a/crates/pool/src/job_query.rs
+++ b/crates/pool/src/job_query.rs
@@ -10,7 +10,7 @@
 use almondpass_schema::{ids, model};
 use tokio::time::{self, Instant};
 
-use crate::lead;
+use crate::leader;
 use crate::nudge;
 use crate::relay;
 use crate::state;
@@ -82,8 +82,8 @@
     state: &state::PoolState<S>,
     class: &ids::ClassName,
 ) -> Option<u64> {
-    if let Some(lead) = state.lead() {
-        return Some(lead.core().backlog(class));
+    if let Some(leader) = state.leader() {
+        return Some(leader.core().backlog(class));
     }
     let holder = state.remote_holder()?;
     let query = model::BacklogQuery { class: class.clone() };
@@ -92,9 +92,12 @@
 }
 
 /// What the holder of the tenure knows of a job.
-pub(crate) fn answer_as_holder(lead: &lead::LeadState, graph: ids::GraphId) -> model::GraphAnswer {
+pub(crate) fn answer_as_holder(
+    leader: &leader::LeaderState,
+    graph: ids::GraphId,
+) -> model::GraphAnswer {
     let schedules = Some(true);
-    let core = lead.core();
+    let core = leader.core();
     let Some(shown) = core.state_of(graph) else {
         return model::GraphAnswer { schedules, ..model::GraphAnswer::default() };
     };
@@ -119,8 +122,8 @@
     state: &state::PoolState<S>,
     query: model::GraphQuery,
 ) -> Option<model::GraphAnswer> {
-    if let Some(lead) = state.lead() {
-        return Some(answer_as_holder(&lead, query.graph));
+    if let Some(leader) = state.leader() {
+        return Some(answer_as_holder(&leader, query.graph));
     }
     let holder = state.remote_holder()?;
     let answer = state.adapters.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
--- a/crates/pool/src/lead.rs
+++ b/crates/pool/src/leader.rs
@@ -14,42 +14,42 @@
 
 use crate::graph_follower;
 use crate::hand_over;
-use crate::lead_loader;
 use crate::predecessor;
 use crate::predecessor_list;
 use crate::retention;
+use crate::scheduling_loop;
 use crate::settings;
-use crate::standing;
 use crate::state;
-use crate::turner;
+use crate::tenure_loader;
+use crate::tenure_status;
 use crate::worker_follower;
 use crate::writer;
 
 /// State of a tenure; its parts hold it in an `Arc`.
 #[derive(Debug)]
-pub struct LeadState {
+pub struct LeaderState {
     /// Number of the tenure; the fencing token of its orders.
     pub epoch: ids::Epoch,
     /// Version of the tenure's row when it was taken: rows below it are from before.
-    pub taken_at: ids::RowVersion,
+    pub taken_version: ids::RowVersion,
     core: Mutex<core::PoolCore>,
-    tenure: Mutex<standing::TenureState>,
+    tenure: Mutex<tenure_status::TenureState>,
     /// When an order may have left last, if any has.
     ordered_at: Mutex<Option<Duration>>,
     predecessors: Mutex<predecessor_list::PredecessorList>,
-    graphs_until: AtomicU64,
+    applied_graph_version: AtomicU64,
     missed_jobs: Mutex<BTreeSet<ids::GraphId>>,
     senders: Mutex<BTreeMap<ids::WorkerId, mpsc::UnboundedSender<order::PoolOrder>>>,
     /// A turn is due.
-    pub(crate) turn_due: Notify,
+    pub(crate) round_due: Notify,
     /// Something is to be saved.
     pub(crate) save_due: Notify,
     /// Something was saved.
     pub(crate) saved: Notify,
     /// The tenure is to be given up although the instance stays.
-    pub(crate) giving_up: CancellationToken,
+    pub(crate) release_requested: CancellationToken,
     /// Ends with the tenure.
-    pub(crate) over: CancellationToken,
+    pub(crate) ended: CancellationToken,
 }
 
 /// A tenure that was just taken.
@@ -67,27 +67,27 @@
     pub(crate) notes_silence: bool,
 }
 
-impl LeadState {
+impl LeaderState {
     pub(crate) fn new(
         taken: &TakenTenure,
         times: settings::TenureTimes,
         core: core::PoolCore,
-    ) -> LeadState {
-        LeadState {
+    ) -> LeaderState {
+        LeaderState {
             epoch: taken.epoch,
-            taken_at: taken.version,
+            taken_version: taken.version,
             core: Mutex::new(core),
-            tenure: Mutex::new(standing::TenureState::new(times, taken.sent_at)),
+            tenure: Mutex::new(tenure_status::TenureState::new(times, taken.sent_at)),
             ordered_at: Mutex::default(),
             predecessors: Mutex::new(taken.predecessors.clone()),
-            graphs_until: AtomicU64::new(0),
+            applied_graph_version: AtomicU64::new(0),
             missed_jobs: Mutex::default(),
             senders: Mutex::default(),
-            turn_due: Notify::new(),
+            round_due: Notify::new(),
             save_due: Notify::new(),
             saved: Notify::new(),
-            giving_up: CancellationToken::new(),
-            over: CancellationToken::new(),
+            release_requested: CancellationToken::new(),
+            ended: CancellationToken::new(),
         }
     }
 
@@ -96,17 +96,17 @@
         state::lock(&self.core)
     }
 
-    pub(crate) fn tenure(&self) -> MutexGuard<'_, standing::TenureState> {
+    pub(crate) fn tenure(&self) -> MutexGuard<'_, tenure_status::TenureState> {
         state::lock(&self.tenure)
     }
 
     /// Up to which version all rows of accepted jobs were taken in.
-    pub(crate) fn graphs_until(&self) -> ids::RowVersion {
-        self.graphs_until.load(Ordering::Relaxed)
+    pub(crate) fn applied_graph_version(&self) -> ids::RowVersion {
+        self.applied_graph_version.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn set_graphs_until(&self, version: ids::RowVersion) {
-        self.graphs_until.store(version, Ordering::Relaxed);
+    pub(crate) fn set_applied_graph_version(&self, version: ids::RowVersion) {
+        self.applied_graph_version.store(version, Ordering::Relaxed);
     }
 
     /// Jobs that are being looked for in the store.
@@ -115,14 +115,14 @@
     }
 
     /// Whether no order leaves any more.
-    pub fn is_over(&self) -> bool {
-        self.over.is_cancelled()
+    pub fn has_ended(&self) -> bool {
+        self.ended.is_cancelled()
     }
 
     /// Whether orders may be given now; if so, they are taken to be.
-    pub(crate) fn may_order(&self, clock: &impl BootClock) -> bool {
+    pub(crate) fn permit_order(&self, clock: &impl BootClock) -> bool {
         let now = clock.now();
-        let may_order = !self.over.is_cancelled() && self.tenure().may_order(now);
+        let may_order = !self.ended.is_cancelled() && self.tenure().may_order(now);
         if may_order {
             *state::lock(&self.ordered_at) = Some(now);
         }
@@ -140,14 +140,14 @@
     }
 
     /// Whether nobody else can hold the tenure now.
-    pub(crate) fn is_firm(&self, clock: &impl BootClock) -> bool {
-        self.tenure().standing(clock.now()) == standing::TenureStanding::Firm
+    pub(crate) fn is_exclusive(&self, clock: &impl BootClock) -> bool {
+        self.tenure().status(clock.now()) == tenure_status::TenureStatus::Firm
     }
 
     /// Ends the tenure here; no order leaves from now on.
     pub(crate) fn end(&self) {
         self.tenure().end();
-        self.over.cancel();
+        self.ended.cancel();
     }
 
     /// Hands an order to the sender of its worker. Returns it where there is none.
@@ -163,7 +163,7 @@
     }
 
     /// The workers to which nothing can be sent yet.
-    pub(crate) fn without_sender(&self) -> Vec<ids::WorkerId> {
+    pub(crate) fn workers_without_sender(&self) -> Vec<ids::WorkerId> {
         let core = self.core();
         let senders = state::lock(&self.senders);
         core.worker_ids().filter(|it| !senders.contains_key(*it)).cloned().collect()
@@ -177,7 +177,7 @@
         state::lock(&self.senders).insert(worker.clone(), sender);
     }
 
-    pub(crate) fn drop_sender(&self, worker: &ids::WorkerId) {
+    pub(crate) fn remove_sender(&self, worker: &ids::WorkerId) {
         state::lock(&self.senders).remove(worker);
     }
 }
@@ -200,15 +200,15 @@
     // The tenure is renewed, and with it what is known of losses, before anything is loaded.
     core.inherit_silence_notes(taken.notes_silence);
     core.begin_losses(taken.losses.as_ref(), state.adapters.clock().now());
-    let lead = Arc::new(LeadState::new(&taken, state.settings.tenure, core));
-    let _held = HeldTenure { state: &state, lead: &lead };
+    let leader = Arc::new(LeaderState::new(&taken, state.settings.tenure, core));
+    let _held = TenureGuard { state: &state, leader: &leader };
     let mut parts = JoinSet::new();
-    parts.spawn(serve(Arc::clone(&state), Arc::clone(&lead), taken));
+    parts.spawn(serve(Arc::clone(&state), Arc::clone(&leader), taken));
     // From the start on: while the store is slow the reads take longer than the term, and each
     // successor would lose the tenure to the next one before it had scheduled anything.
-    writer::run(&state, &lead, version).await;
-    let was_given_up = lead.giving_up.is_cancelled();
-    lead.end();
+    writer::run(&state, &leader, version).await;
+    let was_given_up = leader.release_requested.is_cancelled();
+    leader.end();
     parts.shutdown().await;
     tracing::info!(epoch, "tenure is over");
     was_given_up
@@ -216,17 +216,17 @@
 
 /// A tenure that ends here however its work ends, by a panic too: callers and peers would be answered by
 /// what it knew.
-struct HeldTenure<'a, S: state::PoolAdapters> {
+struct TenureGuard<'a, S: state::PoolAdapters> {
     state: &'a state::PoolState<S>,
-    lead: &'a LeadState,
+    leader: &'a LeaderState,
 }
 
-impl<S: state::PoolAdapters> Drop for HeldTenure<'_, S> {
+impl<S: state::PoolAdapters> Drop for TenureGuard<'_, S> {
     fn drop(&mut self) {
-        self.lead.end();
-        let unsaved = self.lead.core().unsaved_suspicions();
-        self.state.record_tenure_end(self.lead.ordered_at(), unsaved);
-        self.state.set_lead(None);
+        self.leader.end();
+        let unsaved = self.leader.core().unsaved_suspicions();
+        self.state.record_tenure_end(self.leader.ordered_at(), unsaved);
+        self.state.set_leader(None);
         self.state.set_taken_epoch(None);
         metrics::gauge!("almondpass_pool_held").set(0.0);
     }
@@ -235,26 +235,26 @@
 /// Reads how the pools stand, then schedules.
 async fn serve<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<LeadState>,
+    leader: Arc<LeaderState>,
     taken: TakenTenure,
 ) {
     // However this ends, by a panic too: a tenure that is renewed and not served would keep the
     // others from scheduling.
-    let _giving_up = lead.giving_up.clone().drop_guard();
-    let Some(loaded) = lead_loader::load(&state, &taken).await else {
+    let _giving_up = leader.release_requested.clone().drop_guard();
+    let Some(loaded) = tenure_loader::load(&state, &taken).await else {
         tracing::warn!(epoch = taken.epoch, "tenure is given up: its rows can't be read");
         return;
     };
-    *lead.core() = loaded.core;
-    lead.set_graphs_until(loaded.graphs_at);
-    state.set_lead(Some(Arc::clone(&lead)));
+    *leader.core() = loaded.core;
+    leader.set_applied_graph_version(loaded.graphs_version);
+    state.set_leader(Some(Arc::clone(&leader)));
     metrics::gauge!("almondpass_pool_held").set(1.0);
     tokio::join!(
-        graph_follower::run(Arc::clone(&state), Arc::clone(&lead), loaded.graphs_at),
-        worker_follower::run(Arc::clone(&state), Arc::clone(&lead), loaded.workers_at),
-        turner::run(Arc::clone(&state), Arc::clone(&lead)),
-        hand_over::run(Arc::clone(&state), Arc::clone(&lead)),
-        predecessor::run(Arc::clone(&state), Arc::clone(&lead)),
-        retention::run(Arc::clone(&state), Arc::clone(&lead)),
+        graph_follower::run(Arc::clone(&state), Arc::clone(&leader), loaded.graphs_version),
+        worker_follower::run(Arc::clone(&state), Arc::clone(&leader), loaded.workers_version),
+        scheduling_loop::run(Arc::clone(&state), Arc::clone(&leader)),
+        hand_over::run(Arc::clone(&state), Arc::clone(&leader)),
+        predecessor::run(Arc::clone(&state), Arc::clone(&leader)),
+        retention::run(Arc::clone(&state), Arc::clone(&leader)),
     );
 }
--- a/crates/pool/src/member_list.rs
+++ b/crates/pool/src/member_list.rs
@@ -93,7 +93,7 @@
         address: settings.peer_address.clone(),
         strength_milli: settings.strength_milli,
     };
-    let write = writer::write_of(keys::instance(&settings.peer_address), &row);
+    let write = writer::encode_write(keys::instance(&settings.peer_address), &row);
     let transaction = model::TableTransaction { conditions: Vec::new(), writes: vec![write] };
     let written = store_call::transact(state, transaction).await;
     if let Err(error) = &written {
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -11,7 +11,7 @@
 
 use crate::graph_follower;
 use crate::job_query;
-use crate::lead;
+use crate::leader;
 use crate::state;
 
 /// Wait before a job that could not be read or taken in is looked for again; doubled for each further time.
@@ -23,15 +23,15 @@
 /// Looks for a job in the store and takes it in, without waiting for it.
 pub(crate) fn recover<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    lead: &Arc<lead::LeadState>,
+    leader: &Arc<leader::LeaderState>,
     graph: ids::GraphId,
 ) {
-    if !lead.missed_jobs().insert(graph) {
+    if !leader.missed_jobs().insert(graph) {
         return;
     }
-    let (state, mark) = (Arc::clone(state), MissedMark { lead: Arc::clone(lead), graph });
+    let (state, mark) = (Arc::clone(state), MissedMark { leader: Arc::clone(leader), graph });
     tokio::spawn(async move {
-        look_for(&state, &mark.lead, graph).await;
+        look_for(&state, &mark.leader, graph).await;
         drop(mark);
     });
 }
@@ -39,13 +39,13 @@
 /// Looks for a job until it is known, or nowhere to be found, or the tenure is over.
 async fn look_for<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     graph: ids::GraphId,
 ) {
     let mut again = FIRST_AGAIN;
     loop {
-        let is_over = match read(state, lead, graph).await {
-            Ok(Some(missed)) => admit(state, lead, missed),
+        let is_over = match read(state, leader, graph).await {
+            Ok(Some(missed)) => admit(state, leader, missed),
             Ok(None) => true,
             Err(job_query::ReadFailure) => false,
         };
@@ -53,7 +53,7 @@
             return;
         }
         tokio::select! {
-            () = lead.over.cancelled() => return,
+            () = leader.ended.cancelled() => return,
             () = time::sleep(again) => {}
         }
         again = (again * 2).min(LONGEST_AGAIN);
@@ -62,30 +62,30 @@
 
 /// A job that is being looked for. It ends with its task, by a panic too: else nobody would look for it again.
 struct MissedMark {
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
     graph: ids::GraphId,
 }
 
 impl Drop for MissedMark {
     fn drop(&mut self) {
-        self.lead.missed_jobs().remove(&self.graph);
+        self.leader.missed_jobs().remove(&self.graph);
     }
 }
 
 /// Takes a job in. Tells whether it is known from then on; a holder that isn't firm takes none.
 fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     missed: intake::AdmittedJob,
 ) -> bool {
     let graph = missed.graph;
-    if lead.core().knows(graph, missed.row.cancelled) {
+    if leader.core().knows(graph, missed.row.cancelled) {
         return true;
     }
-    if !graph_follower::admit(state, lead, std::iter::once(missed)) {
+    if !graph_follower::admit(state, leader, std::iter::once(missed)) {
         return false;
     }
-    let followed_until = lead.graphs_until();
+    let followed_until = leader.applied_graph_version();
     tracing::warn!(job = format_args!("{graph:016x}"), followed_until, "missed job is taken in");
     metrics::counter!("almondpass_pool_missed_jobs_total").increment(1);
     true
@@ -95,7 +95,7 @@
 /// job is forgotten, and one without progress would run once more: so it has to be there still at the end.
 async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     graph: ids::GraphId,
 ) -> Result<Option<intake::AdmittedJob>, job_query::ReadFailure> {
     let accepted = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
@@ -110,7 +110,7 @@
     }
     let kept = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
     let Some((row, version)) = kept else { return Ok(None) };
-    let inherited = version < lead.taken_at || !saved.is_empty();
+    let inherited = version < leader.taken_version || !saved.is_empty();
     let origin = intake::JobOrigin::Lookup;
     Ok(Some(intake::AdmittedJob { graph, row, version, origin, progress: saved, inherited }))
 }
--- a/crates/pool/src/nudge.rs
+++ b/crates/pool/src/nudge.rs
@@ -67,7 +67,7 @@
     state: &Arc<state::PoolState<S>>,
     nudge: model::GraphNudge,
 ) {
-    if state.lead().is_some_and(|lead| graph_follower::accept_nudge(state, &lead, &nudge)) {
+    if state.leader().is_some_and(|leader| graph_follower::accept_nudge(state, &leader, &nudge)) {
         return;
     }
     let key = (nudge.graph, nudge.row.cancelled);
@@ -136,8 +136,8 @@
     state: &Arc<state::PoolState<S>>,
     nudge: &model::GraphNudge,
 ) -> Result<(), NudgeFault> {
-    if let Some(lead) = state.lead() {
-        let is_known = graph_follower::accept_nudge(state, &lead, nudge);
+    if let Some(leader) = state.leader() {
+        let is_known = graph_follower::accept_nudge(state, &leader, nudge);
         return is_known.then_some(()).ok_or(NudgeFault::NotKnown);
     }
     let holder = state.remote_holder().ok_or(NudgeFault::NoHolder)?;
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -8,32 +8,32 @@
 
 use crate::control::{self, TaskControl};
 use crate::fencing;
-use crate::lead;
+use crate::leader;
 use crate::session;
 use crate::state;
 
 /// Sends until the session with the worker ends.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
     mut orders: mpsc::UnboundedReceiver<order::PoolOrder>,
 ) {
     while let Some(order) = orders.recv().await {
         // Judged right before the order leaves: this process may have stood still since the
         // decision, another may have taken over, and the worker may have started again.
-        let is_outdated = lead.core().is_outdated(&order, state.adapters.clock().now());
-        if lead.may_order(state.adapters.clock()) && !is_outdated {
-            send(&state, &lead, order).await;
-            lead.turn_due.notify_one();
+        let is_outdated = leader.core().is_outdated(&order, state.adapters.clock().now());
+        if leader.permit_order(state.adapters.clock()) && !is_outdated {
+            send(&state, &leader, order).await;
+            leader.round_due.notify_one();
         } else {
-            withhold(&state, &lead, &order);
+            withhold(&state, &leader, &order);
         }
     }
 }
 
 async fn send<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     order: order::PoolOrder,
 ) {
     let control = state.adapters.control();
@@ -45,15 +45,15 @@
     metrics::counter!("almondpass_pool_orders_total", "kind" => kind).increment(1);
     match order {
         order::PoolOrder::Start(start) => {
-            let token = fencing::token(lead.epoch, start.generation);
+            let token = fencing::token(leader.epoch, start.generation);
             let answer = control.start(token, &start).await;
-            lead.core().start_answered(&start, answer, state.adapters.clock().now());
+            leader.core().start_answered(&start, answer, state.adapters.clock().now());
         }
         order::PoolOrder::Stop(stop) => {
-            let token = fencing::token(lead.epoch, stop.generation);
+            let token = fencing::token(leader.epoch, stop.generation);
             let answer = control.stop(token, &stop).await;
             let now = state.adapters.clock().now();
-            let mut core = lead.core();
+            let mut core = leader.core();
             match answer {
                 Ok(()) => core.stop_answered(&stop, true, now),
                 Err(control::ControlFault::Replaced(_)) => {
@@ -69,7 +69,7 @@
             }
         }
         order::PoolOrder::Poll { worker } => {
-            session::look_now(state, lead, &worker).await;
+            session::poll_now(state, leader, &worker).await;
         }
     }
 }
@@ -77,11 +77,11 @@
 /// A start that does not leave has no effect; anything else is decided again.
 pub(crate) fn withhold<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     order: &order::PoolOrder,
 ) {
     if let order::PoolOrder::Start(start) = order {
         let now = state.adapters.clock().now();
-        lead.core().start_answered(start, order::StartAnswer::NotSent, now);
+        leader.core().start_answered(start, order::StartAnswer::NotSent, now);
     }
 }
--- a/crates/pool/src/peer_handler.rs
+++ b/crates/pool/src/peer_handler.rs
@@ -41,14 +41,14 @@
     }
 
     fn nudge(&self, nudge: &model::GraphNudge) -> model::NudgeTaken {
-        let lead = self.state.lead();
-        let known = lead.is_some_and(|it| graph_follower::accept_nudge(&self.state, &it, nudge));
+        let leader = self.state.leader();
+        let known = leader.is_some_and(|it| graph_follower::accept_nudge(&self.state, &it, nudge));
         model::NudgeTaken { known: Some(known) }
     }
 
     fn graph(&self, query: &model::GraphQuery) -> model::GraphAnswer {
-        let lead = self.state.lead();
-        lead.map(|it| job_query::answer_as_holder(&it, query.graph)).unwrap_or_default()
+        let leader = self.state.leader();
+        leader.map(|it| job_query::answer_as_holder(&it, query.graph)).unwrap_or_default()
     }
 
     async fn submit(&self, call: model::GraphSubmit) -> model::GraphSubmitted {
@@ -75,8 +75,8 @@
     }
 
     fn backlog(&self, query: &model::BacklogQuery) -> model::BacklogAnswer {
-        let lead = self.state.lead();
-        model::BacklogAnswer { waiting: lead.map(|it| it.core().backlog(&query.class)) }
+        let leader = self.state.leader();
+        model::BacklogAnswer { waiting: leader.map(|it| it.core().backlog(&query.class)) }
     }
 }
 
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -14,7 +14,7 @@
 use futures_util::future;
 use tokio::time;
 
-use crate::lead;
+use crate::leader;
 use crate::predecessor_list;
 use crate::state;
 
@@ -31,7 +31,7 @@
 
 /// When all that a holder has ordered has ended on workers that don't answer, if it gives no orders from
 /// `over_at` on.
-pub(crate) fn settles_behind(over_at: Duration, terms: &terms::PoolTerms) -> Duration {
+pub(crate) fn settles_after(over_at: Duration, terms: &terms::PoolTerms) -> Duration {
     over_at + ORDER_SLACK + lease_clock::at_most(terms.lease)
 }
 
@@ -39,12 +39,12 @@
 /// ordered has ended.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
 ) {
     let mut told = BTreeSet::new();
     loop {
         let now = state.adapters.clock().now();
-        let mut open = lead.predecessors().unsettled(now);
+        let mut open = leader.predecessors().unsettled(now);
         open.retain(|it| !it.address.is_empty() && !told.contains(&it.epoch));
         if open.is_empty() {
             return;
@@ -56,8 +56,8 @@
             told.insert(former.epoch);
             let now = state.adapters.clock().now();
             let over_at = now.saturating_sub(Duration::from_millis(over_for_ms));
-            note_over(&state, &lead, former, over_at);
-            let mut core = lead.core();
+            note_over(&state, &leader, former, over_at);
+            let mut core = leader.core();
             answer.unsaved.into_iter().for_each(|it| core.learn_suspicions(it, now));
         }
         time::sleep(AGAIN).await;
@@ -66,11 +66,11 @@
 
 fn note_over<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     former: &predecessor_list::Predecessor,
     over_at: Duration,
 ) {
-    let settles_at = settles_behind(over_at, &state.settings.terms);
+    let settles_at = settles_after(over_at, &state.settings.terms);
     let left_ms = settles_at.saturating_sub(state.adapters.clock().now()).as_millis() as u64;
     tracing::info!(
         former = former.holder,
@@ -78,9 +78,9 @@
         left_ms,
         "former holder of the tenure is over"
     );
-    lead.predecessors().settles_by(former.epoch, settles_at);
-    let settles_at = lead.predecessors().settles_at();
-    lead.core().settles_by(settles_at);
+    leader.predecessors().settles_by(former.epoch, settles_at);
+    let settles_at = leader.predecessors().settles_at();
+    leader.core().settles_by(settles_at);
 }
 
 /// Asks a former holder whether it is over. That it can't be reached tells nothing.
@@ -109,20 +109,20 @@
     if state.taken_epoch().is_some_and(|it| it > query.epoch) {
         return over_for(clock.now(), Vec::new());
     }
-    let lead = state.lead();
-    if let Some(lead) = lead.as_ref().filter(|it| !it.is_over()) {
-        tracing::warn!(epoch = lead.epoch, "tenure is ended for a successor");
+    let leader = state.leader();
+    if let Some(leader) = leader.as_ref().filter(|it| !it.has_ended()) {
+        tracing::warn!(epoch = leader.epoch, "tenure is ended for a successor");
         // Else it may have stood still, or been without the store, for long.
-        let ends_now = lead.may_order(clock);
-        lead.end();
+        let ends_now = leader.permit_order(clock);
+        leader.end();
         if ends_now {
-            return over_for(clock.now(), lead.core().unsaved_suspicions());
+            return over_for(clock.now(), leader.core().unsaved_suspicions());
         }
-    } else if lead.is_none() && state.taken_epoch().is_some() {
+    } else if leader.is_none() && state.taken_epoch().is_some() {
         return model::TenureAnswer::default();
     }
-    let ordered_at = lead.as_ref().and_then(|it| it.ordered_at()).max(state.last_order_at());
-    let unsaved = lead.map(|it| it.core().unsaved_suspicions());
+    let ordered_at = leader.as_ref().and_then(|it| it.ordered_at()).max(state.last_order_at());
+    let unsaved = leader.map(|it| it.core().unsaved_suspicions());
     let unsaved = unsaved.unwrap_or_else(|| state.unsaved_suspicions());
     over_for(ordered_at.unwrap_or(state.started_at), unsaved)
 }
--- a/crates/pool/src/predecessor_list.rs
+++ b/crates/pool/src/predecessor_list.rs
@@ -30,12 +30,12 @@
 pub(crate) struct PredecessorList {
     holders: Vec<Predecessor>,
     /// What others have ordered, who are not known by name, has ended by then.
-    others_settle_at: Duration,
+    unnamed_settle_at: Duration,
 }
 
 impl PredecessorList {
     /// Those that the tenure's row tells of, the one that has written it included.
-    pub(crate) fn of_row<S: state::PoolAdapters>(
+    pub(crate) fn from_row<S: state::PoolAdapters>(
         state: &state::PoolState<S>,
         seen: &tenure_watch::SeenRow,
     ) -> PredecessorList {
@@ -52,23 +52,23 @@
             }));
         } else {
             // The holder before may have gone on without the store.
-            let over_at = seen.epoch_since + state.settings.tenure.detached;
-            let settles_at = predecessor::settles_behind(over_at, &state.settings.terms);
-            list.others_settle_at = settles_at.max(told_at(row.settles_in_ms));
+            let over_at = seen.epoch_since + state.settings.tenure.max_detached;
+            let settles_at = predecessor::settles_after(over_at, &state.settings.terms);
+            list.unnamed_settle_at = settles_at.max(told_at(row.settles_in_ms));
         }
         list.settle_own(state);
         list
     }
 
     /// Others whose names are not known may have left what ends at `settles_at`.
-    pub(crate) fn add_others(&mut self, settles_at: Duration) {
-        self.others_settle_at = self.others_settle_at.max(settles_at);
+    pub(crate) fn add_unnamed(&mut self, settles_at: Duration) {
+        self.unnamed_settle_at = self.unnamed_settle_at.max(settles_at);
     }
 
     /// When all that any of them has ordered has ended, on workers that don't answer.
     pub(crate) fn settles_at(&self) -> Duration {
         let of_holders = self.holders.iter().map(|it| it.settles_at).max();
-        self.others_settle_at.max(of_holders.unwrap_or_default())
+        self.unnamed_settle_at.max(of_holders.unwrap_or_default())
     }
 
     /// All that a holder has ordered has ended at `settles_at`.
@@ -91,7 +91,7 @@
         let unsettled = self.unsettled(now);
         let mut named = unsettled.iter().take(MOST_NAMED).cloned().collect::<Vec<_>>();
         let left_out = unsettled.iter().skip(MOST_NAMED).map(|it| it.settles_at).max();
-        let others = self.others_settle_at.max(left_out.unwrap_or_default());
+        let others = self.unnamed_settle_at.max(left_out.unwrap_or_default());
         if now < others {
             named.push(Predecessor {
                 holder: ids::InstanceId::default(),
@@ -117,8 +117,7 @@
             let is_this = it.holder == settings.instance;
             let ordered_at = state.last_order_at().filter(|_| is_this);
             let over_at = ordered_at.unwrap_or(state.started_at);
-            it.settles_at =
-                it.settles_at.min(predecessor::settles_behind(over_at, &settings.terms));
+            it.settles_at = it.settles_at.min(predecessor::settles_after(over_at, &settings.terms));
         }
     }
 }
@@ -130,12 +129,12 @@
     row: &model::PoolTenure,
 ) -> Predecessor {
     let times = state.settings.tenure;
-    let goes_on = if row.released { Duration::ZERO } else { times.term + times.detached };
+    let goes_on = if row.released { Duration::ZERO } else { times.term + times.max_detached };
     let over_at = seen.first_seen + goes_on;
     Predecessor {
         holder: row.holder.clone(),
         address: row.address.clone(),
         epoch: row.epoch,
-        settles_at: predecessor::settles_behind(over_at, &state.settings.terms),
+        settles_at: predecessor::settles_after(over_at, &state.settings.terms),
     }
 }
--- a/crates/pool/src/retention.rs
+++ b/crates/pool/src/retention.rs
@@ -9,7 +9,7 @@
 use almondpass_schema::{ids, model};
 use tokio::time;
 
-use crate::lead;
+use crate::leader;
 use crate::state;
 use crate::store_call;
 use crate::writer;
@@ -24,28 +24,28 @@
 /// Removes rows until the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
 ) {
     loop {
         time::sleep(INTERVAL).await;
-        if !lead.is_firm(state.adapters.clock()) || state.is_store_unavailable() {
+        if !leader.is_exclusive(state.adapters.clock()) || state.is_store_unavailable() {
             continue;
         }
-        let expired = lead.core().expired_jobs(state.adapters.clock().now(), AT_A_TIME);
+        let expired = leader.core().expired_jobs(state.adapters.clock().now(), AT_A_TIME);
         for graph in expired {
             if !remove(&state, graph).await {
                 break;
             }
             tracing::info!(job = format_args!("{graph:016x}"), "ended job is forgotten");
-            lead.core().forget_job(graph);
-            lead.save_due.notify_one();
+            leader.core().forget_job(graph);
+            leader.save_due.notify_one();
         }
     }
 }
 
 /// Removes the row of an acceptance. Whoever holds the tenure may do so: the end is durable.
 async fn remove<S: state::PoolAdapters>(state: &state::PoolState<S>, graph: ids::GraphId) -> bool {
-    let writes = vec![writer::removal_of(keys::graph(graph))];
+    let writes = vec![writer::removal_write(keys::graph(graph))];
     let transaction = model::TableTransaction { conditions: Vec::new(), writes };
     let removed = store_call::transact(state, transaction).await;
     removed
--- a/crates/pool/src/turner.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -7,7 +7,7 @@
 use almondpass_ports::boot_clock::BootClock;
 use tokio::time::{self, Instant};
 
-use crate::lead;
+use crate::leader;
 use crate::order_sender;
 use crate::sessions;
 use crate::state;
@@ -40,33 +40,33 @@
 /// Turns until the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
 ) {
     let mut sessions = sessions::WorkerSessions::default();
     let mut versions = state.document.subscribe();
     let mut evacuations = state.evacuations.subscribe();
     let mut metered_at = Instant::now();
     loop {
-        sessions.keep(&state, &lead);
-        let tick = if lead.core().is_busy() { BUSY_TICK } else { IDLE_TICK };
+        sessions.keep(&state, &leader);
+        let tick = if leader.core().is_busy() { BUSY_TICK } else { IDLE_TICK };
         tokio::select! {
             biased;
-            () = lead.turn_due.notified() => time::sleep(GATHERING).await,
+            () = leader.round_due.notified() => time::sleep(GATHERING).await,
             () = time::sleep(tick) => {}
             Ok(()) = versions.changed() => {}
             Ok(()) = evacuations.changed() => {}
         }
-        lead.core().set_evacuated(state.evacuations.data_centers());
+        leader.core().set_evacuated(state.evacuations.data_centers());
         if let Some(document) = state.document.current() {
-            lead.core().set_catalog(Arc::clone(&document.catalog));
+            leader.core().set_catalog(Arc::clone(&document.catalog));
         }
         let began = Instant::now();
         if began >= metered_at + METER_INTERVAL {
-            meter(&lead.core().summary());
-            meter_waits(&lead.core().take_wait_counts());
+            meter(&leader.core().summary());
+            meter_waits(&leader.core().take_wait_counts());
             metered_at = began;
         }
-        turn(&state, &lead);
+        turn(&state, &leader);
         let took = began.elapsed();
         if took >= LONG_TURN {
             time::sleep((took * PAUSE_FACTOR).min(LONGEST_PAUSE)).await;
@@ -121,11 +121,11 @@
     }
 }
 
-fn turn<S: state::PoolAdapters>(state: &state::PoolState<S>, lead: &lead::LeadState) {
-    if !lead.may_order(state.adapters.clock()) {
+fn turn<S: state::PoolAdapters>(state: &state::PoolState<S>, leader: &leader::LeaderState) {
+    if !leader.permit_order(state.adapters.clock()) {
         return;
     }
-    let mut core = lead.core();
+    let mut core = leader.core();
     core.set_wall(state.adapters.clock().wall());
     core.turn(state.adapters.clock().now());
     let orders = core.take_orders();
@@ -136,16 +136,16 @@
     let (is_fenced_off, has_changes) = (core.is_fenced_off(), core.has_changes());
     drop(core);
     if is_fenced_off {
-        tracing::warn!(epoch = lead.epoch, "a later scheduler is at work");
-        lead.end();
+        tracing::warn!(epoch = leader.epoch, "a later scheduler is at work");
+        leader.end();
         return;
     }
     for order in orders {
-        if let Some(unsent) = lead.send_order(order) {
-            order_sender::withhold(state, lead, &unsent);
+        if let Some(unsent) = leader.send_order(order) {
+            order_sender::withhold(state, leader, &unsent);
         }
     }
     if has_changes {
-        lead.save_due.notify_one();
+        leader.save_due.notify_one();
     }
 }
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -10,7 +10,7 @@
 
 use crate::control::{self, TaskControl};
 use crate::fencing;
-use crate::lead;
+use crate::leader;
 use crate::state;
 
 /// Longest wait for ends to become durable before the worker is looked at again: while the store
@@ -26,104 +26,104 @@
 /// Looks until the worker or the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
     worker: ids::WorkerId,
 ) {
     loop {
-        if !lead.may_order(state.adapters.clock()) {
+        if !leader.permit_order(state.adapters.clock()) {
             time::sleep(PAUSE).await;
             continue;
         }
-        match look(&state, &lead, &worker).await {
-            LookOutcome::Answered => await_save(&lead, &worker).await,
-            LookOutcome::Missed => time::sleep(AGAIN).await,
-            LookOutcome::Over => break,
+        match poll(&state, &leader, &worker).await {
+            PollOutcome::Answered => await_save(&leader, &worker).await,
+            PollOutcome::Missed => time::sleep(AGAIN).await,
+            PollOutcome::Unlisted => break,
         }
     }
-    lead.drop_sender(&worker);
+    leader.remove_sender(&worker);
 }
 
 /// What a look at a worker gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LookOutcome {
+pub(crate) enum PollOutcome {
     /// The worker answered.
     Answered,
     /// It did not.
     Missed,
     /// It is no longer known.
-    Over,
+    Unlisted,
 }
 
 /// Looks at a worker once and takes in what it lists.
-pub(crate) async fn look<S: state::PoolAdapters>(
+pub(crate) async fn poll<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     worker: &ids::WorkerId,
-) -> LookOutcome {
+) -> PollOutcome {
     let now = state.adapters.clock().now();
-    let Some(ask) = lead.core().next_poll(worker, now) else { return LookOutcome::Over };
-    look_as(state, lead, worker, ask).await
+    let Some(ask) = leader.core().next_poll(worker, now) else { return PollOutcome::Unlisted };
+    poll_with(state, leader, worker, ask).await
 }
 
 /// Looks at a worker without letting it wait.
-pub(crate) async fn look_now<S: state::PoolAdapters>(
+pub(crate) async fn poll_now<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     worker: &ids::WorkerId,
-) -> LookOutcome {
+) -> PollOutcome {
     let now = state.adapters.clock().now();
-    let Some(mut ask) = lead.core().next_poll(worker, now) else { return LookOutcome::Over };
+    let Some(mut ask) = leader.core().next_poll(worker, now) else { return PollOutcome::Unlisted };
     ask.wait = Duration::ZERO;
-    look_as(state, lead, worker, ask).await
+    poll_with(state, leader, worker, ask).await
 }
 
-async fn look_as<S: state::PoolAdapters>(
+async fn poll_with<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     worker: &ids::WorkerId,
     ask: order::PollRequest,
-) -> LookOutcome {
+) -> PollOutcome {
     let clock = state.adapters.clock();
     let sent_at = clock.now();
     let target = control::WorkerTarget { worker: worker.clone(), address: ask.address.clone() };
-    let token = fencing::token(lead.epoch, ask.generation);
+    let token = fencing::token(leader.epoch, ask.generation);
     let answer = state.adapters.control().hold(&target, token, &ask).await;
     let now = clock.now();
-    let mut core = lead.core();
+    let mut core = leader.core();
     match answer {
         Ok(listed) => {
             core.poll_answered(worker, listed, sent_at, now);
             drop(core);
-            lead.turn_due.notify_one();
-            LookOutcome::Answered
+            leader.round_due.notify_one();
+            PollOutcome::Answered
         }
         Err(control::ControlFault::Replaced(_)) => {
             core.worker_replaced(worker, &ask.address, now);
-            lead.turn_due.notify_one();
-            LookOutcome::Missed
+            leader.round_due.notify_one();
+            PollOutcome::Missed
         }
         Err(control::ControlFault::Fenced) => {
             core.fenced_off(worker, ask.generation);
-            lead.turn_due.notify_one();
-            LookOutcome::Missed
+            leader.round_due.notify_one();
+            PollOutcome::Missed
         }
         Err(control::ControlFault::Call(error)) => {
             tracing::debug!(worker, %error, "look without answer");
             core.poll_missed(worker);
-            LookOutcome::Missed
+            PollOutcome::Missed
         }
     }
 }
 
 /// Waits until the ends that the worker listed are durable; before that it would list them again.
-async fn await_save(lead: &lead::LeadState, worker: &ids::WorkerId) {
+async fn await_save(leader: &leader::LeaderState, worker: &ids::WorkerId) {
     let saving = async {
         loop {
-            let saved = lead.saved.notified();
-            if !lead.core().has_unsaved_ends(worker) {
+            let saved = leader.saved.notified();
+            if !leader.core().has_unsaved_ends(worker) {
                 return;
             }
-            lead.save_due.notify_one();
+            leader.save_due.notify_one();
             saved.await;
         }
     };
--- a/crates/pool/src/sessions.rs
+++ b/crates/pool/src/sessions.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{self, JoinSet};
 
-use crate::lead;
+use crate::leader;
 use crate::order_sender;
 use crate::session;
 use crate::state;
@@ -25,16 +25,16 @@
     pub(crate) fn keep<S: state::PoolAdapters>(
         &mut self,
         state: &Arc<state::PoolState<S>>,
-        lead: &Arc<lead::LeadState>,
+        leader: &Arc<leader::LeaderState>,
     ) {
         while let Some(ended) = self.tasks.try_join_next_with_id() {
             match ended {
                 Ok((id, ())) => drop(self.workers.remove(&id)),
-                Err(error) => self.failed(state, lead, &error),
+                Err(error) => self.failed(state, leader, &error),
             }
         }
-        for worker in lead.without_sender() {
-            self.begin(state, lead, worker);
+        for worker in leader.workers_without_sender() {
+            self.begin(state, leader, worker);
         }
     }
 
@@ -43,13 +43,13 @@
     fn begin<S: state::PoolAdapters>(
         &mut self,
         state: &Arc<state::PoolState<S>>,
-        lead: &Arc<lead::LeadState>,
+        leader: &Arc<leader::LeaderState>,
         worker: ids::WorkerId,
     ) {
         let (sender, orders) = mpsc::unbounded_channel();
-        lead.add_sender(&worker, sender);
-        let sending = order_sender::run(Arc::clone(state), Arc::clone(lead), orders);
-        let looking = session::run(Arc::clone(state), Arc::clone(lead), worker.clone());
+        leader.add_sender(&worker, sender);
+        let sending = order_sender::run(Arc::clone(state), Arc::clone(leader), orders);
+        let looking = session::run(Arc::clone(state), Arc::clone(leader), worker.clone());
         let begun = self.tasks.spawn(async move {
             tokio::join!(looking, sending);
         });
@@ -59,7 +59,7 @@
     fn failed<S: state::PoolAdapters>(
         &mut self,
         state: &state::PoolState<S>,
-        lead: &lead::LeadState,
+        leader: &leader::LeaderState,
         error: &task::JoinError,
     ) {
         let Some(worker) = self.workers.remove(&error.id()) else { return };
@@ -67,8 +67,8 @@
         metrics::counter!("almondpass_pool_sessions_failed_total").increment(1);
         // Another one may have begun while this one sent its last orders.
         if !self.workers.values().any(|it| *it == worker) {
-            lead.drop_sender(&worker);
+            leader.remove_sender(&worker);
         }
-        lead.core().session_failed(&worker, state.adapters.clock().now());
+        leader.core().session_failed(&worker, state.adapters.clock().now());
     }
 }
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -28,17 +28,17 @@
     /// A watcher takes over when the tenure's row has not changed for this long.
     pub term: Duration,
     /// The holder counts its term this much shorter.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// The holder renews this often, if it has not written anything meanwhile.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// The holder goes on for this long behind its term while the store gives no answers.
-    pub detached: Duration,
+    pub max_detached: Duration,
     /// A watcher looks this often.
-    pub look: Duration,
+    pub watch_interval: Duration,
     /// A watcher that knows a stronger instance waits this much longer before it takes over.
-    pub deference: Duration,
+    pub weaker_delay: Duration,
     /// A tenure that nobody has held yet is left alone for this long.
-    pub first_start: Duration,
+    pub first_start_delay: Duration,
 }
 
 impl Default for TenureTimes {
@@ -49,16 +49,16 @@
             // other by 1.04 s then and are heard 0.54 s later.
             term: Duration::from_millis(2_000),
             // Clocks of two machines differ by far less over one term.
-            margin: Duration::from_millis(300),
-            renewal: Duration::from_millis(500),
+            clock_margin: Duration::from_millis(300),
+            renewal_interval: Duration::from_millis(500),
             // The store is away for up to 5.5 s on the users' sites.
-            detached: Duration::from_millis(5_000),
-            look: Duration::from_millis(600),
+            max_detached: Duration::from_millis(5_000),
+            watch_interval: Duration::from_millis(600),
             // One look of the stronger ones, with its spread.
-            deference: Duration::from_millis(900),
+            weaker_delay: Duration::from_millis(900),
             // Instances start within 0.8 s of each other on the users' sites, and read each other's
             // rows a second after their own start.
-            first_start: Duration::from_millis(1_500),
+            first_start_delay: Duration::from_millis(1_500),
         }
     }
 }
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -15,7 +15,7 @@
 use crate::document;
 use crate::evacuation;
 use crate::hand_over;
-use crate::lead;
+use crate::leader;
 use crate::nudge;
 use crate::relay;
 use crate::settings;
@@ -64,7 +64,7 @@
     /// Who holds the tenure, as last seen.
     holder: Mutex<Option<HolderView>>,
     /// The tenure, while this instance holds it.
-    lead: Mutex<Option<Arc<lead::LeadState>>>,
+    leader: Mutex<Option<Arc<leader::LeaderState>>>,
     /// Number of the tenure from its taking on, before its rows are read.
     taken_epoch: Mutex<Option<ids::Epoch>>,
     /// When an order of a tenure that is over here may have left last.
@@ -106,7 +106,7 @@
             evacuations: evacuation::EvacuationSlot::default(),
             shutdown: CancellationToken::new(),
             holder: Mutex::default(),
-            lead: Mutex::default(),
+            leader: Mutex::default(),
             taken_epoch: Mutex::default(),
             last_order_at: Mutex::default(),
             unsaved: Mutex::default(),
@@ -120,12 +120,12 @@
     }
 
     /// The tenure, while this instance holds it.
-    pub fn lead(&self) -> Option<Arc<lead::LeadState>> {
-        lock(&self.lead).clone()
+    pub fn leader(&self) -> Option<Arc<leader::LeaderState>> {
+        lock(&self.leader).clone()
     }
 
-    pub(crate) fn set_lead(&self, lead: Option<Arc<lead::LeadState>>) {
-        *lock(&self.lead) = lead;
+    pub(crate) fn set_leader(&self, leader: Option<Arc<leader::LeaderState>>) {
+        *lock(&self.leader) = leader;
     }
 
     /// Number of the tenure that this instance has taken and not ended.
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -82,7 +82,7 @@
 ) -> model::SubmitOutcome {
     let started = Instant::now();
     let condition = model::TableCondition { key: keys::graph(graph), version: 0 };
-    let write = writer::write_of(keys::graph(graph), row);
+    let write = writer::encode_write(keys::graph(graph), row);
     let transaction = model::TableTransaction { conditions: vec![condition], writes: vec![write] };
     let mut may_be_stored = false;
     let mut n_failed = 0;
@@ -105,7 +105,7 @@
             Err(error) if error.fault.is_for_good() => {
                 tracing::error!(
                     job = format_args!("{graph:016x}"),
-                    n_bytes = transaction.writes.iter().map(writer::size_of).sum::<usize>(),
+                    n_bytes = transaction.writes.iter().map(writer::encoded_size).sum::<usize>(),
                     %error,
                     may_be_stored,
                     "row of a job is refused"
--- a/crates/pool/src/part.rs
+++ b/crates/pool/src/supervisor.rs
@@ -11,12 +11,15 @@
 use tokio::time;
 
 /// Wait before a part that has panicked goes on: a panic that comes again and again must not fill the log.
-pub(crate) const AGAIN: Duration = Duration::from_secs(1);
+pub(crate) const RESTART_DELAY: Duration = Duration::from_secs(1);
 
 /// Runs a part until it ends by itself; one that panics begins anew.
-pub(crate) async fn keep<F: Future<Output = ()>>(part: &'static str, begin: impl Fn() -> F) {
+pub(crate) async fn restart_on_panic<F: Future<Output = ()>>(
+    part: &'static str,
+    begin: impl Fn() -> F,
+) {
     while attempt(part, begin()).await.is_none() {
-        time::sleep(AGAIN).await;
+        time::sleep(RESTART_DELAY).await;
     }
 }
 
--- a/crates/pool/src/lead_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -14,7 +14,7 @@
 
 use crate::document::PlatformReader;
 use crate::document_follower;
-use crate::lead;
+use crate::leader;
 use crate::state;
 use crate::store_call;
 use crate::worker_entry;
@@ -28,17 +28,17 @@
 
 /// The state of a tenure at its beginning, and where to follow on.
 #[derive(Debug)]
-pub(crate) struct LoadedLead {
+pub(crate) struct LoadedTenure {
     pub(crate) core: core::PoolCore,
-    pub(crate) graphs_at: ids::RowVersion,
-    pub(crate) workers_at: ids::RowVersion,
+    pub(crate) graphs_version: ids::RowVersion,
+    pub(crate) workers_version: ids::RowVersion,
 }
 
 /// Reads until it succeeds, a few times at most.
 pub(crate) async fn load<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &lead::TakenTenure,
-) -> Option<LoadedLead> {
+    taken: &leader::TakenTenure,
+) -> Option<LoadedTenure> {
     for _ in 0..READ_TRIES {
         if state.shutdown.is_cancelled() {
             return None;
@@ -54,8 +54,8 @@
 
 async fn read<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &lead::TakenTenure,
-) -> Result<LoadedLead, error::CallError> {
+    taken: &leader::TakenTenure,
+) -> Result<LoadedTenure, error::CallError> {
     let asked_at = state.adapters.clock().now();
     let (operators, graphs, progress, workers, roster) = tokio::try_join!(
         store_call::snapshot(state, S::Reader::DOCUMENT_TABLE),
@@ -74,10 +74,10 @@
         settles_at: taken.settles_at,
     });
     core.set_evacuated(state.evacuations.data_centers());
-    let (graphs_at, workers_at) = (graphs.version, workers.version);
+    let (graphs_version, workers_version) = (graphs.version, workers.version);
     core.list_read(asked_at);
     for row in workers.rows {
-        learn_worker(state, &mut core, &row, now);
+        apply_worker_row(state, &mut core, &row, now);
     }
     core.begin_losses(taken.losses.as_ref(), now);
     for row in &roster.rows {
@@ -88,7 +88,7 @@
     let accepted = graphs.rows.iter().filter_map(|it| task_key::parse_graph(&it.key));
     let accepted = accepted.collect::<BTreeSet<_>>();
     for row in graphs.rows {
-        let read = read_graph(&row, intake::JobOrigin::Load, taken.version);
+        let read = decode_graph_row(&row, intake::JobOrigin::Load, taken.version);
         let Some(mut admitted) = read else { continue };
         admitted.progress = progress.remove(&admitted.graph).unwrap_or_default();
         admitted.inherited |= !admitted.progress.is_empty();
@@ -98,11 +98,11 @@
     for (graph, saved) in progress.into_iter().filter(|(it, _)| !accepted.contains(it)) {
         saved.numbers().for_each(|chunk| core.forget_chunk(graph, chunk));
     }
-    Ok(LoadedLead { core, graphs_at, workers_at })
+    Ok(LoadedTenure { core, graphs_version, workers_version })
 }
 
 /// Takes a row of the workers' table into the core. Tells whether that is news of its worker.
-pub(crate) fn learn_worker<S: state::PoolAdapters>(
+pub(crate) fn apply_worker_row<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     core: &mut core::PoolCore,
     row: &row_feed::FeedRow,
@@ -139,7 +139,7 @@
 }
 
 /// Reads a row of an accepted job graph. It is inherited if it was written before version `taken`.
-pub(crate) fn read_graph(
+pub(crate) fn decode_graph_row(
     row: &row_feed::FeedRow,
     origin: intake::JobOrigin,
     taken: ids::RowVersion,
--- a/crates/pool/src/standing.rs
+++ b/crates/pool/src/tenure_status.rs
@@ -10,7 +10,7 @@
 
 /// What a holder may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TenureStanding {
+pub enum TenureStatus {
     /// Nobody else can hold the tenure.
     Firm,
     /// The term has run out while the store gave no answers: jobs that are known go on. Another
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TenureState {
     times: settings::TenureTimes,
-    firm_until: Duration,
+    exclusive_until: Duration,
     outage_seen: Option<Duration>,
     ended: bool,
 }
@@ -35,18 +35,19 @@
 impl TenureState {
     /// A tenure whose row was written by a call sent at `sent_at`.
     pub fn new(times: settings::TenureTimes, sent_at: Duration) -> TenureState {
-        let firm_until = sent_at + times.term - times.margin;
-        TenureState { times, firm_until, outage_seen: None, ended: false }
+        let exclusive_until = sent_at + times.term - times.clock_margin;
+        TenureState { times, exclusive_until, outage_seen: None, ended: false }
     }
 
     /// A write that was first sent at `sent_at` went through.
-    pub fn renewed(&mut self, sent_at: Duration) {
-        self.firm_until = self.firm_until.max(sent_at + self.times.term - self.times.margin);
+    pub fn record_renewal(&mut self, sent_at: Duration) {
+        self.exclusive_until =
+            self.exclusive_until.max(sent_at + self.times.term - self.times.clock_margin);
         self.outage_seen = None;
     }
 
     /// A write had no answer, or the store refused for now.
-    pub fn missed(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.outage_seen = Some(now);
     }
 
@@ -56,24 +57,24 @@
     }
 
     /// What may be done at `now`.
-    pub fn standing(&self, now: Duration) -> TenureStanding {
+    pub fn status(&self, now: Duration) -> TenureStatus {
         if self.ended {
-            return TenureStanding::Ended;
+            return TenureStatus::Ended;
         }
-        if now < self.firm_until {
-            return TenureStanding::Firm;
+        if now < self.exclusive_until {
+            return TenureStatus::Firm;
         }
         // A process that stood still through its term finds an old sign of an outage or none, and
         // must not act on it: the store may have come back and another may have taken over.
         let is_outage = self.outage_seen.is_some_and(|it| now < it + OUTAGE_MEMORY);
-        if is_outage && now < self.firm_until + self.times.detached {
-            return TenureStanding::Detached;
+        if is_outage && now < self.exclusive_until + self.times.max_detached {
+            return TenureStatus::Detached;
         }
-        TenureStanding::Stale
+        TenureStatus::Stale
     }
 
     /// Whether orders may be given at `now`.
     pub fn may_order(&self, now: Duration) -> bool {
-        matches!(self.standing(now), TenureStanding::Firm | TenureStanding::Detached)
+        matches!(self.status(now), TenureStatus::Firm | TenureStatus::Detached)
     }
 }
--- a/crates/pool/src/tenure_watch.rs
+++ b/crates/pool/src/tenure_watch.rs
@@ -18,7 +18,7 @@
     /// Its content.
     pub row: Option<model::PoolTenure>,
     /// When this version was first read. Moves on when a read fails.
-    pub since: Duration,
+    pub unchanged_since: Duration,
     /// When this version was first read in truth: no later renewal has reached the store.
     pub first_seen: Duration,
     /// When its epoch was first read.
@@ -27,23 +27,34 @@
 
 impl TenureWatch {
     /// A read has shown the row.
-    pub fn saw(&mut self, version: ids::RowVersion, row: Option<model::PoolTenure>, now: Duration) {
+    pub fn record_read(
+        &mut self,
+        version: ids::RowVersion,
+        row: Option<model::PoolTenure>,
+        now: Duration,
+    ) {
         match &mut self.seen {
             Some(seen) if seen.version == version => {}
             seen => {
                 let epoch = |row: &Option<model::PoolTenure>| row.as_ref().map(|it| it.epoch);
                 let known = seen.as_ref().filter(|it| epoch(&it.row) == epoch(&row));
                 let epoch_since = known.map_or(now, |it| it.epoch_since);
-                *seen = Some(SeenRow { version, row, since: now, first_seen: now, epoch_since });
+                *seen = Some(SeenRow {
+                    version,
+                    row,
+                    unchanged_since: now,
+                    first_seen: now,
+                    epoch_since,
+                });
             }
         }
     }
 
     /// A read has failed: while the store is away the holder can't renew, and the time must not
     /// count against it.
-    pub fn missed(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         if let Some(seen) = &mut self.seen {
-            seen.since = now;
+            seen.unchanged_since = now;
         }
     }
 
@@ -60,7 +71,7 @@
 
 impl SeenRow {
     /// Whether an earlier process at `address` holds the tenure still, by the row.
-    pub fn is_of(&self, address: &str) -> bool {
+    pub fn is_held_at(&self, address: &str) -> bool {
         self.row.as_ref().is_some_and(|it| it.address == address && !it.released)
     }
 
@@ -69,7 +80,7 @@
     /// no two can listen there; waiting out its term would cost seconds after a restart of all.
     pub fn free_at(&self, address: &str, term: Duration) -> Duration {
         match &self.row {
-            Some(row) if !row.released && !self.is_of(address) => self.since + term,
+            Some(row) if !row.released && !self.is_held_at(address) => self.unchanged_since + term,
             _ => self.first_seen,
         }
     }
--- a/crates/pool/src/worker_follower.rs
+++ b/crates/pool/src/worker_follower.rs
@@ -11,10 +11,10 @@
 
 use crate::document::PlatformReader;
 use crate::feed_monitor;
-use crate::lead;
-use crate::lead_loader;
+use crate::leader;
 use crate::state;
 use crate::store_call;
+use crate::tenure_loader;
 
 /// The list is asked for changes this often. Each worker writes its row every 1.5 s, so that a
 /// question that waited for a change would be answered 32 times a second on 48 workers, and each
@@ -31,22 +31,22 @@
 /// Follows until the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    lead: Arc<lead::LeadState>,
+    leader: Arc<leader::LeaderState>,
     mut after: ids::RowVersion,
 ) {
     let mut monitor = feed_monitor::FeedMonitor::new("workers");
     loop {
         if monitor.take_table_due() {
-            after = read_anew(&state, &lead, after).await.map_or(after, |it| after.max(it));
+            after = read_anew(&state, &leader, after).await.map_or(after, |it| after.max(it));
         }
         let asked_at = state.adapters.clock().now();
         match store_call::follow(&state, S::Reader::WORKER_TABLE, after, Duration::ZERO).await {
             Ok(rows) => {
                 monitor.record_answer(after);
-                take(&state, &lead, &rows.rows, after);
+                take(&state, &leader, &rows.rows, after);
                 after = after.max(rows.version);
                 if !rows.more {
-                    lead.core().list_read(asked_at);
+                    leader.core().list_read(asked_at);
                 }
                 // Every worker writes its row again and again, and an answer tells of a bounded number:
                 // with pauses between full answers the changes of a large list would be read later
@@ -64,7 +64,7 @@
             }
         }
         tracing::info!(after, "history of the workers is gone; the list is read");
-        if let Some(version) = read_anew(&state, &lead, after).await {
+        if let Some(version) = read_anew(&state, &leader, after).await {
             after = after.max(version);
         } else {
             time::sleep(AGAIN).await;
@@ -74,7 +74,7 @@
 
 fn take<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     rows: &[row_feed::FeedRow],
     after: ids::RowVersion,
 ) {
@@ -82,35 +82,35 @@
         return;
     }
     let now = state.adapters.clock().now();
-    let mut core = lead.core();
+    let mut core = leader.core();
     for row in rows {
-        let is_news = lead_loader::learn_worker(state, &mut core, row, now);
+        let is_news = tenure_loader::apply_worker_row(state, &mut core, row, now);
         if is_news && row.version > after {
             core.worker_told(&row.key);
         }
     }
     drop(core);
-    lead.turn_due.notify_one();
-    lead.save_due.notify_one();
+    leader.round_due.notify_one();
+    leader.save_due.notify_one();
 }
 
 /// Reads the whole list. Workers that it misses are given the time to come back, and are missing
 /// only if a second look misses them too.
 async fn read_anew<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     after: ids::RowVersion,
 ) -> Option<ids::RowVersion> {
-    let first = read(state, lead, after).await?;
-    let missing = missing_from(lead, &first.rows);
+    let first = read(state, leader, after).await?;
+    let missing = missing_from(leader, &first.rows);
     if missing.is_empty() {
         return Some(first.version);
     }
     time::sleep(BACK_WITHIN).await;
-    let second = read(state, lead, after).await?;
-    let still_missing = missing_from(lead, &second.rows);
+    let second = read(state, leader, after).await?;
+    let still_missing = missing_from(leader, &second.rows);
     let now = state.adapters.clock().now();
-    let mut core = lead.core();
+    let mut core = leader.core();
     for worker in missing.intersection(&still_missing) {
         core.unlist_worker(worker, now);
     }
@@ -119,20 +119,23 @@
 
 async fn read<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    lead: &lead::LeadState,
+    leader: &leader::LeaderState,
     after: ids::RowVersion,
 ) -> Option<row_feed::FeedRows> {
     let asked_at = state.adapters.clock().now();
     let read = store_call::snapshot(state, S::Reader::WORKER_TABLE).await;
     let rows = read.inspect_err(|error| tracing::debug!(%error, "workers can't be read")).ok()?;
-    take(state, lead, &rows.rows, after);
-    lead.core().list_read(asked_at);
+    take(state, leader, &rows.rows, after);
+    leader.core().list_read(asked_at);
     Some(rows)
 }
 
-fn missing_from(lead: &lead::LeadState, rows: &[row_feed::FeedRow]) -> BTreeSet<ids::WorkerId> {
+fn missing_from(
+    leader: &leader::LeaderState,
+    rows: &[row_feed::FeedRow],
+) -> BTreeSet<ids::WorkerId> {
     let listed = rows.iter().map(|it| it.key.as_str()).collect::<BTreeSet<_>>();
-    let core = lead.core();
+    let core = leader.core();
     let missing = core.worker_ids().filter(|it| !listed.contains(it.as_str()));
     missing.cloned().collect()
 }
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -14,7 +14,7 @@
 use almondpass_schema::{blob, ids, model};
 use tokio::time;
 
-use crate::lead;
+use crate::leader;
 use crate::state;
 use crate::store_call;
 
@@ -36,15 +36,15 @@
 /// it up.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    lead: &Arc<lead::LeadState>,
+    leader: &Arc<leader::LeaderState>,
     taken: ids::RowVersion,
 ) {
-    let mut writer = TenureWriter { state, lead, version: taken, renewal: 0 };
-    while !lead.over.is_cancelled() {
+    let mut writer = TenureWriter { state, leader, version: taken, renewal: 0 };
+    while !leader.ended.is_cancelled() {
         let is_last = writer.wait().await;
         if is_last {
             // No order leaves from here on; what is known is saved with the release.
-            lead.tenure().end();
+            leader.tenure().end();
         }
         if !writer.save(is_last).await || is_last {
             return;
@@ -54,7 +54,7 @@
 
 struct TenureWriter<'a, S> {
     state: &'a state::PoolState<S>,
-    lead: &'a lead::LeadState,
+    leader: &'a leader::LeaderState,
     version: ids::RowVersion,
     renewal: u64,
 }
@@ -89,24 +89,24 @@
 impl<S: state::PoolAdapters> TenureWriter<'_, S> {
     /// Waits for a reason to write. Tells whether the tenure is to be given up.
     async fn wait(&self) -> bool {
-        let renewal = self.state.settings.tenure.renewal;
-        if !self.lead.is_firm(self.state.adapters.clock()) {
+        let renewal = self.state.settings.tenure.renewal_interval;
+        if !self.leader.is_exclusive(self.state.adapters.clock()) {
             return self.is_to_be_given_up();
         }
         tokio::select! {
             biased;
             () = self.state.shutdown.cancelled() => return true,
-            () = self.lead.giving_up.cancelled() => return true,
-            () = self.lead.over.cancelled() => return false,
+            () = self.leader.release_requested.cancelled() => return true,
+            () = self.leader.ended.cancelled() => return false,
             () = time::sleep(renewal) => return false,
-            () = self.lead.save_due.notified() => {}
+            () = self.leader.save_due.notified() => {}
         }
         time::sleep(GATHERING).await;
         self.is_to_be_given_up()
     }
 
     fn is_to_be_given_up(&self) -> bool {
-        self.state.shutdown.is_cancelled() || self.lead.giving_up.is_cancelled()
+        self.state.shutdown.is_cancelled() || self.leader.release_requested.is_cancelled()
     }
 
     /// Saves what has changed, and renews the tenure with it. Tells whether the tenure is still held.
@@ -140,9 +140,9 @@
         let now = self.state.adapters.clock().now();
         let mut writes = Vec::new();
         let mut n_bytes = 0;
-        let batch = self.lead.core().take_batch(now, |row| {
+        let batch = self.leader.core().take_batch(now, |row| {
             let write = row_write(row);
-            n_bytes += size_of(&write);
+            n_bytes += encoded_size(&write);
             writes.push(write);
             writes.len() < MOST_ROWS && n_bytes < MOST_BYTES
         });
@@ -153,17 +153,17 @@
         if rows.is_empty() {
             return;
         }
-        self.lead.core().batch_saved(saving::SaveBatch { rows });
-        self.lead.saved.notify_waiters();
-        self.lead.turn_due.notify_one();
+        self.leader.core().batch_saved(saving::SaveBatch { rows });
+        self.leader.saved.notify_waiters();
+        self.leader.round_due.notify_one();
     }
 
     fn set_apart(&self, sent: &SentRows, error: &error::CallError) {
         for (row, write) in sent.rows.iter().zip(&sent.writes) {
-            let n_bytes = size_of(write);
+            let n_bytes = encoded_size(write);
             tracing::error!(key = write.key, n_bytes, %error, "row is refused and set apart");
             metrics::counter!("almondpass_pool_rows_refused_total").increment(1);
-            let mut core = self.lead.core();
+            let mut core = self.leader.core();
             core.row_refused(row.key, self.state.adapters.clock().now());
             metrics::gauge!("almondpass_pool_rows_set_apart").set(core.n_refused_rows() as f64);
         }
@@ -195,23 +195,23 @@
                     return WriteOutcome::Refused(error);
                 }
                 Err(error) => {
-                    self.missed(&error);
-                    if released || self.lead.over.is_cancelled() {
+                    self.record_failure(&error);
+                    if released || self.leader.ended.is_cancelled() {
                         return WriteOutcome::Over;
                     }
                     time::sleep(WRITE_AGAIN).await;
                 }
             }
         };
-        self.lead.tenure().renewed(counts_from);
+        self.leader.tenure().record_renewal(counts_from);
         WriteOutcome::Written
     }
 
-    fn missed(&self, error: &error::CallError) {
+    fn record_failure(&self, error: &error::CallError) {
         let now = self.state.adapters.clock().now();
-        let standing = self.lead.tenure().standing(now);
-        tracing::warn!(%error, ?standing, renewal = self.renewal, "write of the tenure failed");
-        self.lead.tenure().missed(self.state.adapters.clock().now());
+        let status = self.leader.tenure().status(now);
+        tracing::warn!(%error, standing = ?status, renewal = self.renewal, "write of the tenure failed");
+        self.leader.tenure().record_failure(self.state.adapters.clock().now());
     }
 
     async fn transact(
@@ -228,22 +228,22 @@
         let settings = &self.state.settings;
         let now = self.state.adapters.clock().now();
         let (losses, settles_in, notes_silence) = {
-            let core = self.lead.core();
+            let core = self.leader.core();
             (core.recent_losses(now), core.settles_in(now), core.keeps_silence_notes())
         };
         let tenure = model::PoolTenure {
             holder: settings.instance.clone(),
             address: settings.peer_address.clone(),
-            epoch: self.lead.epoch,
+            epoch: self.leader.epoch,
             renewal: self.renewal,
             released,
             settles_in_ms: settles_in.as_millis() as u64,
             notes_silence,
-            earlier: self.lead.predecessors().entries(now),
+            earlier: self.leader.predecessors().entries(now),
             names_earlier: true,
             losses: Some(losses),
         };
-        let mut writes = vec![write_of(keys::pool_tenure(), &tenure)];
+        let mut writes = vec![encode_write(keys::pool_tenure(), &tenure)];
         writes.extend_from_slice(rows);
         writes
     }
@@ -255,7 +255,7 @@
         let tenure = tenure.and_then(|it| codec::decode::<model::PoolTenure>(it).ok());
         let (Some(row), Some(tenure)) = (row, tenure) else { return ConflictVerdict::Lost };
         let is_ours =
-            tenure.holder == self.state.settings.instance && tenure.epoch == self.lead.epoch;
+            tenure.holder == self.state.settings.instance && tenure.epoch == self.leader.epoch;
         if !is_ours {
             tracing::warn!(holder = tenure.holder, epoch = tenure.epoch, "tenure was lost");
             return ConflictVerdict::Lost;
@@ -281,24 +281,27 @@
         save_queue::SaveKey::Roster { page } => keys::roster(page),
     };
     match &row.content {
-        saving::SaveContent::Progress(content) => write_of(key, content),
-        saving::SaveContent::Roster(content) => write_of(key, content),
-        saving::SaveContent::Gone => removal_of(key),
+        saving::SaveContent::Progress(content) => encode_write(key, content),
+        saving::SaveContent::Roster(content) => encode_write(key, content),
+        saving::SaveContent::Gone => removal_write(key),
     }
 }
 
 /// Bytes that a write sends, before they are encoded for the store.
-pub(crate) fn size_of(write: &model::TableWrite) -> usize {
+pub(crate) fn encoded_size(write: &model::TableWrite) -> usize {
     write.key.len() + write.value.as_ref().map_or(0, |it| it.len())
 }
 
 /// A write that removes a row.
-pub(crate) fn removal_of(key: ids::RowKey) -> model::TableWrite {
+pub(crate) fn removal_write(key: ids::RowKey) -> model::TableWrite {
     model::TableWrite { key, value: None }
 }
 
 /// A write of a message.
-pub(crate) fn write_of<M: serde::Serialize>(key: ids::RowKey, content: &M) -> model::TableWrite {
+pub(crate) fn encode_write<M: serde::Serialize>(
+    key: ids::RowKey,
+    content: &M,
+) -> model::TableWrite {
     // Encoding fails only for types that no message has, such as maps with odd keys.
     let value = codec::encode(content).map(|it| blob::Blob::from(it.to_vec())).ok();
     model::TableWrite { key, value }
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -202,13 +202,13 @@
     fn beliefs(&self, fault: &still_jobs::StillFault) -> String {
         let Some(holder) = self.bench.holder_in_force() else { return "no holder".to_owned() };
         let instance = &self.bench.instances[holder];
-        let Some(lead) = instance.state.lead() else { return "no holder".to_owned() };
-        let core = lead.core();
+        let Some(leader) = instance.state.leader() else { return "no holder".to_owned() };
+        let core = leader.core();
         let shown = fault.graph().and_then(|it| core.state_of(it));
         format!(
             "{} of epoch {}: {shown:?}, {:?}; {core:?}",
             instance.address,
-            lead.epoch,
+            leader.epoch,
             core.summary()
         )
     }
--- a/crates/pool/tests/pool/crashes.rs
+++ b/crates/pool/tests/pool/crashes.rs
@@ -91,7 +91,7 @@
         bench.submit(other, 1, crashing(1, 10)).await;
         bench.instances[holder].to_store.set(fault::Condition::Silent);
         bench.await_state(other, 1, model::GraphState::Failed, GIVEN_UP).await;
-        assert!(bench.instances[holder].state.lead().is_none_or(|it| it.is_over()));
+        assert!(bench.instances[holder].state.leader().is_none_or(|it| it.has_ended()));
         assert_eq!(n_starts(&bench, 1), 3);
     });
 }
--- a/crates/pool/tests/pool/evacuations.rs
+++ b/crates/pool/tests/pool/evacuations.rs
@@ -92,7 +92,7 @@
         time::sleep(IN_FORCE).await;
         let view = model::EvacuationView { version: 1, data_centers: Vec::new() };
         for instance in &bench.instances {
-            instance.state.evacuations.offer(view.clone(), "peer");
+            instance.state.evacuations.replace(view.clone(), "peer");
             let known = instance.state.evacuations.data_centers();
             assert_eq!(&*known, ["dc-of-tomorrow".to_owned(), "dc0".to_owned()]);
         }
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -64,7 +64,7 @@
         // Between the reading of the table and its answer.
         time::sleep(Duration::from_secs(1)).await;
         bench.remove(&keys::graph(1)).await;
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         time::sleep(SOON).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
@@ -78,7 +78,7 @@
         let holder = bench.holder();
         bench.submit(holder, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let to_store = &bench.instances[holder].to_store;
         to_store.next(model::TableGet::PATH, fault::Fault::Unavailable);
         bench.store.forget_history();
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -86,7 +86,7 @@
         let (holder, other) = (bench.holder(), bench.other());
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         bench.add_worker(0).await;
         time::sleep(SOON).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
@@ -104,7 +104,7 @@
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         let version = bench.store.peek(&keys::graph(1)).first().map_or(0, |it| it.version);
         bench.remove(&keys::graph(1)).await;
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         time::sleep(Duration::from_secs(1)).await;
         let nudge = model::GraphNudge { graph: 1, version, row: support::job(1, 500) };
         let link = bench.net.link(&bench.instances[other].address);
@@ -138,7 +138,7 @@
         let (holder, other) = (bench.holder(), bench.other());
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         bench.add_worker(0).await;
         time::sleep(SOON).await;
         bench.instances[holder].to_store.next(model::TableGet::PATH, fault::Fault::CallerPanics);
@@ -156,7 +156,7 @@
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         let version = bench.store.peek(&keys::graph(1)).first().map_or(0, |it| it.version);
-        bench.instances[holder].state.lead().expect("a tenure").core().forget_job(1);
+        bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let slow = fault::Fault::Slow(Duration::from_millis(500));
         let to_store = &bench.instances[holder].to_store;
         (1..=N_LOST).for_each(|nth| to_store.nth(model::TableGet::PATH, nth, slow));
--- a/crates/pool/tests/pool/rows.rs
+++ b/crates/pool/tests/pool/rows.rs
@@ -25,8 +25,8 @@
 }
 
 fn lead_epoch(bench: &support::PoolBench) -> ids::Epoch {
-    let lead = bench.instances[bench.holder()].state.lead();
-    lead.expect("a tenure").epoch
+    let leader = bench.instances[bench.holder()].state.leader();
+    leader.expect("a tenure").epoch
 }
 
 /// Symptom: with 1,100 workers nearly no job ran. Sequence: the scheduler writes the list of workers
--- a/crates/pool/tests/pool/still_jobs.rs
+++ b/crates/pool/tests/pool/still_jobs.rs
@@ -155,8 +155,8 @@
         if self.holder.is_none() {
             return (now > in_touch_since + HELD_WITHIN).then_some(StillFault::NoHolder);
         }
-        let lead = bench.instances[bench.holder_in_force()?].state.lead()?;
-        let core = lead.core();
+        let leader = bench.instances[bench.holder_in_force()?].state.leader()?;
+        let core = leader.core();
         let due = |it: &AcceptedJob| now > in_touch_since.max(it.accepted_at) + KNOWN_WITHIN;
         let mut late = self.accepted.iter().filter(|(_, it)| due(it));
         let unknown = late.find(|(graph, _)| core.state_of(**graph).is_none())?;
--- a/crates/pool/tests/pool/strengths.rs
+++ b/crates/pool/tests/pool/strengths.rs
@@ -29,8 +29,8 @@
         time::sleep(Duration::from_millis(700)).await;
         let strong = bench.start_instance_of(STRONG_ADDRESS, STRONG);
         time::sleep(Duration::from_secs(4)).await;
-        let lead = bench.instances[strong].state.lead().expect("a tenure");
-        assert_eq!(lead.epoch, 1);
+        let leader = bench.instances[strong].state.leader().expect("a tenure");
+        assert_eq!(leader.epoch, 1);
     });
 }
 
@@ -62,9 +62,9 @@
         bench.kill(strong).await;
         let weak = bench.start_instance_of("10.0.0.1:7000", WEAK);
         time::sleep(Duration::from_secs(30)).await;
-        let epoch = bench.instances[weak].state.lead().expect("a tenure").epoch;
+        let epoch = bench.instances[weak].state.leader().expect("a tenure").epoch;
         time::sleep(Duration::from_secs(60)).await;
-        assert_eq!(bench.instances[weak].state.lead().expect("a tenure").epoch, epoch);
+        assert_eq!(bench.instances[weak].state.leader().expect("a tenure").epoch, epoch);
         assert!(epoch <= 3, "{epoch}");
     });
 }
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -76,7 +76,7 @@
         for index in [other, stronger] {
             bench.instances[index].to_store.set(fault::Condition::Slow(Duration::from_millis(50)));
         }
-        while bench.instances[former].state.lead().is_some() {
+        while bench.instances[former].state.leader().is_some() {
             time::sleep(Duration::from_millis(10)).await;
         }
         let given_up_at = Instant::now();
@@ -142,7 +142,7 @@
         let weak = bench.start_instance(&address);
         time::sleep(Duration::from_millis(200)).await;
         bench.cancel(weak, 1).await;
-        let holder_was_weak = || bench.instances[weak].state.lead().is_some();
+        let holder_was_weak = || bench.instances[weak].state.leader().is_some();
         assert!(holder_was_weak());
         bench.await_state(weak, 2, model::GraphState::Completed, Duration::from_secs(9)).await;
         time::sleep(Duration::from_millis(1_500)).await;
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -341,17 +341,17 @@
     /// Whoever holds the tenure, by the latest epoch.
     pub(crate) fn holder_in_force(&self) -> Option<usize> {
         let leads = self.instances.iter().enumerate();
-        let leads = leads.filter_map(|(index, it)| Some((it.state.lead()?.epoch, index)));
+        let leads = leads.filter_map(|(index, it)| Some((it.state.leader()?.epoch, index)));
         leads.max().map(|(_, index)| index)
     }
 
     /// Index of the instance that holds the tenure.
     pub(crate) fn holder(&self) -> usize {
-        self.instances.iter().position(|it| it.state.lead().is_some()).expect("a holder")
+        self.instances.iter().position(|it| it.state.leader().is_some()).expect("a holder")
     }
 
     pub(crate) fn other(&self) -> usize {
-        self.instances.iter().position(|it| it.state.lead().is_none()).expect("another instance")
+        self.instances.iter().position(|it| it.state.leader().is_none()).expect("another instance")
     }
 
     pub(crate) async fn set_document(&self, version: u64) {
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -72,7 +72,7 @@
         bench.store.faults().set(fault::Condition::Slow(Duration::from_millis(5)));
         bench.start_instance(&address);
         time::sleep(Duration::from_millis(100)).await;
-        assert!(bench.instances[0].state.lead().is_some());
+        assert!(bench.instances[0].state.leader().is_some());
     });
 }
 
@@ -149,9 +149,9 @@
         let old = bench.holder();
         bench.instances[old].to_store.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(6)).await;
-        let holders = bench.instances.iter().filter(|it| it.state.lead().is_some()).count();
+        let holders = bench.instances.iter().filter(|it| it.state.leader().is_some()).count();
         assert_eq!(holders, 1);
-        assert!(bench.instances[old].state.lead().is_none());
+        assert!(bench.instances[old].state.leader().is_none());
         let other = (old + 1) % 3;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         bench.assert_nothing_ran_twice();
@@ -179,7 +179,7 @@
         let mut bench = support::PoolBench::start(3, 2).await;
         bench.submit(0, 1, support::job(8, 5_000)).await;
         let holder = bench.holder();
-        let epoch = bench.instances[holder].state.lead().expect("a tenure").epoch;
+        let epoch = bench.instances[holder].state.leader().expect("a tenure").epoch;
         bench.kill(holder).await;
         for instance in &bench.instances {
             for nth in 1..=2 * N_TABLES {
@@ -187,8 +187,8 @@
             }
         }
         time::sleep(Duration::from_secs(9)).await;
-        let lead = bench.instances[bench.holder()].state.lead().expect("a tenure");
-        assert_eq!(lead.epoch, epoch + 1);
+        let leader = bench.instances[bench.holder()].state.leader().expect("a tenure");
+        assert_eq!(leader.epoch, epoch + 1);
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         bench.assert_nothing_ran_twice();
     });
@@ -291,17 +291,17 @@
         let asker = bench.net.link("10.9.9.9:7000");
         let holder = bench.holder();
         let instance = bench.instances[holder].state.settings.instance.clone();
-        let epoch = bench.instances[holder].state.lead().map_or(0, |it| it.epoch);
+        let epoch = bench.instances[holder].state.leader().map_or(0, |it| it.epoch);
         let address = bench.instances[holder].address.clone();
         let ask = async |epoch| {
             let query = model::TenureQuery { holder: instance.clone(), epoch };
             asker.call(&address, query, Duration::from_secs(1)).await.ok()?.over_for_ms
         };
         assert_eq!(ask(epoch - 1).await, Some(0));
-        assert!(bench.instances[holder].state.lead().is_some());
+        assert!(bench.instances[holder].state.leader().is_some());
         assert_eq!(ask(epoch).await, Some(0));
-        let later = bench.instances[holder].state.lead().filter(|it| it.epoch == epoch);
-        assert!(later.is_none_or(|it| it.is_over()));
+        let later = bench.instances[holder].state.leader().filter(|it| it.epoch == epoch);
+        assert!(later.is_none_or(|it| it.has_ended()));
         bench.kill(holder).await;
         assert_eq!(ask(epoch).await, None);
         bench.start_instance(&address);
@@ -327,7 +327,7 @@
             time::sleep(Duration::from_millis(10)).await;
         }
         time::sleep(Duration::from_millis(300)).await;
-        assert!(bench.instances.iter().any(|it| it.state.lead().is_some()));
+        assert!(bench.instances.iter().any(|it| it.state.leader().is_some()));
     });
 }
 
@@ -345,7 +345,7 @@
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[1].to_store.set(fault::Condition::Up);
         time::sleep(Duration::from_secs(5)).await;
-        assert!(bench.instances[1].state.lead().is_some());
+        assert!(bench.instances[1].state.leader().is_some());
     });
 }
 
@@ -397,7 +397,7 @@
         bench.net.partition(&[&here], &[&there], fault::Condition::Silent);
         detach(&bench, old).await;
         time::sleep(Duration::from_millis(4_000)).await;
-        assert!(bench.instances[successor].state.lead().is_some());
+        assert!(bench.instances[successor].state.leader().is_some());
         let address = bench.kill(successor).await;
         bench.start_instance(&address);
         let successor = bench.instances.len() - 1;
--- a/crates/pool/tests/tenure.rs
+++ b/crates/pool/tests/tenure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_pool::{settings, standing, tenure_watch};
+use almondpass_pool::{settings, tenure_status, tenure_watch};
 use almondpass_schema::model;
 
 const TERM: Duration = Duration::from_secs(2);
@@ -34,12 +34,12 @@
 fn check_watch(case: WatchCase) {
     let mut watch = tenure_watch::TenureWatch::default();
     let version = if case.row.is_some() { 5 } else { 0 };
-    watch.saw(version, case.row.clone(), Duration::from_secs(100));
+    watch.record_read(version, case.row.clone(), Duration::from_secs(100));
     if let Some(failed) = case.failed {
-        watch.missed(Duration::from_secs(100) + Duration::from_millis(failed));
+        watch.record_failure(Duration::from_secs(100) + Duration::from_millis(failed));
     }
     let now = Duration::from_secs(100) + Duration::from_millis(case.now);
-    watch.saw(version, case.row, now);
+    watch.record_read(version, case.row, now);
     let free_at = watch.seen().expect("a row").free_at("10.0.0.2:1", TERM);
     assert_eq!(free_at <= now, case.is_free);
 }
@@ -68,9 +68,9 @@
         Some(row("10.0.0.2:1", false)), failed None, at 0 => true;
 }
 
-fn state() -> standing::TenureState {
+fn state() -> tenure_status::TenureState {
     let times = settings::TenureTimes { term: TERM, ..settings::TenureTimes::default() };
-    standing::TenureState::new(times, Duration::from_secs(100))
+    tenure_status::TenureState::new(times, Duration::from_secs(100))
 }
 
 fn at(millis: u64) -> Duration {
@@ -80,17 +80,17 @@
 /// The holder's own count is shorter than that of a watcher.
 #[test]
 fn a_holder_is_firm_for_less_than_its_term() {
-    assert_eq!(state().standing(at(1_600)), standing::TenureStanding::Firm);
-    assert_eq!(state().standing(at(1_800)), standing::TenureStanding::Stale);
+    assert_eq!(state().status(at(1_600)), tenure_status::TenureStatus::Firm);
+    assert_eq!(state().status(at(1_800)), tenure_status::TenureStatus::Stale);
 }
 
 /// A machine that was frozen wakes up behind its term: another may hold the tenure by now.
 #[test]
 fn a_holder_that_stood_still_gives_no_orders() {
     let mut state = state();
-    state.missed(at(500));
+    state.record_failure(at(500));
     assert!(!state.may_order(at(4_000)));
-    state.renewed(at(4_000));
+    state.record_renewal(at(4_000));
     assert!(state.may_order(at(4_001)));
 }
 
@@ -99,10 +99,10 @@
 fn a_holder_goes_on_through_an_outage_it_sees() {
     let mut state = state();
     for seen in (1_000..6_000).step_by(500) {
-        state.missed(at(seen));
+        state.record_failure(at(seen));
         assert!(state.may_order(at(seen + 400)));
     }
-    state.missed(at(6_800));
+    state.record_failure(at(6_800));
     assert!(!state.may_order(at(6_900)));
 }
 
