--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use almondpass_graph::{core, intake, order, progress, resources, terms, worker};
+use almondpass_graph::{core, intake, order, progress, resources, timing, worker};
 use almondpass_schema::{ids, model};
 
 /// Workers of a rack.
@@ -47,7 +47,7 @@
 
 fn pool_of(n_workers: usize) -> core::PoolCore {
     let mut core = core::PoolCore::new(core::PoolStart {
-        terms: terms::PoolTerms::default(),
+        timing: timing::PoolTiming::default(),
         catalog: Arc::default(),
         settles_at: Duration::ZERO,
     });
@@ -69,7 +69,7 @@
             incarnation: None,
             sequence: None,
         };
-        core.learn_worker(format!("w{index:05}"), listing, now);
+        core.update_worker(format!("w{index:05}"), listing, now);
     }
     while let Some(batch) = core.take_batch(now, |_| true) {
         core.batch_saved(batch);
@@ -88,7 +88,7 @@
         };
         core.poll_answered(&worker, listed, now, now);
     }
-    core.turn(now);
+    core.run_round(now);
     for order in core.take_orders() {
         if let order::PoolOrder::Start(start) = order {
             let answer = order::StartAnswer::Started { clock_ms: now.as_millis() as u64 };
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -9,7 +9,7 @@
 use crate::order;
 use crate::pace;
 use crate::task_key;
-use crate::wait_note;
+use crate::wait_timer;
 
 /// Wait before a worker that had no room although the book says so is used again. The next look
 /// shows what runs there, within a second.
@@ -34,12 +34,12 @@
             order::StartAnswer::Refused(refusal) => self.start_refused(start, refusal, now),
             order::StartAnswer::NotSent => {
                 self.log_start(start, "not sent");
-                self.missed(&start.worker);
+                self.note_missed_exchange(&start.worker);
                 self.withdraw(start, now);
             }
             order::StartAnswer::Unknown => {
                 self.log_start(start, "no answer");
-                self.missed(&start.worker);
+                self.note_missed_exchange(&start.worker);
                 self.start_unclear(start, now);
             }
             order::StartAnswer::Replaced => {
@@ -57,7 +57,7 @@
             return;
         }
         if !acked {
-            self.missed(&stop.worker);
+            self.note_missed_exchange(&stop.worker);
             return;
         }
         let Some(run) = self.run_of(&stop.worker, stop.task, stop.attempt) else { return };
@@ -74,7 +74,7 @@
     /// A worker refused what was meant for its life `generation`, for a higher fencing token: a later
     /// scheduler's, or our own where a later life has been found meanwhile. Tells whether it is the
     /// former.
-    pub fn fenced_off(&mut self, worker: &ids::WorkerId, generation: u32) -> bool {
+    pub fn note_fenced_off(&mut self, worker: &ids::WorkerId, generation: u32) -> bool {
         if !self.is_generation(worker, generation) {
             return false;
         }
@@ -100,7 +100,7 @@
         if matches!(run.phase, job::RunPhase::Ordered | job::RunPhase::Unclear { .. }) {
             run.phase = job::RunPhase::Running { confirmed_at: now };
             run.percent_changed_at = now;
-            self.note_begin(start.task, now);
+            self.note_run_start(start.task, now);
         }
     }
 
@@ -113,7 +113,7 @@
                 run.phase = job::RunPhase::Unclear { since: now };
             }
         }
-        self.missed(worker);
+        self.note_missed_exchange(worker);
     }
 
     /// Nobody knows whether a start takes effect.
@@ -126,9 +126,9 @@
     }
 
     /// Notes that a run has begun, where it does not wait for other members of its gang.
-    pub(crate) fn note_begin(&mut self, key: task_key::TaskKey, now: Duration) {
+    pub(crate) fn note_run_start(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
-        job.wait = wait_note::WaitNote::new(now);
+        job.wait = wait_timer::WaitTimer::new(now);
         let (Some(step), Some(unit)) = (job.step(key), job.unit_of(key)) else { return };
         let is_running = |it: &job::TaskRecord| {
             let run = it.run.as_ref();
@@ -163,7 +163,7 @@
         self.log_start(start, "refused");
         let pause = match refusal {
             order::StartRefusal::Fenced => {
-                if !self.fenced_off(&start.worker, start.generation) {
+                if !self.note_fenced_off(&start.worker, start.generation) {
                     self.withdraw(start, now);
                 }
                 return;
@@ -183,7 +183,7 @@
     /// A start that certainly had no effect is taken back.
     fn withdraw(&mut self, start: &order::StartOrder, now: Duration) {
         if self.run_of(&start.worker, start.task, start.attempt).is_some() {
-            self.vacate(start.task, now);
+            self.release_run(start.task, now);
         }
     }
 
@@ -191,21 +191,21 @@
     /// before it gets new tasks, and before ends are acknowledged. One look is asked for, and the
     /// session with the worker asks again: with one for each of many starts that had no answer, the
     /// orders behind them would wait for looks that have none either.
-    pub(crate) fn missed(&mut self, worker: &ids::WorkerId) {
-        if self.note_miss(worker) {
+    pub(crate) fn note_missed_exchange(&mut self, worker: &ids::WorkerId) {
+        if self.count_missed_exchange(worker) {
             self.order_poll(worker);
         }
     }
 
     /// Takes note of an exchange that had no answer. Tells whether it is the first behind an answer.
-    pub(crate) fn note_miss(&mut self, worker: &ids::WorkerId) -> bool {
+    pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
         record.n_missed += 1;
         record.trust.missed();
         if record.n_missed > 1 {
             return false;
         }
-        record.missed_at = self.kept_up_at;
+        record.missed_at = self.last_maintenance_at;
         self.put_runs_on_record(worker);
         true
     }
@@ -218,14 +218,14 @@
             return false;
         }
         if record.clock.is_behind(clock_ms, start.ordered_at) {
-            self.missed(&start.worker);
+            self.note_missed_exchange(&start.worker);
             return false;
         }
-        self.heard(&start.worker, clock_ms, now);
+        self.note_contact(&start.worker, clock_ms, now);
         true
     }
 
-    pub(crate) fn heard(&mut self, worker: &ids::WorkerId, clock_ms: u64, now: Duration) {
+    pub(crate) fn note_contact(&mut self, worker: &ids::WorkerId, clock_ms: u64, now: Duration) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.clock.observe(now, clock_ms);
             record.answered_at = now;
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -70,6 +70,7 @@
                 && step.task_resources().fits_in(it.listing.capacity)
                 && self.exclusion_reason(id, it, now).is_none()
         };
-        !self.ample.contains(&job.upstream) && self.workers.iter().any(|(id, it)| could_run(id, it))
+        !self.underused.contains(&job.upstream)
+            && self.workers.iter().any(|(id, it)| could_run(id, it))
     }
 }
--- a/crates/graph/src/catalog.rs
+++ b/crates/graph/src/catalog.rs
@@ -29,5 +29,5 @@
     /// Accelerators that belong to an account's most urgent work at all times.
     pub guaranteed: BTreeMap<ids::AccountId, u32>,
     /// Upstreams whose workers start whatever they are told to, whether it fits or not.
-    pub unguarded: BTreeSet<ids::UpstreamName>,
+    pub without_admission_check: BTreeSet<ids::UpstreamName>,
 }
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -18,8 +18,8 @@
 use crate::save_queue;
 use crate::takeover;
 use crate::task_key;
-use crate::terms;
-use crate::wait_note;
+use crate::timing;
+use crate::wait_timer;
 use crate::waiting;
 use crate::worker;
 
@@ -30,7 +30,7 @@
 /// nothing and leaves orders, which [`PoolCore::take_orders`] hands out.
 #[derive(Debug)]
 pub struct PoolCore {
-    pub(crate) terms: terms::PoolTerms,
+    pub(crate) timing: timing::PoolTiming,
     pub(crate) catalog: Arc<catalog::PoolCatalog>,
     pub(crate) jobs: BTreeMap<ids::GraphId, job::JobRecord>,
     /// The jobs that have not ended. Ended ones are kept to answer for and would make up most of
@@ -62,25 +62,25 @@
     /// When tasks no longer avoid the workers on which they failed, by time.
     pub(crate) avoidance_ends: VecDeque<avoidance::AvoidanceEnd>,
     /// What was believed of the starts that were found overdue since they were last asked for.
-    pub(crate) overdue: Vec<job::RunPhase>,
+    pub(crate) overdue_phases: Vec<job::RunPhase>,
     /// Figures of losses since they were last asked for.
     pub(crate) loss_counts: losses::LossCounts,
     /// Until when all changes of the list of workers are taken in.
     pub(crate) list_read_at: Duration,
     /// Upstreams of whose workers less than half is in use, as of when jobs that wait were last gone over.
-    pub(crate) ample: BTreeSet<ids::UpstreamName>,
+    pub(crate) underused: BTreeSet<ids::UpstreamName>,
     /// When the last turn was.
-    pub(crate) turned_at: Duration,
+    pub(crate) last_round_at: Duration,
     /// Since when there have been turns all the while, and workers that may get tasks.
-    pub(crate) resumed_at: Duration,
+    pub(crate) uninterrupted_since: Duration,
     /// When time was last taken note of.
-    pub(crate) kept_up_at: Duration,
+    pub(crate) last_maintenance_at: Duration,
     /// When jobs that wait were last gone over.
-    pub(crate) waits_told_at: Duration,
+    pub(crate) waits_reported_at: Duration,
     /// The jobs that wait, as of then.
     pub(crate) wait_counts: waiting::WaitCounts,
     /// What the clock of the day showed last, as time since 1970: runs are due by it.
-    pub(crate) wall: Duration,
+    pub(crate) wall_time: Duration,
     /// Whether a successor may go by what the roster notes of silent workers.
     pub(crate) keeps_silence_notes: bool,
     /// Data centres under evacuation: nothing starts on their workers.
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct PoolStart {
     /// The platform's bounds.
-    pub terms: terms::PoolTerms,
+    pub timing: timing::PoolTiming,
     /// Classes and accounts.
     pub catalog: Arc<catalog::PoolCatalog>,
     /// When everything that an earlier scheduler may have ordered has surely ended on the workers
@@ -103,7 +103,7 @@
     /// A pool without workers or jobs.
     pub fn new(start: PoolStart) -> PoolCore {
         PoolCore {
-            terms: start.terms,
+            timing: start.timing,
             catalog: start.catalog,
             jobs: BTreeMap::new(),
             active: BTreeSet::new(),
@@ -121,16 +121,16 @@
             n_restarts: 0,
             loss_history: loss_history::LossHistory::default(),
             avoidance_ends: VecDeque::new(),
-            overdue: Vec::new(),
+            overdue_phases: Vec::new(),
             loss_counts: losses::LossCounts::default(),
             list_read_at: Duration::ZERO,
-            ample: BTreeSet::new(),
-            turned_at: Duration::ZERO,
-            resumed_at: Duration::ZERO,
-            kept_up_at: Duration::ZERO,
-            waits_told_at: Duration::ZERO,
+            underused: BTreeSet::new(),
+            last_round_at: Duration::ZERO,
+            uninterrupted_since: Duration::ZERO,
+            last_maintenance_at: Duration::ZERO,
+            waits_reported_at: Duration::ZERO,
             wait_counts: waiting::WaitCounts::default(),
-            wall: Duration::ZERO,
+            wall_time: Duration::ZERO,
             keeps_silence_notes: false,
             evacuated: Arc::default(),
         }
@@ -142,7 +142,7 @@
     }
 
     /// What earlier schedulers have ordered has surely ended at `at` on the workers that don't answer.
-    pub fn settles_by(&mut self, at: Duration) {
+    pub fn bound_settling(&mut self, at: Duration) {
         self.settles_at = self.settles_at.min(at);
     }
 
@@ -152,15 +152,15 @@
     }
 
     /// All changes of the list of workers until `at` are taken in.
-    pub fn list_read(&mut self, at: Duration) {
+    pub fn note_list_read(&mut self, at: Duration) {
         self.list_read_at = self.list_read_at.max(at);
     }
 
     /// The list tells of the entry of a worker anew since it was last read. Where that is long behind the time
     /// before, the store may have carried the write out late, and what it says is from any time since.
-    pub fn worker_told(&mut self, worker: &ids::WorkerId) {
+    pub fn note_entry_read(&mut self, worker: &ids::WorkerId) {
         let at = self.list_read_at;
-        let usual_gap = self.terms.heartbeat + ENTRY_SLACK;
+        let usual_gap = self.timing.heartbeat + ENTRY_SLACK;
         let Some(record) = self.workers.get_mut(worker) else { return };
         let before = record.entry_at.replace(at);
         if before.is_none_or(|it| at <= it + usual_gap) {
@@ -174,8 +174,8 @@
     }
 
     /// Takes the time of day, as time since 1970.
-    pub fn set_wall(&mut self, wall: Duration) {
-        self.wall = wall;
+    pub fn set_wall_time(&mut self, wall_time: Duration) {
+        self.wall_time = wall_time;
     }
 
     /// Orders since the last call, to be sent in this order.
@@ -194,7 +194,7 @@
     }
 
     /// How far a job is, as far as callers may be told: an end only once it is durable.
-    pub fn state_of(&self, graph: ids::GraphId) -> Option<ShownJob<'_>> {
+    pub fn state_of(&self, graph: ids::GraphId) -> Option<JobStatus<'_>> {
         let job = self.jobs.get(&graph)?;
         let state = match job.durable_state {
             model::GraphState::Pending | model::GraphState::Running if job.started => {
@@ -203,11 +203,11 @@
             durable => durable,
         };
         let failure = job.failure.filter(|_| state == model::GraphState::Failed);
-        Some(ShownJob { state, account: job.account.as_deref(), failure })
+        Some(JobStatus { state, account: job.account.as_deref(), failure })
     }
 
     /// Whether a job is known, and its cancelling if it was `cancelled`.
-    pub fn knows(&self, graph: ids::GraphId, cancelled: bool) -> bool {
+    pub fn has_job(&self, graph: ids::GraphId, cancelled: bool) -> bool {
         self.jobs.get(&graph).is_some_and(|it| !cancelled || it.has_ended())
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Sorts a job whose state may have changed in with the active or the ended ones.
-    pub(crate) fn sort_in(&mut self, graph: ids::GraphId) {
+    pub(crate) fn update_active(&mut self, graph: ids::GraphId) {
         if self.jobs.get(&graph).is_some_and(|it| !it.has_ended()) {
             self.active.insert(graph);
         } else {
@@ -298,7 +298,7 @@
     }
 
     /// Takes the run of a task off its worker; the room is free from now on.
-    pub(crate) fn vacate(&mut self, key: task_key::TaskKey, now: Duration) {
+    pub(crate) fn release_run(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
         let room = step.task_resources();
@@ -309,7 +309,7 @@
         // Its outcome is settled: a successor must not take the start for lost.
         let was_on_record = task.suspicion.trial.take().is_some();
         if run.is_confirmed && job.runs().next().is_none() {
-            job.wait = wait_note::WaitNote::new(now);
+            job.wait = wait_timer::WaitTimer::new(now);
         }
         if let Some(worker) = self.workers.get_mut(&run.worker) {
             worker.runs.remove(&key);
@@ -369,7 +369,7 @@
 
 /// What callers may be told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ShownJob<'a> {
+pub struct JobStatus<'a> {
     /// How far it is.
     pub state: model::GraphState,
     /// Whose it is.
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -23,7 +23,7 @@
 
 impl core::PoolCore {
     /// Takes note of the time, then starts what can start and clears room for urgent work.
-    pub fn turn(&mut self, now: Duration) {
+    pub fn run_round(&mut self, now: Duration) {
         self.note_turn(now);
         self.keep_up(now);
         let all = self.startable_accelerators();
@@ -31,30 +31,30 @@
         self.headroom.observe(&urgent, all, now);
         self.within_guarantee = self.accounts_within_guarantee();
         let units = self.waiting_units(now);
-        let tells_waits = self.tells_waits(now);
+        let is_wait_report_due = self.is_wait_report_due(now);
         // It goes over all workers, and what it finds is looked at anew before it counts.
-        if tells_waits {
-            self.ample = self.ample_upstreams();
+        if is_wait_report_due {
+            self.underused = self.find_underused();
         }
-        if units.is_empty() && !tells_waits {
+        if units.is_empty() && !is_wait_report_due {
             return;
         }
         self.drop_claims(now);
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
-            self.resumed_at = now;
+            self.uninterrupted_since = now;
         }
         self.start_units(units, &mut candidates, now);
-        if tells_waits {
-            self.tell_waits(&candidates, now);
+        if is_wait_report_due {
+            self.report_waits(&candidates, now);
         }
     }
 
     fn note_turn(&mut self, now: Duration) {
-        if now > self.turned_at + TURN_GAP {
-            self.resumed_at = now;
+        if now > self.last_round_at + TURN_GAP {
+            self.uninterrupted_since = now;
         }
-        self.turned_at = now;
+        self.last_round_at = now;
     }
 
     fn start_units(
@@ -151,7 +151,9 @@
         jobs.sort_by_cached_key(|(graph, it)| {
             (it.priority, self.prospect(it, now), it.admitted_at, *graph)
         });
-        jobs.into_iter().flat_map(|(graph, it)| waiting_units_of(graph, it, self.wall)).collect()
+        jobs.into_iter()
+            .flat_map(|(graph, it)| waiting_units_of(graph, it, self.wall_time))
+            .collect()
     }
 
     /// The workers that may get tasks now.
@@ -247,9 +249,9 @@
         now: Duration,
     ) {
         let StartTerms { attempt, is_isolated, is_remote } = terms;
-        let start_term = self.terms.start_term;
+        let start_timeout = self.timing.start_timeout;
         let Some(record) = self.workers.get_mut(&worker) else { return };
-        let Some(deadline_ms) = record.clock.deadline_in(now, start_term) else { return };
+        let Some(deadline_ms) = record.clock.deadline_in(now, start_timeout) else { return };
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let body = job.body.clone();
         let Some(step) = job.step_mut(key) else { return };
@@ -332,11 +334,11 @@
 pub(crate) fn waiting_units_of(
     graph: ids::GraphId,
     job: &job::JobRecord,
-    wall: Duration,
+    wall_time: Duration,
 ) -> Vec<task_key::UnitKey> {
     let mut units = Vec::new();
     for (index, step) in job.steps.iter().enumerate() {
-        if wall < job.due(index) {
+        if wall_time < job.due(index) {
             // The runs are due one after the other.
             break;
         }
--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -90,8 +90,8 @@
         }
         // A worker that refuses nothing would be filled beyond a room that has shrunk unheard, as
         // while the store is away.
-        let is_unguarded = self.catalog.unguarded.contains(&worker.listing.upstream);
-        let is_old = is_unguarded && worker.is_news_old(&self.terms, now);
+        let is_unguarded = self.catalog.without_admission_check.contains(&worker.listing.upstream);
+        let is_old = is_unguarded && worker.is_news_old(&self.timing, now);
         is_old.then_some(ExclusionReason::StaleEntry)
     }
 
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -11,7 +11,7 @@
 use crate::losses;
 use crate::progress;
 use crate::save_queue;
-use crate::wait_note;
+use crate::wait_timer;
 use crate::worker;
 
 /// Attempts left out behind the highest one on record, for tasks that an earlier scheduler may
@@ -78,7 +78,7 @@
             );
             record_of(admitted, now)
         });
-        self.sort_in(graph);
+        self.update_active(graph);
         if is_unchunked {
             let n_chunks = self.jobs.get(&graph).map_or(0, progress::n_chunks);
             self.touch_all(graph, n_chunks);
@@ -116,7 +116,7 @@
 
     /// Takes in a worker of the platform's list. Tells whether that is news: not where the worker has written
     /// its entry anew since.
-    pub fn learn_worker(
+    pub fn update_worker(
         &mut self,
         worker: ids::WorkerId,
         listing: worker::WorkerListing,
@@ -160,7 +160,7 @@
         record.listing = listing;
         if is_other_life && !record.is_listed_life() {
             // The list has learned of another life first.
-            self.missed(&worker);
+            self.note_missed_exchange(&worker);
         }
         if is_moved {
             self.refresh_roster(&worker);
@@ -209,13 +209,13 @@
     ) {
         let Some(record) = self.workers.get(worker) else { return };
         if record.listing.address != *address {
-            self.missed(worker);
+            self.note_missed_exchange(worker);
             return;
         }
         let runs = record.runs.iter().copied().collect::<Vec<_>>();
         self.life_is_over(worker, losses::LossSign::Replaced, &runs, now);
         for key in runs {
-            self.vacate(key, now);
+            self.release_run(key, now);
         }
         self.workers.remove(worker);
     }
@@ -240,7 +240,7 @@
         inherited: admitted.inherited,
         admitted_at: now,
         ended_at: None,
-        wait: wait_note::WaitNote::new(now),
+        wait: wait_timer::WaitTimer::new(now),
         started: false,
         state: model::GraphState::Pending,
         failure: None,
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -117,7 +117,7 @@
         if task.isolatable_since < task.waiting_since {
             return Duration::ZERO;
         }
-        now.saturating_sub(task.isolatable_since.max(self.resumed_at))
+        now.saturating_sub(task.isolatable_since.max(self.uninterrupted_since))
     }
 
     /// Whether a task of a unit is held back until the loss of its worker is surer.
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -11,7 +11,7 @@
 use crate::save_queue;
 use crate::suspicion;
 use crate::task_key;
-use crate::wait_note;
+use crate::wait_timer;
 
 /// An accepted job graph and how far it is.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// When this scheduler learned of its end.
     pub ended_at: Option<Duration>,
     /// Since when it waits, behind the beginning or the end of its last run, and what was told of that.
-    pub wait: wait_note::WaitNote,
+    pub wait: wait_timer::WaitTimer,
     /// Whether any task was ever started.
     pub started: bool,
     /// How far it is.
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -31,15 +31,15 @@
 impl core::PoolCore {
     /// Takes note of the passage of time. Comes first in a turn.
     pub(crate) fn keep_up(&mut self, now: Duration) {
-        if now < self.kept_up_at + KEEP_UP_INTERVAL {
+        if now < self.last_maintenance_at + KEEP_UP_INTERVAL {
             return;
         }
-        self.kept_up_at = now;
+        self.last_maintenance_at = now;
         self.end_avoidances(now);
         self.drop_lapsed(now);
         self.settle_overdue(now);
         self.repeat_stops(now);
-        self.stop_hanging(now);
+        self.stop_stalled(now);
         self.move_off_slow(now);
         self.clear_leaving(now);
         self.repair_gangs(now);
@@ -62,7 +62,7 @@
                 self.worker_lost(&worker, sign, &lapsed, now);
             }
             for key in lapsed {
-                self.vacate(key, now);
+                self.release_run(key, now);
             }
             if !left.is_empty() {
                 continue;
@@ -80,8 +80,8 @@
     /// come, with a deadline far ahead on its own clock, and shortened it to the longest lease.
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.run(key) else { return true };
-        let longest = lease_clock::at_most(self.terms.longest_lease);
-        run.is_confirmed_by_incarnation || now >= run.since + self.terms.start_term + longest
+        let longest = lease_clock::at_most(self.timing.longest_lease);
+        run.is_confirmed_by_incarnation || now >= run.since + self.timing.start_timeout + longest
     }
 
     /// Whether no life behind the known one of its worker can have taken a start: it would have told of itself
@@ -93,12 +93,12 @@
             return false;
         };
         let is_told_life = worker.incarnation.is_some() && worker.told_life == worker.incarnation;
-        let told_by = run.since + self.terms.start_term + self.terms.heartbeat + ENTRY_MARGIN;
+        let told_by = run.since + self.timing.start_timeout + self.timing.heartbeat + ENTRY_MARGIN;
         is_told_life && start.generation == worker.generation && self.list_read_at >= told_by
     }
 
     fn repeat_stops(&mut self, now: Duration) {
-        let patience = self.terms.stop_timeout + STOP_SLACK;
+        let patience = self.timing.stop_timeout + STOP_SLACK;
         let mut again = Vec::new();
         for (id, worker) in &self.workers {
             if worker.n_missed > 0 {
@@ -152,7 +152,7 @@
         if run.phase.is_stopping() {
             return false;
         }
-        let margin = self.terms.stop_timeout + LEAVE_MARGIN;
+        let margin = self.timing.stop_timeout + LEAVE_MARGIN;
         now + self.time_left(key, now) + margin > leaves_at
     }
 
--- a/crates/graph/src/objective.rs
+++ b/crates/graph/src/objective.rs
@@ -54,13 +54,13 @@
 
 impl core::PoolCore {
     /// The class of a job, where the configuration has it and it promises a time.
-    pub(crate) fn promise(&self, job: &job::JobRecord) -> Option<&catalog::ClassSpec> {
+    pub(crate) fn class_with_objective(&self, job: &job::JobRecord) -> Option<&catalog::ClassSpec> {
         self.catalog.classes.get(&job.class).filter(|it| it.stretch > 0.0)
     }
 
     /// How long a job may wait in all and be in time, by the learned run time of its class.
     pub(crate) fn slack(&self, job: &job::JobRecord) -> Duration {
-        let Some(class) = self.promise(job) else { return UNKNOWN_SLACK };
+        let Some(class) = self.class_with_objective(job) else { return UNKNOWN_SLACK };
         slack(class, StepChain::of(&job.steps), self.run_times.mean(&job.class))
     }
 
@@ -68,8 +68,8 @@
     /// `remote_factor` times as long, which costs it that much less one mean run time: behind such a
     /// wait a place anywhere would have been as soon. Half of it served 0.014 of worth less (40
     /// paired days, error 0.005), half as much again 0.007 less (0.006).
-    pub(crate) fn near_patience(&self, job: &job::JobRecord) -> Duration {
-        let lost = (self.terms.remote_factor - 1.0).max(0.0);
+    pub(crate) fn locality_wait(&self, job: &job::JobRecord) -> Duration {
+        let lost = (self.timing.remote_factor - 1.0).max(0.0);
         self.run_times.mean(&job.class).mul_f64(lost)
     }
 }
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -33,14 +33,14 @@
             if run.phase == job::RunPhase::Ordered {
                 run.phase = job::RunPhase::Unclear { since: now };
             }
-            self.overdue.push(start.phase);
+            self.overdue_phases.push(start.phase);
             self.order_poll(&start.worker);
         }
     }
 
     /// What was believed of each start that was found overdue since the last call.
-    pub fn take_overdue(&mut self) -> Vec<job::RunPhase> {
-        std::mem::take(&mut self.overdue)
+    pub fn take_overdue_phases(&mut self) -> Vec<job::RunPhase> {
+        std::mem::take(&mut self.overdue_phases)
     }
 
     fn overdue_starts(&self, now: Duration) -> Vec<OverdueStart> {
@@ -61,7 +61,7 @@
     /// How long a start may stay unsettled at most, on a worker that answers: a look sent then finds it
     /// behind its deadline.
     fn longest_open(&self) -> Duration {
-        lease_clock::at_most(self.terms.start_term + 2 * poll_answers::START_DEADLINE_SLACK)
+        lease_clock::at_most(self.timing.start_timeout + 2 * poll_answers::START_DEADLINE_SLACK)
     }
 
     fn tell_overdue(&self, start: &OverdueStart, now: Duration) {
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether the unit could ever be placed near its data and on one rack, were all workers empty.
-pub fn could_be_near(
+pub fn could_be_local(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
 ) -> bool {
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -30,7 +30,7 @@
             None => &step.tasks[..],
         };
         let waited = now.saturating_sub(tasks.first()?.waiting_since);
-        let waited = waited.min(self.wall.saturating_sub(job.due(unit.step as usize)));
+        let waited = waited.min(self.wall_time.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
         let may_crash_worker = tasks.iter().any(|it| it.suspicion.is_on_trial());
         let is_patient = waited < isolation::LONGEST_APART_WAIT
@@ -69,8 +69,8 @@
             request = isolation::apart_at_once(request, tasks, candidates);
         }
         request.allows_remote = takes_any
-            || waited >= self.near_patience(job)
-            || !placement::could_be_near(candidates, &request);
+            || waited >= self.locality_wait(job)
+            || !placement::could_be_local(candidates, &request);
         Some(request)
     }
 
@@ -80,9 +80,9 @@
     fn stands_beside_room(&self, job: &job::JobRecord) -> bool {
         let is_going =
             |it: &job::TaskRun| it.phase.is_running() || matches!(it.phase, job::RunPhase::Ordered);
-        self.ample.contains(&job.upstream)
+        self.underused.contains(&job.upstream)
             && !job.runs().any(is_going)
-            && self.is_ample(&job.upstream)
+            && self.is_underused(&job.upstream)
     }
 
     /// Workers that a unit of `job` leaves empty for more urgent work. A class right below the urgent
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -43,7 +43,7 @@
         worker: &ids::WorkerId,
         now: Duration,
     ) -> Option<order::PollRequest> {
-        let lease = self.terms.lease;
+        let lease = self.timing.lease;
         let busy_wait = if self.has_urgent(worker) { URGENT_WAIT } else { BUSY_WAIT };
         let n_workers = self.workers.len() as u32;
         let busy_wait = (busy_wait * n_workers.max(FEW_WORKERS) / FEW_WORKERS).min(IDLE_WAIT);
@@ -85,7 +85,7 @@
 
     /// A look at a worker had no answer.
     pub fn poll_missed(&mut self, worker: &ids::WorkerId) {
-        if self.note_miss(worker) {
+        if self.count_missed_exchange(worker) {
             let n_runs = self.workers.get(worker).map_or(0, |it| it.runs.len());
             tracing::info!(worker, n_runs, "worker does not answer");
         }
@@ -120,7 +120,7 @@
         let is_first = !record.fenced;
         record.fenced = true;
         self.withdraw_silence_note(worker);
-        self.heard(worker, listed.clock_ms, now);
+        self.note_contact(worker, listed.clock_ms, now);
         if is_first {
             self.adopt_lease(worker, life);
         }
@@ -143,8 +143,8 @@
     /// may have been given a deadline by the clock of the former one.
     fn adopt_lease(&mut self, worker: &ids::WorkerId, life: worker_restarts::AnswerLife) {
         let lease = match life {
-            worker_restarts::AnswerLife::Later => self.terms.longest_lease,
-            _ => self.terms.lease,
+            worker_restarts::AnswerLife::Later => self.timing.longest_lease,
+            _ => self.timing.lease,
         };
         if let Some(record) = self.workers.get_mut(worker) {
             record.clock.assume_deadline(lease);
@@ -217,7 +217,7 @@
             task.suspicion.note_survived(clock.saturating_sub(first_confirmed_clock));
         }
         if has_begun {
-            self.note_begin(key, now);
+            self.note_run_start(key, now);
         }
         if self.acquit(key, attempt) {
             self.touch(key);
@@ -311,7 +311,7 @@
         let Some(run) = job.task(key).and_then(|it| it.run.as_ref()) else { return };
         match run.phase {
             job::RunPhase::Stopping { acked_at: Some(acked_at), .. } if sent_at > acked_at => {
-                self.vacate(key, now);
+                self.release_run(key, now);
             }
             job::RunPhase::Running { confirmed_at } if sent_at > confirmed_at => {
                 let worker = run.worker.clone();
@@ -325,7 +325,7 @@
                     acknowledged = record.map(|it| it.acknowledged),
                     "run is gone without an end"
                 );
-                self.vacate(key, now);
+                self.release_run(key, now);
             }
             // Its answer is still to come.
             job::RunPhase::Ordered | job::RunPhase::Running { .. } => {}
@@ -338,7 +338,7 @@
                     belief = run.phase.name(),
                     "start has not taken effect by its deadline"
                 );
-                self.vacate(key, now);
+                self.release_run(key, now);
             }
             // It has not come yet and may come later: a stop makes the worker refuse it then.
             job::RunPhase::Unclear { since } if sent_at > since => self.stop_run(key, now),
--- a/crates/graph/src/ample_pool.rs
+++ b/crates/graph/src/pool_usage.rs
@@ -9,7 +9,7 @@
 
 impl core::PoolCore {
     /// The upstreams of whose workers less than half is in use, of each resource.
-    pub(crate) fn ample_upstreams(&self) -> BTreeSet<ids::UpstreamName> {
+    pub(crate) fn find_underused(&self) -> BTreeSet<ids::UpstreamName> {
         let mut amounts = BTreeMap::<&ids::UpstreamName, PoolAmounts>::new();
         for worker in self.workers.values().filter(|it| it.listed) {
             amounts
@@ -17,18 +17,18 @@
                 .or_default()
                 .add(worker.listing.capacity, worker.in_use());
         }
-        let ample = amounts.into_iter().filter(|(_, it)| it.is_ample());
-        ample.map(|(upstream, _)| upstream.clone()).collect()
+        let underused = amounts.into_iter().filter(|(_, it)| it.is_underused());
+        underused.map(|(upstream, _)| upstream.clone()).collect()
     }
 
     /// Whether less than half of the workers of an upstream is in use now, within a turn too.
-    pub(crate) fn is_ample(&self, upstream: &str) -> bool {
+    pub(crate) fn is_underused(&self, upstream: &str) -> bool {
         let mut amounts = PoolAmounts::default();
         let of_upstream = self.workers.values().filter(|it| it.listing.upstream == upstream);
         for worker in of_upstream.filter(|it| it.listed) {
             amounts.add(worker.listing.capacity, worker.in_use());
         }
-        amounts.is_ample()
+        amounts.is_underused()
     }
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    fn is_ample(&self) -> bool {
+    fn is_underused(&self) -> bool {
         // What nobody offers, such as accelerators, can't be scarce either.
         self.used.iter().zip(self.offered).all(|(used, offered)| 2 * used < offered.max(1))
     }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -128,7 +128,7 @@
         // What is stopping is not the same in the other pool any more.
         let other = if is_guaranteed { &mut round.for_others } else { &mut round.for_guaranteed };
         *other = None;
-        let until = now + self.terms.stop_timeout + CLAIM_SLACK;
+        let until = now + self.timing.stop_timeout + CLAIM_SLACK;
         for (index, room) in plan.candidates.into_iter().zip(kept) {
             candidates[index].claims.push((unit, room));
             if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
@@ -148,8 +148,8 @@
     ) -> u64 {
         let Some(job) = self.jobs.get(&unit.graph) else { return 0 };
         let is_guaranteed = self.is_within_guarantee(unit.graph);
-        let margin = self.terms.stop_timeout + RECLAIM_MARGIN;
-        if is_guaranteed && now + margin >= job.admitted_at + self.terms.reclaim {
+        let margin = self.timing.stop_timeout + RECLAIM_MARGIN;
+        if is_guaranteed && now + margin >= job.admitted_at + self.timing.reclaim {
             return u64::MAX;
         }
         let run = self.run_times.mean(&job.class).as_millis() as u64;
--- a/crates/graph/src/prospect.rs
+++ b/crates/graph/src/prospect.rs
@@ -26,7 +26,7 @@
     /// It is late.
     Late,
     /// Its caller has no more use for it; it runs all the same, behind all others.
-    Over,
+    Expired,
 }
 
 /// What a job earns that has waited for `age`, whose steps take `step` each.
@@ -43,7 +43,7 @@
     } else if ends_after <= objective * OVER_AFTER {
         JobProspect::Late
     } else {
-        JobProspect::Over
+        JobProspect::Expired
     }
 }
 
@@ -58,7 +58,7 @@
         if is_kept || job.schedule.is_some() {
             return JobProspect::InTime;
         }
-        let Some(class) = self.promise(job) else { return JobProspect::InTime };
+        let Some(class) = self.class_with_objective(job) else { return JobProspect::InTime };
         let chain = objective::StepChain::of(&job.steps);
         let age = now.saturating_sub(job.admitted_at);
         prospect_of(class, chain, self.run_times.mean(&job.class), age)
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -14,7 +14,7 @@
     /// acceptance first, then, with [`PoolCore::forget`](core::PoolCore::forget), that of the
     /// progress. The other way round a successor would run the job once more.
     pub fn expired_jobs(&self, now: Duration, most: usize) -> Vec<ids::GraphId> {
-        let retention = self.terms.retention;
+        let retention = self.timing.retention;
         let expired_jobs = self.jobs.iter().filter(|(graph, it)| {
             let is_old = it.ended_at.is_some_and(|ended| now >= ended + retention);
             is_old && is_settled(it) && self.is_saved(**graph, progress::n_chunks(it))
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -156,7 +156,7 @@
     /// Notes that the row with a task has changed in a way that a successor has to know, and that of
     /// the job's state where that has.
     pub(crate) fn touch(&mut self, key: task_key::TaskKey) -> Option<save_queue::SaveMark> {
-        self.sort_in(key.graph);
+        self.update_active(key.graph);
         let job = self.jobs.get(&key.graph)?;
         let graph = key.graph;
         let own = progress::chunk_of(job, key)?;
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -72,7 +72,7 @@
         let is_young = now <= run.since + MOVES_WITHIN;
         let is_slow = self.pace_of(key) == pace::PaceVerdict::Slow;
         let mean = self.run_times.mean(&job.class);
-        let anew = self.terms.stop_timeout + mean + mean / 4;
+        let anew = self.timing.stop_timeout + mean + mean / 4;
         is_young && is_slow && run.pace.time_left().is_some_and(|it| it > anew)
     }
 
@@ -104,7 +104,7 @@
     /// How many times as long a run takes where it is.
     pub(crate) fn far_factor(&self, key: task_key::TaskKey) -> f64 {
         let is_remote = self.run(key).is_some_and(|it| it.is_remote);
-        if is_remote { self.terms.remote_factor } else { 1.0 }
+        if is_remote { self.timing.remote_factor } else { 1.0 }
     }
 
     /// Median pace of the other tasks of the step, in percent per second.
--- a/crates/graph/src/hanging.rs
+++ b/crates/graph/src/stalled.rs
@@ -24,7 +24,7 @@
 
 impl core::PoolCore {
     /// Stops tasks whose progress stands still, so that they start elsewhere.
-    pub(crate) fn stop_hanging(&mut self, now: Duration) {
+    pub(crate) fn stop_stalled(&mut self, now: Duration) {
         let mut hanging = Vec::new();
         for (id, worker) in &self.workers {
             for key in &worker.runs {
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -44,7 +44,7 @@
             "task ended"
         );
         if since.is_some() {
-            self.vacate(key, now);
+            self.release_run(key, now);
         }
         match end.how {
             order::EndKind::Done => {
--- a/crates/graph/src/terms.rs
+++ b/crates/graph/src/timing.rs
@@ -24,7 +24,7 @@
 
 /// How the pool's workers behave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolTerms {
+pub struct PoolTiming {
     /// How long tasks go on without a word from the scheduler.
     pub lease: Duration,
     /// Longest lease that a worker grants, whatever deadline it is given: by the clock of a former
@@ -32,11 +32,11 @@
     pub longest_lease: Duration,
     /// A start that reaches its worker later than this is refused there as late. Bounds how long
     /// an unanswered order can still take effect.
-    pub start_term: Duration,
+    pub start_timeout: Duration,
     /// A stop takes at most this long.
     pub stop_timeout: Duration,
     /// A room that has shrunk counts this much later, on workers that refuse nothing.
-    pub news_term: Duration,
+    pub max_entry_age: Duration,
     /// Workers write their entries this often, the first time when they begin.
     pub heartbeat: Duration,
     /// Urgent work within a guarantee runs this long after it was accepted.
@@ -47,21 +47,21 @@
     pub remote_factor: f64,
 }
 
-impl PoolTerms {
+impl PoolTiming {
     /// Lease for workers that grant at most `longest`.
     pub fn lease_within(longest: Duration) -> Duration {
         LONGEST_LEASE.min(longest.saturating_sub(LEASE_MARGIN))
     }
 }
 
-impl Default for PoolTerms {
-    fn default() -> PoolTerms {
-        PoolTerms {
+impl Default for PoolTiming {
+    fn default() -> PoolTiming {
+        PoolTiming {
             lease: LONGEST_LEASE,
             longest_lease: LONGEST_GRANTED,
-            start_term: Duration::from_millis(2_500),
+            start_timeout: Duration::from_millis(2_500),
             stop_timeout: Duration::from_millis(400),
-            news_term: NEWS_TERM,
+            max_entry_age: NEWS_TERM,
             heartbeat: HEARTBEAT,
             reclaim: Duration::from_millis(2_900),
             retention: RETENTION,
--- a/crates/graph/src/wait_note.rs
+++ b/crates/graph/src/wait_timer.rs
@@ -14,22 +14,22 @@
 
 /// Since when a job waits, and what was told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitNote {
+pub struct WaitTimer {
     since: Duration,
     due: Duration,
     interval: Duration,
     /// Whether it was counted as left standing.
-    pub is_counted: bool,
+    pub is_counted_starved: bool,
 }
 
-impl WaitNote {
+impl WaitTimer {
     /// A wait that begins now.
-    pub fn new(now: Duration) -> WaitNote {
-        WaitNote {
+    pub fn new(now: Duration) -> WaitTimer {
+        WaitTimer {
             since: now,
             due: now + FIRST_TOLD_AFTER,
             interval: FIRST_TOLD_AFTER,
-            is_counted: false,
+            is_counted_starved: false,
         }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// The wait was told of.
-    pub fn told(&mut self, now: Duration) {
+    pub fn note_reported(&mut self, now: Duration) {
         self.interval = (self.interval * TOLD_AGAIN_FACTOR).min(LONGEST_SILENCE);
         self.due = now + self.interval;
     }
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitCounts {
     /// Those with a task whose turn has come, or whose order is open.
-    pub n_standing: usize,
+    pub n_idle: usize,
     /// Those of them that have stood for long although there is room.
-    pub n_left: usize,
+    pub n_starved: usize,
     /// How many began to be left standing since this was last asked for.
-    pub n_newly_left: u64,
+    pub n_newly_starved: u64,
     /// Lines that told of waits since this was last asked for.
     pub n_lines: u64,
 }
@@ -51,13 +51,13 @@
     /// A start or a stop of it is open.
     OpenOrder,
     /// Whether the worker under it is lost will be surer soon.
-    Loss,
+    UncertainLoss,
     /// Its start has to be on record first.
-    Record,
+    UnsavedStart,
     /// There is no room for it.
-    Room,
+    NoCapacity,
     /// There is room, which is kept for other work, or which is far from its data or its gang.
-    Choice,
+    KeptCapacity,
 }
 
 impl WaitCause {
@@ -66,10 +66,10 @@
         match self {
             WaitCause::Takeover => "takeover",
             WaitCause::OpenOrder => "open order",
-            WaitCause::Loss => "loss",
-            WaitCause::Record => "record",
-            WaitCause::Room => "room",
-            WaitCause::Choice => "choice",
+            WaitCause::UncertainLoss => "loss",
+            WaitCause::UnsavedStart => "record",
+            WaitCause::NoCapacity => "room",
+            WaitCause::KeptCapacity => "choice",
         }
     }
 }
@@ -80,7 +80,7 @@
     /// What it waits for.
     pub cause: WaitCause,
     /// What is believed, for people.
-    pub belief: String,
+    pub detail: String,
     /// How old the belief is.
     pub age: Duration,
 }
@@ -162,7 +162,7 @@
     /// Jobs of which nothing runs, as of late. The numbers since the last call begin anew.
     pub fn take_wait_counts(&mut self) -> WaitCounts {
         let counts = self.wait_counts;
-        self.wait_counts.n_newly_left = 0;
+        self.wait_counts.n_newly_starved = 0;
         self.wait_counts.n_lines = 0;
         counts
     }
@@ -178,13 +178,17 @@
     }
 
     /// Whether the jobs that wait are to be gone over now.
-    pub(crate) fn tells_waits(&self, now: Duration) -> bool {
-        now >= self.waits_told_at + TELL_INTERVAL
+    pub(crate) fn is_wait_report_due(&self, now: Duration) -> bool {
+        now >= self.waits_reported_at + TELL_INTERVAL
     }
 
     /// Tells why jobs wait, and counts those that are left standing.
-    pub(crate) fn tell_waits(&mut self, candidates: &[candidate::WorkerCandidate], now: Duration) {
-        self.waits_told_at = now;
+    pub(crate) fn report_waits(
+        &mut self,
+        candidates: &[candidate::WorkerCandidate],
+        now: Duration,
+    ) {
+        self.waits_reported_at = now;
         let waits = self.job_waits(now);
         let standing = || waits.iter().filter(|it| it.is_standing);
         let mut judged = JudgedShapes::default();
@@ -194,11 +198,11 @@
                 left.push(*wait);
             }
         }
-        self.wait_counts.n_standing = standing().count();
-        self.wait_counts.n_left = left.len();
+        self.wait_counts.n_idle = standing().count();
+        self.wait_counts.n_starved = left.len();
         left.sort_by_key(|it| it.since);
         let newly_left = left.into_iter().filter(|it| self.note_left(it)).collect::<Vec<_>>();
-        self.wait_counts.n_newly_left += newly_left.len() as u64;
+        self.wait_counts.n_newly_starved += newly_left.len() as u64;
         for wait in newly_left.iter().take(MOST_TOLD) {
             self.wait_counts.n_lines += 1;
             self.log_wait(wait, candidates, now, true);
@@ -209,7 +213,7 @@
             self.wait_counts.n_lines += 1;
             self.log_wait(&wait, candidates, now, false);
             if let Some(job) = self.jobs.get_mut(&wait.graph) {
-                job.wait.told(now);
+                job.wait.note_reported(now);
             }
         }
     }
@@ -231,12 +235,12 @@
         if job.has_ended() || !(is_standing || is_due) {
             return None;
         }
-        let unit = dispatch::waiting_units_of(graph, job, self.wall).into_iter().next();
+        let unit = dispatch::waiting_units_of(graph, job, self.wall_time).into_iter().next();
         let has_open_order = is_standing && job.runs().next().is_some();
         if unit.is_none() && !has_open_order {
             return None;
         }
-        let due_for = unit.map(|it| self.wall.saturating_sub(job.due(it.step as usize)));
+        let due_for = unit.map(|it| self.wall_time.saturating_sub(job.due(it.step as usize)));
         let due_at = due_for.map_or(Duration::ZERO, |it| now.saturating_sub(it));
         let since = job.wait.since().max(due_at);
         Some(JobWait { graph, unit, since, is_standing, is_due })
@@ -251,7 +255,7 @@
         now: Duration,
     ) -> bool {
         let Some(job) = self.jobs.get(&wait.graph) else { return false };
-        if now < wait.since + LEFT_AFTER || !self.ample.contains(&job.upstream) {
+        if now < wait.since + LEFT_AFTER || !self.underused.contains(&job.upstream) {
             return false;
         }
         wait.unit.is_none_or(|it| self.has_much_room(it, job, candidates, judged, now))
@@ -281,7 +285,7 @@
     /// Notes that a job is left standing. Tells whether that is new.
     fn note_left(&mut self, wait: &JobWait) -> bool {
         let job = self.jobs.get_mut(&wait.graph);
-        job.is_some_and(|it| !std::mem::replace(&mut it.wait.is_counted, true))
+        job.is_some_and(|it| !std::mem::replace(&mut it.wait.is_counted_starved, true))
     }
 
     fn log_wait(
@@ -304,7 +308,7 @@
                     step = wait.unit.map(|it| it.step),
                     class = job.class,
                     cause = reason.cause.name(),
-                    belief = reason.belief,
+                    belief = reason.detail,
                     belief_age_ms = reason.age.as_millis() as u64,
                     waited_ms = now.saturating_sub(wait.since).as_millis() as u64,
                     is_standing = wait.is_standing,
@@ -315,7 +319,7 @@
                     n_with_room = outlook.n_with_room,
                     keeps_empty = outlook.keeps_empty,
                     is_far_allowed = outlook.is_far_allowed,
-                    is_ample = self.ample.contains(&job.upstream),
+                    is_ample = self.underused.contains(&job.upstream),
                     barred = self.barred(&job.upstream, now),
                     evacuated = self.evacuated.join(", "),
                     "{message}"
@@ -365,17 +369,17 @@
         }
         let Some(unit) = wait.unit else { return open_order_reason(job, now) };
         let reason =
-            |cause, belief: &str| WaitReason { cause, belief: belief.to_owned(), age: waited };
+            |cause, detail: &str| WaitReason { cause, detail: detail.to_owned(), age: waited };
         if self.is_held(unit, now) {
-            return reason(WaitCause::Loss, "a worker under it may live");
+            return reason(WaitCause::UncertainLoss, "a worker under it may live");
         }
         if self.awaits_record(unit) {
-            return reason(WaitCause::Record, "its start is not on record");
+            return reason(WaitCause::UnsavedStart, "its start is not on record");
         }
         if outlook.has_room() {
-            return reason(WaitCause::Choice, "room is kept, or far");
+            return reason(WaitCause::KeptCapacity, "room is kept, or far");
         }
-        reason(WaitCause::Room, "no worker that may be used has room")
+        reason(WaitCause::NoCapacity, "no worker that may be used has room")
     }
 
     fn takeover_reason(&self, job: &job::JobRecord, now: Duration) -> WaitReason {
@@ -383,12 +387,12 @@
         let open = open.map(|(id, _)| id.as_str()).collect::<Vec<_>>();
         let named = open.iter().take(MOST_NAMED).copied().collect::<Vec<_>>().join(", ");
         let settles_in = self.settles_at.saturating_sub(now);
-        let belief = format!(
+        let detail = format!(
             "{} workers of an earlier scheduler have not answered, such as {named}; {} ms more",
             open.len(),
             settles_in.as_millis()
         );
-        WaitReason { cause: WaitCause::Takeover, belief, age: now.saturating_sub(job.admitted_at) }
+        WaitReason { cause: WaitCause::Takeover, detail, age: now.saturating_sub(job.admitted_at) }
     }
 
     /// How many workers of an upstream are no place, why, and for how long at most none of them was heard.
@@ -411,9 +415,9 @@
 /// The order that has been open for longest.
 fn open_order_reason(job: &job::JobRecord, now: Duration) -> WaitReason {
     let oldest = job.runs().min_by_key(|it| it.since);
-    let belief = oldest.map_or(String::new(), |it| {
+    let detail = oldest.map_or(String::new(), |it| {
         format!("attempt {} on {}: {:?}", it.attempt, it.worker, it.phase)
     });
     let age = oldest.map_or(Duration::ZERO, |it| now.saturating_sub(it.since));
-    WaitReason { cause: WaitCause::OpenOrder, belief, age }
+    WaitReason { cause: WaitCause::OpenOrder, detail, age }
 }
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -14,7 +14,7 @@
 use crate::resources;
 use crate::save_queue;
 use crate::task_key;
-use crate::terms;
+use crate::timing;
 
 /// Kept for the way of a start.
 const NEWS_MARGIN: Duration = Duration::from_millis(300);
@@ -175,8 +175,8 @@
 
     /// Whether its room may have shrunk unheard, so that it counts by now: its entry has not been written,
     /// or not been read, for so long.
-    pub fn is_news_old(&self, terms: &terms::PoolTerms, now: Duration) -> bool {
-        self.told_at.is_none_or(|it| now + NEWS_MARGIN >= it + terms.news_term)
+    pub fn is_news_old(&self, timing: &timing::PoolTiming, now: Duration) -> bool {
+        self.told_at.is_none_or(|it| now + NEWS_MARGIN >= it + timing.max_entry_age)
     }
 
     /// Whether it has answered under this tenure, and each call since.
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -136,7 +136,7 @@
     pub fn is_outdated(&self, order: &order::PoolOrder, now: Duration) -> bool {
         let (worker, generation) = match order {
             order::PoolOrder::Start(start)
-                if now > start.ordered_at + self.terms.start_term / 2 =>
+                if now > start.ordered_at + self.timing.start_timeout / 2 =>
             {
                 return true;
             }
--- a/crates/graph/tests/pool/beliefs.rs
+++ b/crates/graph/tests/pool/beliefs.rs
@@ -1,6 +1,6 @@
 //! Beliefs that keep a task or a worker out of use: each has an end, though what usually ends it never comes.
 
-use almondpass_graph::{order, terms, worker};
+use almondpass_graph::{order, timing, worker};
 use almondpass_schema::model;
 
 use crate::support;
@@ -51,7 +51,7 @@
     let start = support::starts(&bench.turn()).remove(0);
     let moved =
         worker::WorkerListing { address: "127.0.0.1:9000".to_owned(), ..support::listing(0) };
-    bench.core.learn_worker(start.worker.clone(), moved, bench.now);
+    bench.core.update_worker(start.worker.clone(), moved, bench.now);
     bench.core.start_answered(&start, order::StartAnswer::Replaced, bench.now);
     let again = pass_idle(&mut bench, 1_000, true);
     assert_eq!(again.iter().map(|it| it.attempt).collect::<Vec<_>>(), [2]);
@@ -239,7 +239,7 @@
     bench.pass(1_000);
     let born = bench.now;
     let listing = worker::WorkerListing { incarnation: Some(7), ..support::listing(0) };
-    bench.core.learn_worker(start.worker.clone(), listing, bench.now);
+    bench.core.update_worker(start.worker.clone(), listing, bench.now);
     let mut again = Vec::new();
     for _ in 0..SURELY_OVER_MS / LOOK_MS {
         bench.pass(LOOK_MS);
@@ -262,6 +262,6 @@
         bench.save();
     }
     assert_eq!(again.iter().map(|it| it.attempt).collect::<Vec<_>>(), [2]);
-    let terms = terms::PoolTerms::default();
-    assert!(bench.now - start.ordered_at > terms.start_term + terms.longest_lease);
+    let timing = timing::PoolTiming::default();
+    assert!(bench.now - start.ordered_at > timing.start_timeout + timing.longest_lease);
 }
--- a/crates/graph/tests/pool/entries.rs
+++ b/crates/graph/tests/pool/entries.rs
@@ -13,10 +13,10 @@
 fn unguarded_bench() -> support::PoolBench {
     let mut bench = support::PoolBench::new(1);
     bench.core.set_catalog(Arc::new(catalog::PoolCatalog {
-        unguarded: [support::listing(0).upstream].into(),
+        without_admission_check: [support::listing(0).upstream].into(),
         ..catalog::PoolCatalog::default()
     }));
-    bench.core.list_read(bench.now);
+    bench.core.note_list_read(bench.now);
     tells(&mut bench, 1);
     bench
 }
@@ -25,10 +25,10 @@
 fn tells(bench: &mut support::PoolBench, n_heartbeats: u64) {
     for _ in 0..n_heartbeats {
         bench.pass(HEARTBEAT_MS);
-        bench.core.list_read(bench.now);
+        bench.core.note_list_read(bench.now);
         bench.lists(0, &[], &[]);
     }
-    bench.core.worker_told(&support::worker_id(0));
+    bench.core.note_entry_read(&support::worker_id(0));
 }
 
 /// How many of the tasks of a job start now.
@@ -58,11 +58,11 @@
         ..support::listing(0)
     };
     let id = support::worker_id(0);
-    assert!(bench.core.learn_worker(id.clone(), entry(7, 0), bench.now));
-    assert!(!bench.core.learn_worker(id.clone(), entry(6, 8), bench.now));
+    assert!(bench.core.update_worker(id.clone(), entry(7, 0), bench.now));
+    assert!(!bench.core.update_worker(id.clone(), entry(6, 8), bench.now));
     assert_eq!(bench.core.summary().accelerators, 0);
     let reborn = worker::WorkerListing { incarnation: Some(2), ..entry(1, 4) };
-    assert!(bench.core.learn_worker(id, reborn, bench.now));
+    assert!(bench.core.update_worker(id, reborn, bench.now));
     assert_eq!(bench.core.summary().accelerators, 4);
 }
 
--- a/crates/graph/tests/pool/load.rs
+++ b/crates/graph/tests/pool/load.rs
@@ -136,7 +136,7 @@
 
     fn step(&mut self, end: Duration) {
         self.bench.now += TICK;
-        self.bench.core.set_wall(self.bench.now);
+        self.bench.core.set_wall_time(self.bench.now);
         for class in 0..self.classes.len() {
             let chance = self.classes[class].per_second * TICK.as_secs_f64();
             if self.rng.random_bool(chance) {
--- a/crates/graph/tests/pool/objectives.rs
+++ b/crates/graph/tests/pool/objectives.rs
@@ -90,7 +90,7 @@
     a_job_that_has_waited_longer_is_late: 14, 3 => Late;
     what_is_left_of_its_work_counts: 14, 2 => InTime;
     three_times_the_objective_is_late: 51, 3 => Late;
-    behind_that_it_is_over: 52, 3 => Over;
+    behind_that_it_is_over: 52, 3 => Expired;
 }
 
 /// A job that has waited for 30 s and one that has just come, of a class like `class`; which of them
--- a/crates/graph/tests/pool/oddities.rs
+++ b/crates/graph/tests/pool/oddities.rs
@@ -131,14 +131,14 @@
         listing.leaves_in = self.rng.random_bool(0.2).then(|| Duration::from_millis(leaves_in));
         listing.incarnation = self.rng.random_bool(0.5).then(|| self.rng.random_range(0..3));
         listing.capacity.accelerators = self.rng.random_range(0..10);
-        self.bench.core.learn_worker(support::worker_id(index), listing, now);
+        self.bench.core.update_worker(support::worker_id(index), listing, now);
     }
 
     fn pass_time(&mut self) {
         let millis = [10, 400, 1_500, 8_000, 400_000][self.rng.random_range(0..5)];
         self.bench.pass(millis);
         let wall = self.rng.random_range(0..u64::MAX);
-        self.bench.core.set_wall(Duration::from_millis(wall));
+        self.bench.core.set_wall_time(Duration::from_millis(wall));
     }
 
     fn turn(&mut self) {
--- a/crates/graph/tests/pool/reservations.rs
+++ b/crates/graph/tests/pool/reservations.rs
@@ -65,7 +65,7 @@
     while n_waits < 40 && support::starts(&bench.turn()).is_empty() {
         n_waits += 1;
         bench.pass(500);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         for worker in 0..16 {
             let on_it = others.iter().filter(|it| support::index_of(&it.worker) == worker);
             let running = on_it.map(|it| support::running(it, n_waits)).collect::<Vec<_>>();
@@ -81,7 +81,7 @@
 #[test]
 fn reserved_room_is_not_kept_from_others_for_ever() {
     let mut bench = support::PoolBench::new(2);
-    bench.core.set_wall(bench.now);
+    bench.core.set_wall_time(bench.now);
     bench.admit(1, support::job(1, support::whole_workers(1)));
     let first = bench.turn_and_start().remove(0);
     bench.admit(2, support::job(1, support::gang(support::whole_workers(2))));
@@ -90,7 +90,7 @@
     while n_waits < 40 && support::starts(&bench.turn()).is_empty() {
         n_waits += 1;
         bench.pass(500);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         bench.lists(support::index_of(&first.worker), &[support::running(&first, n_waits)], &[]);
         bench.lists(1 - support::index_of(&first.worker), &[], &[]);
     }
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -41,7 +41,7 @@
 /// One worker in its first life, whose clock shows 1,000 s.
 fn bench_of_one() -> support::PoolBench {
     let mut bench = support::PoolBench::unanswered(1, Duration::ZERO);
-    bench.core.learn_worker(support::worker_id(0), entry(0, FIRST), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, FIRST), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
     bench.save();
     bench
@@ -147,7 +147,7 @@
 fn check_first_end_of_a_later_life(second: Option<ids::Incarnation>) {
     let mut bench = bench_after_restart(second);
     if let Some(second) = second {
-        bench.core.learn_worker(support::worker_id(0), entry(0, second), bench.now);
+        bench.core.update_worker(support::worker_id(0), entry(0, second), bench.now);
     }
     assert_eq!(last_seen(&mut bench), 0);
     bench.admit(2, support::job(1, support::tasks(1)));
@@ -200,7 +200,7 @@
     let mut bench = bench_after_restart(Some(SECOND));
     bench.admit(2, support::job(1, support::whole_workers(1)));
     assert_eq!(support::starts(&bench.turn()), []);
-    bench.core.learn_worker(support::worker_id(0), entry(0, SECOND), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     assert_eq!(support::starts(&bench.turn()).len(), 1);
 }
 
@@ -208,11 +208,11 @@
 #[test]
 fn an_entry_that_tells_no_life_names_no_worker_that_tells_its() {
     let mut bench = bench_of_one();
-    bench.core.learn_worker(support::worker_id(0), support::listing(0), bench.now);
+    bench.core.update_worker(support::worker_id(0), support::listing(0), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
     bench.admit(1, support::job(1, support::tasks(1)));
     assert_eq!(support::starts(&bench.turn()), []);
-    bench.core.learn_worker(support::worker_id(0), entry(0, FIRST), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, FIRST), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
     assert_eq!(support::starts(&bench.turn()).len(), 1);
 }
@@ -221,7 +221,7 @@
 #[test]
 fn an_entry_of_a_later_life_puts_the_known_one_in_doubt() {
     let mut bench = bench_of_one();
-    bench.core.learn_worker(support::worker_id(0), entry(0, SECOND), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.admit(1, support::job(1, support::tasks(1)));
     let orders = bench.turn();
     assert_eq!(support::starts(&orders), []);
@@ -257,11 +257,11 @@
 #[test]
 fn a_worker_that_was_leaving_gets_tasks_when_it_has_started_again() {
     let mut bench = bench_of_one();
-    bench.core.learn_worker(support::worker_id(0), leaving(FIRST, 2), bench.now);
+    bench.core.update_worker(support::worker_id(0), leaving(FIRST, 2), bench.now);
     bench.save();
     bench.pass(3_000);
     answers_fresh(&mut bench);
-    bench.core.learn_worker(support::worker_id(0), entry(0, SECOND), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.save();
     bench.admit(1, support::job(1, support::tasks(1)));
     assert_eq!(support::starts(&bench.turn()).len(), 1);
@@ -271,7 +271,7 @@
 #[test]
 fn an_answer_of_the_former_life_that_comes_late_is_passed_over() {
     let mut bench = bench_after_restart(Some(SECOND));
-    bench.core.learn_worker(support::worker_id(0), entry(0, SECOND), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.admit(2, support::job(1, support::tasks(1)));
     let start = bench.turn_and_start().remove(0);
     bench.pass(10);
@@ -294,10 +294,10 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = support::starts(&bench.turn()).remove(0);
     let began = bench.now;
-    bench.core.learn_worker(support::worker_id(0), leaving(FIRST, 1), bench.now);
+    bench.core.update_worker(support::worker_id(0), leaving(FIRST, 1), bench.now);
     bench.pass(900);
     bench.started(&start);
-    bench.core.learn_worker(support::worker_id(0), leaving(SECOND, 60), bench.now);
+    bench.core.update_worker(support::worker_id(0), leaving(SECOND, 60), bench.now);
     answers(&mut bench, Some(SECOND), began, &[support::running(&start, 10)], &[]);
     bench.pass(50);
     assert_eq!(support::stops(&bench.turn()), []);
@@ -341,7 +341,7 @@
         assert_eq!(support::stops(&bench.turn()), []);
     }
     // Four fifths are left, at a hundredth a second.
-    bench.core.learn_worker(support::worker_id(0), leaving(SECOND, 8), bench.now);
+    bench.core.update_worker(support::worker_id(0), leaving(SECOND, 8), bench.now);
     bench.pass(50);
     assert_eq!(support::stops(&bench.turn()).len(), 1);
 }
@@ -376,7 +376,7 @@
 fn starts_again_behind_entry(told: Option<ids::Incarnation>, is_list_read: bool) -> Option<u128> {
     let mut bench = support::PoolBench::unanswered(2, Duration::ZERO);
     for index in 0..2 {
-        bench.core.learn_worker(support::worker_id(index), entry(index, FIRST), bench.now);
+        bench.core.update_worker(support::worker_id(index), entry(index, FIRST), bench.now);
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
         bench.core.poll_answered(&support::worker_id(index), listed, bench.now, bench.now);
     }
@@ -386,12 +386,12 @@
     let silent = support::index_of(&start.worker);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
     let told = worker::WorkerListing { incarnation: told, ..entry(silent, FIRST) };
-    bench.core.learn_worker(start.worker.clone(), told, bench.now);
+    bench.core.update_worker(start.worker.clone(), told, bench.now);
     let other = support::worker_id(1 - silent);
     for millis in [2_500, 4_500, 5_500, 500] {
         bench.pass(millis);
         if is_list_read {
-            bench.core.list_read(bench.now);
+            bench.core.note_list_read(bench.now);
         }
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
         bench.core.poll_answered(&other, listed, bench.now, bench.now);
@@ -484,7 +484,7 @@
     let again = support::stops(&bench.turn());
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].generation, stop.generation);
-    bench.core.learn_worker(support::worker_id(0), entry(0, SECOND), bench.now);
+    bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
 
     bench.core.stop_answered(&stop, true, bench.now);
     bench.pass(10);
@@ -508,7 +508,7 @@
 fn a_worker_that_has_moved_is_named_in_the_roster_first() {
     let mut bench = bench_after_restart(Some(SECOND));
     let moved = worker::WorkerListing { address: "127.0.0.1:9999".to_owned(), ..entry(0, SECOND) };
-    bench.core.learn_worker(support::worker_id(0), moved, bench.now);
+    bench.core.update_worker(support::worker_id(0), moved, bench.now);
     bench.admit(2, support::job(1, support::tasks(1)));
     assert_eq!(support::starts(&bench.turn()), []);
     bench.save();
--- a/crates/graph/tests/pool/rosters.rs
+++ b/crates/graph/tests/pool/rosters.rs
@@ -24,7 +24,7 @@
 
 /// The second worker is back.
 fn bring_back(bench: &mut support::PoolBench) {
-    bench.core.learn_worker(support::worker_id(1), support::listing(1), bench.now);
+    bench.core.update_worker(support::worker_id(1), support::listing(1), bench.now);
     bench.lists(1, &[], &[]);
 }
 
@@ -92,7 +92,7 @@
         let worker = support::worker_id(index);
         let entry = model::RosterEntry { worker, address, upstream, on_record };
         next.core.inherit_worker(entry, 0);
-        next.core.learn_worker(support::worker_id(index), support::listing(index), next.now);
+        next.core.update_worker(support::worker_id(index), support::listing(index), next.now);
     }
     next.core.inherit_silence_notes(notes_silence);
     next.inherit(1, support::job(1, support::tasks(1)), first.saved.remove(&1));
--- a/crates/graph/tests/pool/schedules.rs
+++ b/crates/graph/tests/pool/schedules.rs
@@ -13,7 +13,7 @@
 
 /// A bench whose clock of the day shows `FIRST_MS` and `millis` more.
 fn set_wall(bench: &mut support::PoolBench, millis: i64) {
-    bench.core.set_wall(Duration::from_millis(FIRST_MS.saturating_add_signed(millis)));
+    bench.core.set_wall_time(Duration::from_millis(FIRST_MS.saturating_add_signed(millis)));
 }
 
 /// A job of `steps` that run three times, two seconds apart.
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use almondpass_graph::{
-    core, intake, order, progress, resources, save_queue, saving, terms, worker,
+    core, intake, order, progress, resources, save_queue, saving, timing, worker,
 };
 use almondpass_schema::{ids, model};
 
@@ -37,7 +37,7 @@
     /// Workers that have not answered yet; what an earlier scheduler ordered ends by `settles_at`.
     pub(crate) fn unanswered(n_workers: usize, settles_at: Duration) -> PoolBench {
         let start = core::PoolStart {
-            terms: terms::PoolTerms::default(),
+            timing: timing::PoolTiming::default(),
             catalog: Arc::default(),
             settles_at,
         };
@@ -47,7 +47,7 @@
             saved: BTreeMap::new(),
         };
         for index in 0..n_workers {
-            bench.core.learn_worker(worker_id(index), listing(index), bench.now);
+            bench.core.update_worker(worker_id(index), listing(index), bench.now);
         }
         bench.save();
         bench
@@ -110,7 +110,7 @@
     }
 
     pub(crate) fn turn(&mut self) -> Vec<order::PoolOrder> {
-        self.core.turn(self.now);
+        self.core.run_round(self.now);
         self.core.take_orders()
     }
 
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -16,7 +16,7 @@
 fn replace(bench: &mut support::PoolBench, index: usize) {
     let address = support::listing(index).address;
     bench.core.worker_replaced(&support::worker_id(index), &address, bench.now);
-    bench.core.learn_worker(support::worker_id(index), support::listing(index), bench.now);
+    bench.core.update_worker(support::worker_id(index), support::listing(index), bench.now);
     bench.save();
     bench.lists(index, &[], &[]);
 }
@@ -151,7 +151,7 @@
     bench.core.unlist_worker(&start.worker, bench.now);
     assert_eq!(n_suspects(&bench), 1);
 
-    bench.core.learn_worker(support::worker_id(index), support::listing(index), bench.now);
+    bench.core.update_worker(support::worker_id(index), support::listing(index), bench.now);
     bench.lists(index, &[], &[support::ended(1, &start, order::EndKind::Lapsed)]);
     assert_eq!(n_suspects(&bench), 0);
 }
@@ -178,7 +178,7 @@
     let index = support::index_of(&start.worker);
     let leaves_in = Some(Duration::from_secs(60));
     let leaving = worker::WorkerListing { leaves_in, ..support::listing(index) };
-    bench.core.learn_worker(start.worker.clone(), leaving, bench.now);
+    bench.core.update_worker(start.worker.clone(), leaving, bench.now);
     bench.pass(500);
     bench.core.worker_replaced(&start.worker, &start.address, bench.now);
     assert_eq!(n_suspects(&bench), 0);
@@ -253,7 +253,7 @@
     for _ in 0..25 {
         let all = running.iter().chain(&again).cloned().collect::<Vec<_>>();
         pass_with(&mut bench, &all, 4);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         again.extend(turn_on_record(&mut bench));
     }
     assert_eq!(again.len() + running.len(), 24);
--- a/crates/graph/tests/pool/urgent.rs
+++ b/crates/graph/tests/pool/urgent.rs
@@ -124,7 +124,7 @@
     /// Time passes, and all workers list what they run.
     fn pass(&mut self, millis: u64, percent: u32) {
         self.bench.pass(millis);
-        self.bench.core.set_wall(self.bench.now);
+        self.bench.core.set_wall_time(self.bench.now);
         for worker in 0..8 {
             let on_it = self.running.iter().filter(|it| support::index_of(&it.worker) == worker);
             let listed = on_it.map(|it| support::running(it, percent)).collect::<Vec<_>>();
--- a/crates/graph/tests/pool/waits.rs
+++ b/crates/graph/tests/pool/waits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use almondpass_graph::{order, resources, wait_note, waiting, worker};
+use almondpass_graph::{order, resources, wait_timer, waiting, worker};
 use almondpass_schema::model;
 
 use crate::support;
@@ -32,7 +32,7 @@
 impl WaitPlay {
     fn new() -> WaitPlay {
         let mut bench = support::PoolBench::new(N_WORKERS);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         WaitPlay { bench, running: Vec::new(), ends: vec![0; N_WORKERS], silent: BTreeSet::new() }
     }
 
@@ -42,7 +42,7 @@
         let capacity = resources::Resources { accelerators: 0, ..support::CAPACITY };
         for index in 0..N_WORKERS {
             let listing = worker::WorkerListing { capacity, ..support::listing(index) };
-            play.bench.core.learn_worker(support::worker_id(index), listing, play.bench.now);
+            play.bench.core.update_worker(support::worker_id(index), listing, play.bench.now);
         }
         play
     }
@@ -92,7 +92,7 @@
 
     fn tick(&mut self) {
         self.bench.pass(TICK_MS);
-        self.bench.core.set_wall(self.bench.now);
+        self.bench.core.set_wall_time(self.bench.now);
         for worker in (0..N_WORKERS).filter(|it| !self.silent.contains(it)).collect::<Vec<_>>() {
             self.look(worker, &[]);
         }
@@ -254,7 +254,7 @@
 fn pass_unreached(bench: &mut support::PoolBench, seconds: u64) {
     for _ in 0..seconds * 10 {
         bench.pass(100);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         for worker in 0..3 {
             bench.lists(worker, &[], &[]);
         }
@@ -265,12 +265,12 @@
 /// A wait goes on without a line behind the first.
 #[test]
 fn a_wait_is_told_at_growing_intervals() {
-    let mut note = wait_note::WaitNote::new(Duration::ZERO);
+    let mut note = wait_timer::WaitTimer::new(Duration::ZERO);
     let mut told = Vec::new();
     for second in 0..=150 {
         let now = Duration::from_secs(second);
         if note.is_due(now) {
-            note.told(now);
+            note.note_reported(now);
             told.push(second);
         }
     }
@@ -285,8 +285,8 @@
     let reason = bench.core.wait_reason(1, bench.now).unwrap();
     assert_eq!(reason.cause, waiting::WaitCause::Takeover);
     assert_eq!(reason.age, Duration::from_secs(5));
-    let belief = "1 workers of an earlier scheduler have not answered, such as w03; 35000 ms more";
-    assert_eq!(reason.belief, belief);
+    let detail = "1 workers of an earlier scheduler have not answered, such as w03; 35000 ms more";
+    assert_eq!(reason.detail, detail);
 }
 
 /// Nobody sees that a job is left standing although there is room.
@@ -294,13 +294,13 @@
 fn jobs_left_standing_beside_room_are_counted() {
     let mut bench = unreached();
     pass_unreached(&mut bench, 2);
-    assert_eq!(bench.core.take_wait_counts().n_left, 0);
+    assert_eq!(bench.core.take_wait_counts().n_starved, 0);
     pass_unreached(&mut bench, 10);
     let counts = bench.core.take_wait_counts();
-    assert_eq!((counts.n_standing, counts.n_left, counts.n_newly_left), (1, 1, 1));
+    assert_eq!((counts.n_idle, counts.n_starved, counts.n_newly_starved), (1, 1, 1));
     pass_unreached(&mut bench, 30);
     let counts = bench.core.take_wait_counts();
-    assert_eq!((counts.n_left, counts.n_newly_left), (0, 0));
+    assert_eq!((counts.n_starved, counts.n_newly_starved), (0, 0));
 }
 
 /// Telling of many jobs that are left standing at once holds the turns up.
@@ -312,15 +312,15 @@
     for graph in 2..=N_JOBS {
         bench.inherit(graph, support::job(1, support::tasks(1)), None);
     }
-    let mut n_newly_left = 0;
+    let mut n_newly_starved = 0;
     for _ in 0..10 {
         pass_unreached(&mut bench, 1);
         let counts = bench.core.take_wait_counts();
-        n_newly_left += counts.n_newly_left;
+        n_newly_starved += counts.n_newly_starved;
         // Two times a second, eight lines that a job waits and as many that one is left.
         assert!(counts.n_lines <= 2 * MOST_LINES, "{} lines in a second", counts.n_lines);
     }
-    assert_eq!(n_newly_left, N_JOBS);
+    assert_eq!(n_newly_starved, N_JOBS);
 }
 
 /// A job of which nothing runs is never told to wait, as each start that is refused begins its wait anew.
@@ -330,7 +330,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..50 {
         bench.pass(TICK_MS);
-        bench.core.set_wall(bench.now);
+        bench.core.set_wall_time(bench.now);
         (0..4).for_each(|it| bench.lists(it, &[], &[]));
         for start in support::starts(&bench.turn()) {
             let refused = order::StartAnswer::Refused(order::StartRefusal::Room);
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -90,7 +90,7 @@
     leader: &Arc<leader::LeaderState>,
     admitted: &intake::AdmittedJob,
 ) -> bool {
-    if leader.core().knows(admitted.graph, admitted.row.cancelled) {
+    if leader.core().has_job(admitted.graph, admitted.row.cancelled) {
         return false;
     }
     if admitted.version > leader.applied_graph_version() {
@@ -107,7 +107,7 @@
     leader: &Arc<leader::LeaderState>,
     nudge: &model::GraphNudge,
 ) -> bool {
-    if leader.core().knows(nudge.graph, nudge.row.cancelled) {
+    if leader.core().has_job(nudge.graph, nudge.row.cancelled) {
         return true;
     }
     let admitted = intake::AdmittedJob {
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -193,7 +193,7 @@
     let (epoch, version) = (taken.epoch, taken.version);
     state.set_taken_epoch(Some(epoch));
     let mut core = core::PoolCore::new(core::PoolStart {
-        terms: state.settings.terms,
+        timing: state.settings.terms,
         catalog: Arc::default(),
         settles_at: taken.settles_at,
     });
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -79,7 +79,7 @@
     missed: intake::AdmittedJob,
 ) -> bool {
     let graph = missed.graph;
-    if leader.core().knows(graph, missed.row.cancelled) {
+    if leader.core().has_job(graph, missed.row.cancelled) {
         return true;
     }
     if !graph_follower::admit(state, leader, std::iter::once(missed)) {
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -60,7 +60,7 @@
                     core.worker_replaced(&stop.worker, &stop.address, now);
                 }
                 Err(control::ControlFault::Fenced) => {
-                    core.fenced_off(&stop.worker, stop.generation);
+                    core.note_fenced_off(&stop.worker, stop.generation);
                 }
                 Err(control::ControlFault::Call(error)) => {
                     tracing::debug!(worker = stop.worker, %error, "stop without answer");
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_graph::{lease_clock, terms};
+use almondpass_graph::{lease_clock, timing};
 use almondpass_peer::link::PeerLink;
 use almondpass_ports::boot_clock::BootClock;
 use almondpass_schema::model;
@@ -31,7 +31,7 @@
 
 /// When all that a holder has ordered has ended on workers that don't answer, if it gives no orders from
 /// `over_at` on.
-pub(crate) fn settles_after(over_at: Duration, terms: &terms::PoolTerms) -> Duration {
+pub(crate) fn settles_after(over_at: Duration, terms: &timing::PoolTiming) -> Duration {
     over_at + ORDER_SLACK + lease_clock::at_most(terms.lease)
 }
 
@@ -80,7 +80,7 @@
     );
     leader.predecessors().settles_by(former.epoch, settles_at);
     let settles_at = leader.predecessors().settles_at();
-    leader.core().settles_by(settles_at);
+    leader.core().bound_settling(settles_at);
 }
 
 /// Asks a former holder whether it is over. That it can't be reached tells nothing.
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -91,11 +91,11 @@
 
 fn meter_waits(counts: &waiting::WaitCounts) {
     let figures =
-        [("standing_jobs", counts.n_standing), ("standing_jobs_beside_room", counts.n_left)];
+        [("standing_jobs", counts.n_idle), ("standing_jobs_beside_room", counts.n_starved)];
     for (of, figure) in figures {
         metrics::gauge!("almondpass_pool_size", "of" => of).set(figure as f64);
     }
-    metrics::counter!("almondpass_pool_jobs_left_standing_total").increment(counts.n_newly_left);
+    metrics::counter!("almondpass_pool_jobs_left_standing_total").increment(counts.n_newly_starved);
 }
 
 fn meter_finished(job: &core::FinishedJob) {
@@ -126,13 +126,13 @@
         return;
     }
     let mut core = leader.core();
-    core.set_wall(state.adapters.clock().wall());
-    core.turn(state.adapters.clock().now());
+    core.set_wall_time(state.adapters.clock().wall());
+    core.run_round(state.adapters.clock().now());
     let orders = core.take_orders();
     core.take_finished().iter().for_each(meter_finished);
     metrics::counter!("almondpass_pool_worker_restarts_total").increment(core.take_n_restarts());
     meter_losses(&core.take_loss_counts());
-    meter_overdue(&core.take_overdue());
+    meter_overdue(&core.take_overdue_phases());
     let (is_fenced_off, has_changes) = (core.is_fenced_off(), core.has_changes());
     drop(core);
     if is_fenced_off {
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -103,7 +103,7 @@
             PollOutcome::Missed
         }
         Err(control::ControlFault::Fenced) => {
-            core.fenced_off(worker, ask.generation);
+            core.note_fenced_off(worker, ask.generation);
             leader.round_due.notify_one();
             PollOutcome::Missed
         }
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_graph::terms;
+use almondpass_graph::timing;
 use almondpass_schema::ids;
 
 /// Settings of an instance.
@@ -17,7 +17,7 @@
     /// Peers known from the start; they may be gone.
     pub seeds: Vec<ids::PeerAddress>,
     /// Bounds of the platform.
-    pub terms: terms::PoolTerms,
+    pub terms: timing::PoolTiming,
     /// Timings of the tenure.
     pub tenure: TenureTimes,
 }
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -69,13 +69,13 @@
     let now = state.adapters.clock().now();
     let catalog = state.document.current().map(|it| Arc::clone(&it.catalog));
     let mut core = core::PoolCore::new(core::PoolStart {
-        terms: state.settings.terms,
+        timing: state.settings.terms,
         catalog: catalog.unwrap_or_default(),
         settles_at: taken.settles_at,
     });
     core.set_evacuated(state.evacuations.data_centers());
     let (graphs_version, workers_version) = (graphs.version, workers.version);
-    core.list_read(asked_at);
+    core.note_list_read(asked_at);
     for row in workers.rows {
         apply_worker_row(state, &mut core, &row, now);
     }
@@ -116,7 +116,7 @@
     let read = state.adapters.reader().worker(value).and_then(|it| check_upstream(state, it));
     state.faulty_entries().observe(&row.key, &read);
     match read {
-        Ok(listing) => core.learn_worker(row.key.clone(), listing, now),
+        Ok(listing) => core.update_worker(row.key.clone(), listing, now),
         // What runs there counts on: the worker may be sound, and only its entry overwritten.
         Err(_) => {
             core.unlist_worker(&row.key, now);
--- a/crates/pool/src/worker_follower.rs
+++ b/crates/pool/src/worker_follower.rs
@@ -46,7 +46,7 @@
                 take(&state, &leader, &rows.rows, after);
                 after = after.max(rows.version);
                 if !rows.more {
-                    leader.core().list_read(asked_at);
+                    leader.core().note_list_read(asked_at);
                 }
                 // Every worker writes its row again and again, and an answer tells of a bounded number:
                 // with pauses between full answers the changes of a large list would be read later
@@ -86,7 +86,7 @@
     for row in rows {
         let is_news = tenure_loader::apply_worker_row(state, &mut core, row, now);
         if is_news && row.version > after {
-            core.worker_told(&row.key);
+            core.note_entry_read(&row.key);
         }
     }
     drop(core);
@@ -126,7 +126,7 @@
     let read = store_call::snapshot(state, S::Reader::WORKER_TABLE).await;
     let rows = read.inspect_err(|error| tracing::debug!(%error, "workers can't be read")).ok()?;
     take(state, leader, &rows.rows, after);
-    leader.core().list_read(asked_at);
+    leader.core().note_list_read(asked_at);
     Some(rows)
 }
 
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -180,7 +180,7 @@
             catalog: Arc::new(catalog::PoolCatalog {
                 classes: CLASSES.map(|(name, priority)| (name.to_owned(), class(priority))).into(),
                 guaranteed: BTreeMap::new(),
-                unguarded: unguarded.into_iter().collect(),
+                without_admission_check: unguarded.into_iter().collect(),
             }),
             upstreams: [UPSTREAM.to_owned()].into(),
             source: blob::Blob::from(source.to_vec()),
@@ -302,7 +302,7 @@
             peer_address: address.to_owned(),
             seeds: Vec::new(),
             strength_milli,
-            terms: almondpass_graph::terms::PoolTerms::default(),
+            terms: almondpass_graph::timing::PoolTiming::default(),
             tenure: settings::TenureTimes::default(),
         };
         let state = Arc::new(state::PoolState::new(site, settings));
--- a/crates/pool/tests/row_sizes.rs
+++ b/crates/pool/tests/row_sizes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_graph::{core, intake, progress, save_queue, saving, terms, worker};
+use almondpass_graph::{core, intake, progress, save_queue, saving, timing, worker};
 use almondpass_peer::codec;
 use almondpass_schema::{ids, model};
 
@@ -16,7 +16,7 @@
 
 fn empty_core() -> core::PoolCore {
     core::PoolCore::new(core::PoolStart {
-        terms: terms::PoolTerms::default(),
+        timing: timing::PoolTiming::default(),
         catalog: Arc::default(),
         settles_at: Duration::ZERO,
     })
@@ -71,7 +71,7 @@
             upstream: "u".repeat(NAME_BYTES),
             ..worker::WorkerListing::default()
         };
-        core.learn_worker(worker_named(index), listing, Duration::ZERO);
+        core.update_worker(worker_named(index), listing, Duration::ZERO);
     }
     let saved = save_all(&mut core);
     assert_all_fit(&saved);
@@ -83,10 +83,10 @@
 fn one_worker_more_writes_one_page() {
     let mut core = empty_core();
     for index in 0..500 {
-        core.learn_worker(worker_named(index), worker::WorkerListing::default(), Duration::ZERO);
+        core.update_worker(worker_named(index), worker::WorkerListing::default(), Duration::ZERO);
     }
     save_all(&mut core);
-    core.learn_worker(worker_named(500), worker::WorkerListing::default(), Duration::ZERO);
+    core.update_worker(worker_named(500), worker::WorkerListing::default(), Duration::ZERO);
     assert_eq!(save_all(&mut core).len(), 1);
 }
 
