--- a/crates/graph/src/ack_window.rs
+++ b/crates/graph/src/ack_window.rs
@@ -18,7 +18,7 @@
     /// No end is listed that could be.
     Nothing,
     /// There is one, but nobody knows in which life the worker is.
-    AskFirst,
+    VerifyFirst,
     /// All ends up to that number.
     UpTo(u64),
 }
@@ -28,7 +28,7 @@
     pub fn last_seen(self) -> u64 {
         match self {
             EndAck::UpTo(number) => number,
-            EndAck::Nothing | EndAck::AskFirst => 0,
+            EndAck::Nothing | EndAck::VerifyFirst => 0,
         }
     }
 }
@@ -36,7 +36,7 @@
 /// What the last answered look at a worker tells of its life. Without it an acknowledgement reaches a
 /// worker that has started again while nobody looked: no look has failed then.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LifeTrust {
+pub struct AckWindow {
     until: Duration,
     /// How long the last look may wait at the worker.
     wait: Duration,
@@ -44,27 +44,27 @@
     asks_only: bool,
 }
 
-impl LifeTrust {
+impl AckWindow {
     /// Whether a look at `now` may acknowledge ends.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_open(&self, now: Duration) -> bool {
         now <= self.until
     }
 
     /// A look is about to be sent.
-    pub fn asked(&mut self, wait: Duration, ack: EndAck) {
+    pub fn poll_sent(&mut self, wait: Duration, ack: EndAck) {
         self.wait = wait;
-        self.asks_only = ack == EndAck::AskFirst;
+        self.asks_only = ack == EndAck::VerifyFirst;
     }
 
     /// The worker has answered a look sent at `sent_at`.
-    pub fn answered(&mut self, sent_at: Duration, now: Duration) {
+    pub fn poll_answered(&mut self, sent_at: Duration, now: Duration) {
         // The answer may have lain here for as long as this process stood still.
         let given_at = now.min(sent_at + self.wait);
         self.until = given_at + if self.asks_only { TRUSTED_ONCE_FOR } else { TRUSTED_FOR };
     }
 
     /// A call had no answer.
-    pub fn missed(&mut self) {
-        *self = LifeTrust::default();
+    pub fn close(&mut self) {
+        *self = AckWindow::default();
     }
 }
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -53,7 +53,7 @@
     /// Takes in whether a worker has answered a stop.
     pub fn stop_answered(&mut self, stop: &order::StopOrder, acked: bool, now: Duration) {
         // What a life that is over has answered bars nothing in the one that is there now.
-        if !self.is_generation(&stop.worker, stop.generation) {
+        if !self.is_current_generation(&stop.worker, stop.generation) {
             return;
         }
         if !acked {
@@ -75,7 +75,7 @@
     /// scheduler's, or our own where a later life has been found meanwhile. Tells whether it is the
     /// former.
     pub fn note_fenced_off(&mut self, worker: &ids::WorkerId, generation: u32) -> bool {
-        if !self.is_generation(worker, generation) {
+        if !self.is_current_generation(worker, generation) {
             return false;
         }
         if !self.is_fenced_off {
@@ -108,7 +108,9 @@
     pub fn session_failed(&mut self, worker: &ids::WorkerId, now: Duration) {
         let runs = self.workers.get(worker).map(|it| it.runs.clone()).unwrap_or_default();
         for key in runs {
-            let Some(run) = self.task_of(key).and_then(|it| it.run.as_mut()) else { continue };
+            let Some(run) = self.task_record_mut(key).and_then(|it| it.run.as_mut()) else {
+                continue;
+            };
             if run.phase == job::RunPhase::Ordered {
                 run.phase = job::RunPhase::Unclear { since: now };
             }
@@ -201,12 +203,12 @@
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
         record.n_missed += 1;
-        record.trust.missed();
+        record.trust.close();
         if record.n_missed > 1 {
             return false;
         }
         record.missed_at = self.last_maintenance_at;
-        self.put_runs_on_record(worker);
+        self.save_runs_on(worker);
         true
     }
 
@@ -217,7 +219,7 @@
         if record.generation != start.generation {
             return false;
         }
-        if record.clock.is_behind(clock_ms, start.ordered_at) {
+        if record.clock.shows_reset(clock_ms, start.ordered_at) {
             self.note_missed_exchange(&start.worker);
             return false;
         }
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -30,13 +30,13 @@
 
 impl core::PoolCore {
     /// Has a task keep off the worker on which it has just failed.
-    pub(crate) fn keep_off(
+    pub(crate) fn avoid_failed_worker(
         &mut self,
         key: task_key::TaskKey,
         worker: &ids::WorkerId,
         now: Duration,
     ) {
-        let Some(task) = self.task_of(key) else { return };
+        let Some(task) = self.task_record_mut(key) else { return };
         let at = now + AVOIDED_FOR;
         task.avoids = Some(worker.clone());
         task.avoids_until = at;
@@ -44,16 +44,16 @@
     }
 
     /// Ends the avoidances that are due.
-    pub(crate) fn end_avoidances(&mut self, now: Duration) {
+    pub(crate) fn expire_avoidances(&mut self, now: Duration) {
         while let Some(end) = self.avoidance_ends.front().copied().filter(|it| now >= it.at) {
             self.avoidance_ends.pop_front();
             let is_due = |it: &&mut job::TaskRecord| now >= it.avoids_until;
-            if self.task_of(end.task).filter(is_due).is_none() {
+            if self.task_record_mut(end.task).filter(is_due).is_none() {
                 continue;
             }
             if now < end.since + LONGEST_AVOIDED && self.awaits_another(end.task, now) {
                 self.avoidance_ends.push_back(AvoidanceEnd { at: now + AVOIDED_FOR, ..end });
-            } else if let Some(task) = self.task_of(end.task) {
+            } else if let Some(task) = self.task_record_mut(end.task) {
                 task.avoids = None;
             }
         }
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -307,7 +307,7 @@
         task.ended_attempt = task.ended_attempt.max(run.attempt);
         task.waiting_since = now;
         // Its outcome is settled: a successor must not take the start for lost.
-        let was_on_record = task.suspicion.trial.take().is_some();
+        let was_on_record = task.suspicion.saved_attempt.take().is_some();
         if run.is_confirmed && job.runs().next().is_none() {
             job.wait = wait_timer::WaitTimer::new(now);
         }
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -39,7 +39,7 @@
         if units.is_empty() && !is_wait_report_due {
             return;
         }
-        self.drop_claims(now);
+        self.expire_claims(now);
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
             self.uninterrupted_since = now;
@@ -66,12 +66,12 @@
         let mut full = BTreeSet::<(ids::GraphId, u32)>::new();
         let mut hopeless = Vec::<resources::Resources>::new();
         let mut failed = Vec::<failed_placement::FailedPlacement>::new();
-        let mut round = self.clearing_round();
+        let mut round = self.preemption_round();
         for unit in units {
-            if !self.is_on_record(unit, now) {
+            if !self.ensure_start_saved(unit, now) {
                 continue;
             }
-            self.note_apart_wait(unit, now);
+            self.start_isolation_wait(unit, now);
             let is_tried = !full.contains(&(unit.graph, unit.step));
             if is_tried && !self.is_hopeless(unit, &hopeless) {
                 let outcome = self.try_start(unit, candidates, &mut failed, now);
@@ -80,7 +80,7 @@
                 }
                 // Tasks of one step are alike: where one finds no room, neither do the others. Those under
                 // suspicion ask for more.
-                if !self.has_trial(unit) {
+                if !self.unit_needs_isolation(unit) {
                     full.insert((unit.graph, unit.step));
                 }
                 if outcome == StartOutcome::NoRoom {
@@ -93,13 +93,13 @@
             // In its turn, before less urgent units are looked at: they would start in the room that
             // is about to be cleared, and be stopped again at once.
             if self.is_urgent(unit) {
-                self.clear_for_urgent(unit, candidates, &mut round, now);
+                self.preempt_for_urgent(unit, candidates, &mut round, now);
             }
         }
     }
 
     fn is_urgent(&self, unit: task_key::UnitKey) -> bool {
-        self.jobs.get(&unit.graph).is_some_and(|it| it.priority == preemption::URGENT)
+        self.jobs.get(&unit.graph).is_some_and(|it| it.priority == preemption::URGENT_PRIORITY)
     }
 
     /// Keeps the units that come later in this turn off the room for which a gang waits, or a suspect.
@@ -110,7 +110,7 @@
         candidates: &mut [candidate::WorkerCandidate],
         now: Duration,
     ) {
-        if unit.task.is_some() && !self.has_trial(unit) {
+        if unit.task.is_some() && !self.unit_needs_isolation(unit) {
             return;
         }
         let Some(request) = self.placement_request(unit, candidates, now) else { return };
@@ -139,7 +139,7 @@
         let Some(job) = self.jobs.get(&unit.graph) else { return true };
         let Some(step) = job.steps.get(unit.step as usize) else { return true };
         let room = step.task_resources();
-        job.priority != preemption::URGENT && hopeless.iter().any(|it| it.fits_in(room))
+        job.priority != preemption::URGENT_PRIORITY && hopeless.iter().any(|it| it.fits_in(room))
     }
 
     /// Units that may start now, in the order in which they are to: by class, and within a class first
@@ -216,7 +216,8 @@
 
     /// Accelerators that each urgent job uses.
     fn urgent_accelerators(&self) -> Vec<u32> {
-        let urgent = self.active_jobs().filter(|(_, it)| it.priority == preemption::URGENT);
+        let urgent =
+            self.active_jobs().filter(|(_, it)| it.priority == preemption::URGENT_PRIORITY);
         let of_step = |step: &job::StepRecord| {
             let n_runs = step.tasks.iter().filter(|it| it.run.is_some()).count() as u32;
             n_runs * step.spec.accelerators
@@ -271,7 +272,7 @@
             since: now,
             percent: 0,
             percent_changed_at: now,
-            pace: pace::RunPace::unbegun(),
+            pace: pace::RunPace::not_started(),
             first_confirmed_clock: None,
         });
         record.runs.insert(key);
--- a/crates/graph/src/exclusion_limit.rs
+++ b/crates/graph/src/exclusion_limit.rs
@@ -14,7 +14,7 @@
 impl core::PoolCore {
     /// Whether a worker may be put out of use on a belief, beside those of its upstream of which it is
     /// held already.
-    pub(crate) fn can_spare(
+    pub(crate) fn can_exclude(
         &self,
         worker: &ids::WorkerId,
         is_out: impl Fn(&worker::WorkerRecord) -> bool,
--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -79,7 +79,7 @@
         if worker.leaves_at.is_some() {
             return Some(ExclusionReason::Leaving);
         }
-        if !worker.is_listed_life() {
+        if !worker.is_listed_incarnation() {
             return Some(ExclusionReason::OtherIncarnation);
         }
         if self.is_evacuated(worker) {
--- a/crates/graph/src/health.rs
+++ b/crates/graph/src/health.rs
@@ -27,7 +27,7 @@
 
 impl WorkerHealth {
     /// A task ended well.
-    pub fn succeeded(&mut self) {
+    pub fn task_succeeded(&mut self) {
         self.failures = 0;
         self.pauses = 0;
         self.last_job = None;
@@ -35,7 +35,7 @@
 
     /// A task of `job` failed. Tells whether the worker is paused by it, which it is only if it can be
     /// spared.
-    pub fn failed(&mut self, job: ids::GraphId, is_spare: bool, now: Duration) -> bool {
+    pub fn task_failed(&mut self, job: ids::GraphId, is_spare: bool, now: Duration) -> bool {
         if self.last_job == Some(job) {
             return false;
         }
@@ -49,7 +49,7 @@
     }
 
     /// A task stood still. The worker is paused by it if it can be spared.
-    pub fn hung(&mut self, is_spare: bool, now: Duration) {
+    pub fn task_stalled(&mut self, is_spare: bool, now: Duration) {
         self.failures += 1;
         if is_spare {
             self.pause(now);
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -158,7 +158,7 @@
         });
         record.told_life = listing.incarnation.or(record.told_life);
         record.listing = listing;
-        if is_other_life && !record.is_listed_life() {
+        if is_other_life && !record.is_listed_incarnation() {
             // The list has learned of another life first.
             self.note_missed_exchange(&worker);
         }
@@ -196,7 +196,7 @@
         let Some(record) = self.workers.get_mut(worker).filter(|it| it.listed) else { return };
         tracing::info!(worker, n_runs = record.runs.len(), "worker no longer listed");
         record.listed = false;
-        self.loss_confirmed(worker, losses::LossSign::Silent, now);
+        self.update_loss_evidence(worker, losses::LossEvidence::Silent, now);
     }
 
     /// Another worker answers at `address`, so that everything on this one is over; but not where the
@@ -213,7 +213,7 @@
             return;
         }
         let runs = record.runs.iter().copied().collect::<Vec<_>>();
-        self.life_is_over(worker, losses::LossSign::Replaced, &runs, now);
+        self.incarnation_ended(worker, losses::LossEvidence::Replaced, &runs, now);
         for key in runs {
             self.release_run(key, now);
         }
--- a/crates/graph/src/lease_clock.rs
+++ b/crates/graph/src/lease_clock.rs
@@ -9,7 +9,7 @@
 const ROUNDING_MS: u64 = 2;
 
 /// How long a span on a worker's clock may take by ours.
-pub fn at_most(span: Duration) -> Duration {
+pub fn max_local_span(span: Duration) -> Duration {
     span.div_f64(SLOWEST_RATE)
 }
 
@@ -38,7 +38,7 @@
 
     /// Whether a reading, in an answer to a call sent at `sent_at`, is less than this clock must have
     /// shown by then: it is that of another life of the worker, and this clock is gone.
-    pub fn is_behind(&self, clock_ms: u64, sent_at: Duration) -> bool {
+    pub fn shows_reset(&self, clock_ms: u64, sent_at: Duration) -> bool {
         let Some(sample) = self.sample else { return false };
         let least = match sent_at.checked_sub(sample.received_at) {
             Some(since) => sample.clock_ms.saturating_add(millis(since.mul_f64(SLOWEST_RATE))),
@@ -79,7 +79,7 @@
     pub fn lapses_at(&self) -> Duration {
         let Some(sample) = self.sample else { return Duration::ZERO };
         let left = self.deadline_sent.saturating_sub(sample.clock_ms);
-        sample.received_at + at_most(Duration::from_millis(left))
+        sample.received_at + max_local_span(Duration::from_millis(left))
     }
 }
 
--- a/crates/graph/src/loss_history.rs
+++ b/crates/graph/src/loss_history.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct PastLoss {
     /// When it was last heard of.
-    heard_at: Duration,
+    last_contact_at: Duration,
     /// What ran there.
     tasks: Vec<task_key::TaskKey>,
 }
@@ -36,11 +36,11 @@
 
 /// What a loss is compared with.
 #[derive(Clone, Copy, Debug)]
-pub struct LossesBeside {
+pub struct LossContext {
     /// The time.
     pub now: Duration,
     /// When the worker was last heard of.
-    pub heard_at: Duration,
+    pub last_contact_at: Duration,
     /// How long the task runs, or ran there, whichever is longer: an innocent one is at risk for so long.
     pub exposure: Duration,
     /// Workers known.
@@ -48,7 +48,7 @@
     /// Other workers that fell silent at about the same time, and have not been counted as lost.
     pub n_silent: usize,
     /// Workers that were lost under the task before.
-    pub n_before: usize,
+    pub n_own_losses: usize,
 }
 
 impl LossHistory {
@@ -58,14 +58,14 @@
         let watched = inherited.map_or(0, |it| it.watched_ms);
         let watched = Duration::from_millis(watched).min(MEMORY);
         self.began = Some(now.saturating_sub(watched));
-        let past = PastLoss { heard_at: now.saturating_sub(watched / 2), tasks: Vec::new() };
+        let past = PastLoss { last_contact_at: now.saturating_sub(watched / 2), tasks: Vec::new() };
         let n_losses = inherited.map_or(0, |it| it.count) as usize;
         self.losses.extend(std::iter::repeat_n(past, n_losses));
     }
 
     /// What a successor has to know.
     pub fn recent(&self, now: Duration) -> model::RecentLosses {
-        let n_recent = self.losses.iter().filter(|it| now < it.heard_at + MEMORY).count();
+        let n_recent = self.losses.iter().filter(|it| now < it.last_contact_at + MEMORY).count();
         let watched_ms = self.watched(now).as_millis() as u64;
         model::RecentLosses { count: n_recent as u32, watched_ms }
     }
@@ -76,21 +76,28 @@
     }
 
     /// Takes in a loss.
-    pub fn note(&mut self, heard_at: Duration, tasks: Vec<task_key::TaskKey>, now: Duration) {
-        self.losses.retain(|it| now < it.heard_at + MEMORY);
-        self.losses.push_back(PastLoss { heard_at, tasks });
+    pub fn record(
+        &mut self,
+        last_contact_at: Duration,
+        tasks: Vec<task_key::TaskKey>,
+        now: Duration,
+    ) {
+        self.losses.retain(|it| now < it.last_contact_at + MEMORY);
+        self.losses.push_back(PastLoss { last_contact_at, tasks });
     }
 
     /// Chance that `task` was struck although it crashes nothing, by what else was lost.
-    pub fn odds(&self, task: task_key::TaskKey, beside: LossesBeside) -> f64 {
-        let is_recent = |it: &&PastLoss| beside.now < it.heard_at + MEMORY;
+    pub fn background_probability(&self, task: task_key::TaskKey, beside: LossContext) -> f64 {
+        let is_recent = |it: &&PastLoss| beside.now < it.last_contact_at + MEMORY;
         let others = || self.losses.iter().filter(is_recent).filter(|it| !it.tasks.contains(&task));
-        let n_together = others().filter(|it| is_together(it.heard_at, beside.heard_at)).count();
+        let n_together = others()
+            .filter(|it| may_share_cause(it.last_contact_at, beside.last_contact_at))
+            .count();
         let n_workers = beside.n_workers.max(2) as f64;
         let together = (n_together + beside.n_silent) as f64 / (n_workers - 1.0);
         let worker_seconds = n_workers * self.watched(beside.now).as_secs_f64().max(1.0);
         // If the task crashes nothing, what has struck it before tells of the rate like any other loss.
-        let seen = others().count() as f64 + beside.n_before as f64 + ASSUMED;
+        let seen = others().count() as f64 + beside.n_own_losses as f64 + ASSUMED;
         // A few losses tell the rate to a deviation only; taken too low, it gives up work that was struck
         // by chance.
         let rate = (seen + seen.sqrt()) / worker_seconds;
@@ -100,6 +107,6 @@
 }
 
 /// Whether two workers may have been lost by one cause, by when each was last heard of.
-pub fn is_together(one: Duration, other: Duration) -> bool {
+pub fn may_share_cause(one: Duration, other: Duration) -> bool {
     one.abs_diff(other) <= TOGETHER
 }
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -38,7 +38,7 @@
 
 /// How a worker was found to be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LossSign {
+pub enum LossEvidence {
     /// Another worker answers at its address.
     Replaced,
     /// It answers in a later life.
@@ -49,23 +49,23 @@
     CutOff,
 }
 
-impl LossSign {
+impl LossEvidence {
     /// A short name, for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            LossSign::Replaced => "replaced",
-            LossSign::Restarted => "restarted",
-            LossSign::Silent => "silent",
-            LossSign::CutOff => "cut off",
+            LossEvidence::Replaced => "replaced",
+            LossEvidence::Restarted => "restarted",
+            LossEvidence::Silent => "silent",
+            LossEvidence::CutOff => "cut off",
         }
     }
 
     /// Chance that the worker has not crashed.
-    fn odds(self) -> f64 {
+    fn survival_probability(self) -> f64 {
         match self {
-            LossSign::Replaced | LossSign::Restarted => 0.0,
-            LossSign::Silent => SILENT_ODDS,
-            LossSign::CutOff => CUT_OFF_ODDS,
+            LossEvidence::Replaced | LossEvidence::Restarted => 0.0,
+            LossEvidence::Silent => SILENT_ODDS,
+            LossEvidence::CutOff => CUT_OFF_ODDS,
         }
     }
 }
@@ -88,20 +88,20 @@
     /// Workers that had been lost under it before.
     pub n_losses: usize,
     /// Chance that it was struck by what else was lost, as it looked then.
-    pub surroundings: f64,
+    pub background_probability: f64,
     /// The same of being struck as early as all its runs were that have ended so, this one included.
-    pub early_surroundings: f64,
+    pub early_background_probability: f64,
     /// The share of its run time within which it was struck. What cuts a worker off comes at any time of a
     /// run.
-    pub struck_within: f64,
+    pub run_share_at_loss: f64,
     /// How far into its run that was at the latest; nothing where that can't be compared with other runs.
-    pub struck_by: Option<Duration>,
+    pub latest_loss_offset: Option<Duration>,
 }
 
 /// What surrounds the loss of a worker.
 struct LossScene<'a> {
     /// When it was last heard of.
-    heard_at: Duration,
+    last_contact_at: Duration,
     /// By when it was lost at the latest.
     lost_by: Duration,
     /// What runs on each worker that fell silent at about the same time.
@@ -112,32 +112,32 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LossCounts {
     /// The sign of each worker that was lost.
-    pub signs: Vec<LossSign>,
+    pub evidence: Vec<LossEvidence>,
     /// Jobs that were given up.
     pub n_given_up: u64,
 }
 
 impl core::PoolCore {
     /// Takes note that a worker is lost with `runs` on it, and holds it against them.
-    pub(crate) fn worker_lost(
+    pub(crate) fn record_worker_loss(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossSign,
+        sign: LossEvidence,
         runs: &[task_key::TaskKey],
         now: Duration,
     ) {
         let runs = self.lost_runs(worker, runs, now);
         self.log_loss(worker, sign, &runs, now);
-        self.loss_counts.signs.push(sign);
+        self.loss_counts.evidence.push(sign);
         let Some(record) = self.workers.get(worker) else { return };
         // A worker that leaves may go before the time that it has told.
         if record.leaves_at.is_some() {
             return;
         }
-        let heard_at = record.answered_at;
+        let last_contact_at = record.answered_at;
         if !is_explained(&runs) {
             let tasks = runs.iter().map(|it| it.task).collect();
-            self.loss_history.note(heard_at, tasks, now);
+            self.loss_history.record(last_contact_at, tasks, now);
         }
         self.charge_all(worker, sign, &runs, now);
         if let Some(record) = self.workers.get_mut(worker) {
@@ -146,27 +146,34 @@
     }
 
     /// Takes note that a life of a worker is surely over.
-    pub(crate) fn life_is_over(
+    pub(crate) fn incarnation_ended(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossSign,
+        sign: LossEvidence,
         runs: &[task_key::TaskKey],
         now: Duration,
     ) {
         let was_lost = self.workers.get(worker).is_some_and(|it| !it.lost_runs.is_empty());
-        self.loss_confirmed(worker, sign, now);
+        self.update_loss_evidence(worker, sign, now);
         if !was_lost || !runs.is_empty() {
-            self.worker_lost(worker, sign, runs, now);
+            self.record_worker_loss(worker, sign, runs, now);
         }
     }
 
     /// What is known of a worker that has been silent for long becomes surer: what ran there is charged
     /// with more.
-    pub(crate) fn loss_confirmed(&mut self, worker: &ids::WorkerId, sign: LossSign, now: Duration) {
+    pub(crate) fn update_loss_evidence(
+        &mut self,
+        worker: &ids::WorkerId,
+        sign: LossEvidence,
+        now: Duration,
+    ) {
         let Some(record) = self.workers.get_mut(worker) else { return };
         let runs = match sign {
-            LossSign::Silent | LossSign::CutOff => record.lost_runs.clone(),
-            LossSign::Replaced | LossSign::Restarted => std::mem::take(&mut record.lost_runs),
+            LossEvidence::Silent | LossEvidence::CutOff => record.lost_runs.clone(),
+            LossEvidence::Replaced | LossEvidence::Restarted => {
+                std::mem::take(&mut record.lost_runs)
+            }
         };
         if !runs.is_empty() {
             tracing::info!(worker, sign = sign.name(), n_runs = runs.len(), "loss is surer");
@@ -175,9 +182,9 @@
     }
 
     /// Takes back what an attempt was charged with: its worker lists it, and lives.
-    pub(crate) fn acquit(&mut self, key: task_key::TaskKey, attempt: u32) -> bool {
-        let Some(task) = self.task_of(key) else { return false };
-        let is_changed = task.suspicion.acquit(attempt);
+    pub(crate) fn withdraw_loss(&mut self, key: task_key::TaskKey, attempt: u32) -> bool {
+        let Some(task) = self.task_record_mut(key) else { return false };
+        let is_changed = task.suspicion.withdraw_loss(attempt);
         if is_changed {
             tracing::info!(
                 job = format_args!("{:016x}", key.graph),
@@ -191,7 +198,7 @@
     }
 
     /// Begins to take note of losses, with those that an earlier scheduler has seen lately.
-    pub fn begin_losses(&mut self, inherited: Option<&model::RecentLosses>, now: Duration) {
+    pub fn restore_loss_history(&mut self, inherited: Option<&model::RecentLosses>, now: Duration) {
         self.loss_history.begin(inherited, now);
     }
 
@@ -216,9 +223,9 @@
             let job = self.jobs.get(&key.graph)?;
             let task = job.task(*key)?;
             let run = task.run.as_ref()?;
-            let struck_by =
+            let latest_loss_offset =
                 job.has_comparable_run_time(*key).then(|| scene.lost_by.saturating_sub(run.since));
-            let longest = struck_by.map(|it| task.suspicion.longest_run().max(it));
+            let longest = latest_loss_offset.map(|it| task.suspicion.longest_run().max(it));
             let exposure = self.exposure(*key, now);
             let early = longest.map_or(exposure, |it| it.min(exposure));
             Some(LostRun {
@@ -229,10 +236,10 @@
                 is_confirmed: run.is_confirmed,
                 is_suspect: task.suspicion.is_suspect(),
                 n_losses: task.suspicion.losses().len(),
-                surroundings: self.surroundings(&scene, *key, exposure, now),
-                early_surroundings: self.surroundings(&scene, *key, early, now),
-                struck_within: self.struck_within(&scene, *key, now),
-                struck_by,
+                background_probability: self.background_probability(&scene, *key, exposure, now),
+                early_background_probability: self.background_probability(&scene, *key, early, now),
+                run_share_at_loss: self.run_share_at_loss(&scene, *key, now),
+                latest_loss_offset,
             })
         });
         lost.collect()
@@ -242,20 +249,20 @@
     /// that a suspect explains.
     fn scene_of(&self, worker: &ids::WorkerId, now: Duration) -> LossScene<'_> {
         let record = self.workers.get(worker);
-        let heard_at = record.map_or(now, |it| it.answered_at);
+        let last_contact_at = record.map_or(now, |it| it.answered_at);
         let missed_at = record.filter(|it| it.n_missed > 0).map(|it| it.missed_at + MISS_SLACK);
         let lost_by = missed_at.map_or(now, |it| it.min(now));
         let silent = self.workers.iter().filter(|(id, it)| {
             *id != worker
                 && it.n_missed > 0
-                && loss_history::is_together(it.answered_at, heard_at)
+                && loss_history::may_share_cause(it.answered_at, last_contact_at)
                 && !self.has_suspect_alone(it.runs.iter().copied())
         });
-        LossScene { heard_at, lost_by, silent: silent.map(|(_, it)| &it.runs).collect() }
+        LossScene { last_contact_at, lost_by, silent: silent.map(|(_, it)| &it.runs).collect() }
     }
 
     /// Chance that a task that is at risk for `exposure` was struck by what else was lost.
-    fn surroundings(
+    fn background_probability(
         &self,
         scene: &LossScene,
         key: task_key::TaskKey,
@@ -263,19 +270,19 @@
         now: Duration,
     ) -> f64 {
         let silent = scene.silent.iter().filter(|it| !it.contains(&key));
-        let beside = loss_history::LossesBeside {
+        let beside = loss_history::LossContext {
             now,
-            heard_at: scene.heard_at,
+            last_contact_at: scene.last_contact_at,
             exposure,
             n_workers: self.workers.len(),
             n_silent: silent.count(),
-            n_before: self.n_losses_before(key),
+            n_own_losses: self.n_losses_before(key),
         };
-        self.loss_history.odds(key, beside)
+        self.loss_history.background_probability(key, beside)
     }
 
     /// The share of its run time within which a task was struck.
-    fn struck_within(&self, scene: &LossScene, key: task_key::TaskKey, now: Duration) -> f64 {
+    fn run_share_at_loss(&self, scene: &LossScene, key: task_key::TaskKey, now: Duration) -> f64 {
         let Some(run) = self.run(key) else { return 1.0 };
         let ran = scene.lost_by.saturating_sub(run.since).as_secs_f64();
         let exposure = self.exposure(key, now).as_secs_f64();
@@ -283,11 +290,18 @@
     }
 
     /// Chance that a task was struck at some time that is not known.
-    pub(crate) fn usual_odds(&self, key: task_key::TaskKey, now: Duration) -> f64 {
+    pub(crate) fn background_probability_untimed(
+        &self,
+        key: task_key::TaskKey,
+        now: Duration,
+    ) -> f64 {
         let silent = self.workers.values().filter(|it| it.n_missed > 0);
-        let scene =
-            LossScene { heard_at: now, lost_by: now, silent: silent.map(|it| &it.runs).collect() };
-        self.surroundings(&scene, key, self.exposure(key, now), now)
+        let scene = LossScene {
+            last_contact_at: now,
+            lost_by: now,
+            silent: silent.map(|it| &it.runs).collect(),
+        };
+        self.background_probability(&scene, key, self.exposure(key, now), now)
     }
 
     /// Workers that were lost under a task before the attempt that is under way.
@@ -323,30 +337,30 @@
     }
 
     /// Whether the starts of a task are trials.
-    pub(crate) fn is_on_trial(&self, key: task_key::TaskKey) -> bool {
+    pub(crate) fn needs_isolation(&self, key: task_key::TaskKey) -> bool {
         let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
-        task.is_some_and(|it| it.suspicion.is_on_trial())
+        task.is_some_and(|it| it.suspicion.needs_isolation())
     }
 
     fn charge_all(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossSign,
+        sign: LossEvidence,
         runs: &[LostRun],
         now: Duration,
     ) {
         for run in runs {
-            let loss = odds_of(run, runs, sign);
-            self.charge(run.task, loss, now);
-            self.avoid(run.task, worker);
-            if sign == LossSign::CutOff {
-                self.hold_back(run.task, now);
+            let loss = loss_of_run(run, runs, sign);
+            self.record_loss(run.task, loss, now);
+            self.avoid_worker(run.task, worker);
+            if sign == LossEvidence::CutOff {
+                self.delay_restart(run.task, now);
             }
         }
     }
 
     /// Holds a loss against a task, and gives its job up if there is no doubt left.
-    pub(crate) fn charge(
+    pub(crate) fn record_loss(
         &mut self,
         key: task_key::TaskKey,
         loss: suspicion::TaskLoss,
@@ -354,17 +368,17 @@
     ) {
         let Some(job) = self.jobs.get_mut(&key.graph).filter(|it| !it.has_ended()) else { return };
         let Some(task) = job.task_mut(key).filter(|it| !it.done) else { return };
-        task.suspicion.charge(loss);
-        let is_proved = task.suspicion.is_proved();
+        task.suspicion.record_loss(loss);
+        let is_proved = task.suspicion.is_proven_to_crash();
         if task.suspicion.is_suspect() {
             tracing::warn!(
                 job = format_args!("{:016x}", key.graph),
                 task = %key,
                 attempt = loss.attempt,
-                odds = loss.odds,
-                surroundings = loss.surroundings,
+                odds = loss.early_probability,
+                surroundings = loss.anytime_probability,
                 n_losses = task.suspicion.losses().len(),
-                all_odds = task.suspicion.odds(),
+                all_odds = task.suspicion.early_probability(),
                 "task is under suspicion of crashing its workers"
             );
         }
@@ -382,7 +396,7 @@
             job = format_args!("{:016x}", key.graph),
             task = %key,
             ?attempts,
-            all_odds = task.suspicion.odds(),
+            all_odds = task.suspicion.early_probability(),
             "job is given up: workers crash under its task"
         );
         job.state = model::GraphState::Failed;
@@ -394,7 +408,13 @@
 
     /// Tells what ran there, and for how long: whether workers are lost by what they run shows only by
     /// comparing.
-    fn log_loss(&self, worker: &ids::WorkerId, sign: LossSign, runs: &[LostRun], now: Duration) {
+    fn log_loss(
+        &self,
+        worker: &ids::WorkerId,
+        sign: LossEvidence,
+        runs: &[LostRun],
+        now: Duration,
+    ) {
         let named = runs.iter().take(MOST_NAMED);
         let named = named.map(|it| format!("{}#{} {} ms", it.task, it.attempt, it.ran.as_millis()));
         let tasks = named.collect::<Vec<_>>().join(", ");
@@ -419,7 +439,7 @@
 }
 
 /// What a run on a lost worker is charged with.
-fn odds_of(run: &LostRun, runs: &[LostRun], sign: LossSign) -> suspicion::TaskLoss {
+fn loss_of_run(run: &LostRun, runs: &[LostRun], sign: LossEvidence) -> suspicion::TaskLoss {
     let others = || runs.iter().filter(|it| it.unit != run.unit);
     let n_suspects = others().filter(|it| it.is_suspect).count();
     let weight = |it: &LostRun| if it.n_losses < run.n_losses { LESS_STRUCK_WEIGHT } else { 1.0 };
@@ -428,13 +448,13 @@
     let by_others = rivals / (rivals + 1.0);
     let start = if run.is_confirmed { 0.0 } else { UNSTARTED_ODDS };
     let beside = if is_beside_suspect { BESIDE_SUSPECT_ODDS } else { 0.0 };
-    let cut_off = if sign == LossSign::CutOff { CUT_OFF_ODDS } else { 0.0 };
-    let by_sign = sign.odds() * run.struck_within;
-    let chances = [run.early_surroundings, by_others, by_sign, start, beside];
+    let cut_off = if sign == LossEvidence::CutOff { CUT_OFF_ODDS } else { 0.0 };
+    let by_sign = sign.survival_probability() * run.run_share_at_loss;
+    let chances = [run.early_background_probability, by_others, by_sign, start, beside];
     suspicion::TaskLoss {
         attempt: run.attempt,
-        odds: chances.into_iter().fold(suspicion::LEAST_ODDS, f64::max),
-        surroundings: run.surroundings.max(beside).max(cut_off),
-        struck_by: run.struck_by,
+        early_probability: chances.into_iter().fold(suspicion::MIN_PROBABILITY, f64::max),
+        anytime_probability: run.background_probability.max(beside).max(cut_off),
+        latest_loss_offset: run.latest_loss_offset,
     }
 }
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -35,12 +35,12 @@
             return;
         }
         self.last_maintenance_at = now;
-        self.end_avoidances(now);
+        self.expire_avoidances(now);
         self.drop_lapsed(now);
         self.settle_overdue(now);
         self.repeat_stops(now);
         self.stop_stalled(now);
-        self.move_off_slow(now);
+        self.move_urgent_off_slow_workers(now);
         self.clear_leaving(now);
         self.repair_gangs(now);
     }
@@ -58,8 +58,12 @@
                 self.is_of_known_life(*key) || self.has_surely_lapsed(*key, now)
             });
             if !lapsed.is_empty() {
-                let sign = if listed { losses::LossSign::CutOff } else { losses::LossSign::Silent };
-                self.worker_lost(&worker, sign, &lapsed, now);
+                let sign = if listed {
+                    losses::LossEvidence::CutOff
+                } else {
+                    losses::LossEvidence::Silent
+                };
+                self.record_worker_loss(&worker, sign, &lapsed, now);
             }
             for key in lapsed {
                 self.release_run(key, now);
@@ -80,7 +84,7 @@
     /// come, with a deadline far ahead on its own clock, and shortened it to the longest lease.
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.run(key) else { return true };
-        let longest = lease_clock::at_most(self.timing.longest_lease);
+        let longest = lease_clock::max_local_span(self.timing.longest_lease);
         run.is_confirmed_by_incarnation || now >= run.since + self.timing.start_timeout + longest
     }
 
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -61,7 +61,9 @@
     /// How long a start may stay unsettled at most, on a worker that answers: a look sent then finds it
     /// behind its deadline.
     fn longest_open(&self) -> Duration {
-        lease_clock::at_most(self.timing.start_timeout + 2 * poll_answers::START_DEADLINE_SLACK)
+        lease_clock::max_local_span(
+            self.timing.start_timeout + 2 * poll_answers::START_DEADLINE_SLACK,
+        )
     }
 
     fn tell_overdue(&self, start: &OverdueStart, now: Duration) {
--- a/crates/graph/src/pace.rs
+++ b/crates/graph/src/pace.rs
@@ -52,7 +52,7 @@
     /// Nothing yet.
     Unknown,
     /// As fast as it should be.
-    Sound,
+    Normal,
     /// Far slower than it should be.
     Slow,
 }
@@ -64,7 +64,7 @@
     }
 
     /// A run that has not begun yet. A gang works only once its last member is there.
-    pub fn unbegun() -> RunPace {
+    pub fn not_started() -> RunPace {
         RunPace::default()
     }
 
@@ -138,7 +138,7 @@
     if share < slow {
         PaceVerdict::Slow
     } else if share >= sound {
-        PaceVerdict::Sound
+        PaceVerdict::Normal
     } else {
         PaceVerdict::Unknown
     }
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -32,13 +32,13 @@
         let waited = now.saturating_sub(tasks.first()?.waiting_since);
         let waited = waited.min(self.wall_time.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
-        let may_crash_worker = tasks.iter().any(|it| it.suspicion.is_on_trial());
-        let is_patient = waited < isolation::LONGEST_APART_WAIT
-            && tasks.iter().all(|it| self.waited_apart(it, now) < isolation::APART_PATIENCE);
+        let may_crash_worker = tasks.iter().any(|it| it.suspicion.needs_isolation());
+        let is_patient = waited < isolation::TOTAL_ISOLATION_TIMEOUT
+            && tasks.iter().all(|it| self.isolation_wait(it, now) < isolation::ISOLATION_TIMEOUT);
         let may_stand = may_crash_worker || waited >= STANDING_PATIENCE;
         let stands = may_stand && self.stands_beside_room(job);
         let may_be_apart =
-            may_crash_worker && (stands || isolation::may_be_apart(tasks, candidates));
+            may_crash_worker && (stands || isolation::may_run_isolated(tasks, candidates));
         let takes_any = waited >= STANDING_PATIENCE && stands;
         let mut request = candidate::PlacementRequest {
             unit,
@@ -64,9 +64,9 @@
             may_be_apart,
         };
         if request.is_isolated {
-            request.avoids.extend(isolation::avoided(tasks, candidates));
+            request.avoids.extend(isolation::workers_to_avoid(tasks, candidates));
         } else if may_be_apart && is_patient {
-            request = isolation::apart_at_once(request, tasks, candidates);
+            request = isolation::isolated_if_free(request, tasks, candidates);
         }
         request.allows_remote = takes_any
             || waited >= self.locality_wait(job)
@@ -99,14 +99,14 @@
         candidates: &[candidate::WorkerCandidate],
         waited: Duration,
     ) -> usize {
-        if job.priority == preemption::URGENT || waited >= self.slack(job) {
+        if job.priority == preemption::URGENT_PRIORITY || waited >= self.slack(job) {
             return 0;
         }
         // By the largest: the room of any one worker may have shrunk for a while.
         let rooms = candidates.iter().map(|it| it.place.capacity);
         let each = rooms.max_by_key(|it| it.accelerators).unwrap_or_default();
         let n = self.headroom.n_workers(each, candidates.len());
-        if job.priority == preemption::URGENT + 1 { n / 2 } else { 2 * n }
+        if job.priority == preemption::URGENT_PRIORITY + 1 { n / 2 } else { 2 * n }
     }
 }
 
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -57,12 +57,12 @@
         let wait = match (answers, has_runs) {
             // Ends that are not durable yet are listed again at once.
             _ if !record.unsaved_ends.is_empty() => Duration::ZERO,
-            _ if ack == ack_window::EndAck::AskFirst => Duration::ZERO,
+            _ if ack == ack_window::EndAck::VerifyFirst => Duration::ZERO,
             (false, _) => Duration::ZERO,
             (true, true) => busy_wait,
             (true, false) => IDLE_WAIT,
         };
-        record.trust.asked(wait, ack);
+        record.trust.poll_sent(wait, ack);
         Some(order::PollRequest {
             address: record.listing.address.clone(),
             generation: record.generation,
@@ -75,7 +75,7 @@
     fn has_urgent(&self, worker: &ids::WorkerId) -> bool {
         let runs = self.workers.get(worker).map(|it| &it.runs);
         let mut jobs = runs.into_iter().flatten().filter_map(|it| self.jobs.get(&it.graph));
-        jobs.any(|it| it.priority == preemption::URGENT)
+        jobs.any(|it| it.priority == preemption::URGENT_PRIORITY)
     }
 
     /// Whether ends of the worker wait to become durable.
@@ -100,22 +100,22 @@
         now: Duration,
     ) {
         let Some(record) = self.workers.get(worker) else { return };
-        let life = record.life_of(&listed, sent_at);
-        if life == worker_restarts::AnswerLife::Former {
+        let life = record.incarnation_of_answer(&listed, sent_at);
+        if life == worker_restarts::AnswerIncarnation::Earlier {
             tracing::debug!(worker, "an answer of a former life is passed over");
             return;
         }
         if record.n_missed > 1 {
             tracing::info!(worker, n_missed = record.n_missed, "worker answers again");
         }
-        if life == worker_restarts::AnswerLife::Later {
+        if life == worker_restarts::AnswerIncarnation::Later {
             self.worker_restarted(worker, &listed, now);
         }
         let Some(record) = self.workers.get_mut(worker) else { return };
         record.incarnation = listed.incarnation.or(record.incarnation);
         record.n_missed = 0;
         record.has_lapsed = false;
-        record.trust.answered(sent_at, now);
+        record.trust.poll_answered(sent_at, now);
         record.oldest_listed = listed.ended.first().map(|it| it.number);
         let is_first = !record.fenced;
         record.fenced = true;
@@ -136,14 +136,14 @@
         if listed.complete {
             self.take_missing(worker, &running, listed_at);
         }
-        self.judge_pace(worker, now);
+        self.detect_slow_worker(worker, now);
     }
 
     /// An earlier scheduler may have extended the lease just before; and a life that was not known yet
     /// may have been given a deadline by the clock of the former one.
-    fn adopt_lease(&mut self, worker: &ids::WorkerId, life: worker_restarts::AnswerLife) {
+    fn adopt_lease(&mut self, worker: &ids::WorkerId, life: worker_restarts::AnswerIncarnation) {
         let lease = match life {
-            worker_restarts::AnswerLife::Later => self.timing.longest_lease,
+            worker_restarts::AnswerIncarnation::Later => self.timing.longest_lease,
             _ => self.timing.lease,
         };
         if let Some(record) = self.workers.get_mut(worker) {
@@ -214,12 +214,12 @@
             task.checkpoint = listed.checkpoint;
         }
         if has_comparable_run_time {
-            task.suspicion.note_survived(clock.saturating_sub(first_confirmed_clock));
+            task.suspicion.record_survival(clock.saturating_sub(first_confirmed_clock));
         }
         if has_begun {
             self.note_run_start(key, now);
         }
-        if self.acquit(key, attempt) {
+        if self.withdraw_loss(key, attempt) {
             self.touch(key);
         }
     }
@@ -253,15 +253,15 @@
             pace: pace::RunPace::new(clock, listed.percent),
             first_confirmed_clock: Some(clock),
         });
-        if task.suspicion.inherited_trial == Some(listed.attempt) {
-            task.suspicion.trial = task.suspicion.inherited_trial.take();
+        if task.suspicion.inherited_attempt == Some(listed.attempt) {
+            task.suspicion.saved_attempt = task.suspicion.inherited_attempt.take();
         }
-        let is_on_trial = task.suspicion.is_on_trial();
+        let needs_isolation = task.suspicion.needs_isolation();
         if let Some(record) = self.workers.get_mut(worker) {
             record.runs.insert(listed.task);
             record.used = record.used.plus(room);
             // Where others run already, none joins them.
-            if is_on_trial {
+            if needs_isolation {
                 record.apart_runs.insert(listed.task);
             }
         }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -14,7 +14,7 @@
 use crate::worker;
 
 /// Priority of the work that may stop other work.
-pub(crate) const URGENT: u32 = 0;
+pub(crate) const URGENT_PRIORITY: u32 = 0;
 
 /// Units for which room is sought in one turn; the next turn follows within milliseconds. Each goes
 /// over all workers and what runs there.
@@ -47,29 +47,29 @@
 
 /// What is left to clear in one turn.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ClearingRound {
+pub(crate) struct PreemptionRound {
     /// Units for which room is being cleared already.
     claimed: BTreeSet<task_key::UnitKey>,
     /// Units for which room may still be sought.
     n_left: u32,
     /// What may be stopped for work within a guarantee, once it was needed.
-    for_guaranteed: Option<preemption_plan::VictimPool>,
+    for_guaranteed: Option<preemption_plan::VictimSet>,
     /// What may be stopped for other urgent work, once it was needed.
-    for_others: Option<preemption_plan::VictimPool>,
+    for_others: Option<preemption_plan::VictimSet>,
 }
 
 impl core::PoolCore {
-    pub(crate) fn drop_claims(&mut self, now: Duration) {
+    pub(crate) fn expire_claims(&mut self, now: Duration) {
         for worker in self.workers.values_mut() {
             worker.claims.retain(|it| now < it.until);
         }
     }
 
     /// What one turn may clear.
-    pub(crate) fn clearing_round(&self) -> ClearingRound {
+    pub(crate) fn preemption_round(&self) -> PreemptionRound {
         let claims = self.workers.values().flat_map(|it| &it.claims);
         let claimed = claims.map(|it| it.unit).collect();
-        ClearingRound { claimed, n_left: CLEARED_A_TURN, ..ClearingRound::default() }
+        PreemptionRound { claimed, n_left: CLEARED_A_TURN, ..PreemptionRound::default() }
     }
 
     /// Stops less urgent work for an urgent unit that found no room. Each task of a step is
@@ -77,11 +77,11 @@
     /// would come back late. Where it would cost too much the unit waits, and reserves nothing: one
     /// urgent gang after the other would keep those behind it off what is free (at four times the
     /// load of a full day 0.30 instead of 0.37 of worth).
-    pub(crate) fn clear_for_urgent(
+    pub(crate) fn preempt_for_urgent(
         &mut self,
         unit: task_key::UnitKey,
         candidates: &mut [candidate::WorkerCandidate],
-        round: &mut ClearingRound,
+        round: &mut PreemptionRound,
         now: Duration,
     ) {
         if round.n_left == 0 || round.claimed.contains(&unit) {
@@ -95,14 +95,14 @@
         &mut self,
         unit: task_key::UnitKey,
         candidates: &mut [candidate::WorkerCandidate],
-        round: &mut ClearingRound,
+        round: &mut PreemptionRound,
         now: Duration,
     ) {
         let is_guaranteed = self.is_within_guarantee(unit.graph);
         let pool = if is_guaranteed { &mut round.for_guaranteed } else { &mut round.for_others };
         let pool = pool.get_or_insert_with(|| self.victim_pool(is_guaranteed, candidates, now));
         let Some(request) = self.placement_request(unit, candidates, now) else { return };
-        let Some(plan) = preemption_plan::reclaim(candidates, pool, &request) else { return };
+        let Some(plan) = preemption_plan::cheapest_plan(candidates, pool, &request) else { return };
         if plan.cost > self.most_cost(unit, &request, now) {
             return;
         }
@@ -176,13 +176,13 @@
         is_guaranteed: bool,
         candidates: &[candidate::WorkerCandidate],
         now: Duration,
-    ) -> preemption_plan::VictimPool {
-        let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::ReclaimVictim>::new();
+    ) -> preemption_plan::VictimSet {
+        let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::PreemptionVictim>::new();
         for (index, candidate) in candidates.iter().enumerate() {
             let Some(record) = self.workers.get(&candidate.place.worker) else { continue };
             for key in &record.runs {
                 let Some(job) = self.jobs.get(&key.graph) else { continue };
-                let is_urgent = job.priority == URGENT;
+                let is_urgent = job.priority == URGENT_PRIORITY;
                 let is_protected = is_urgent && self.is_within_guarantee(key.graph);
                 if is_urgent && (!is_guaranteed || is_protected) {
                     continue;
@@ -191,13 +191,13 @@
                 let Some(cost) = self.stop_cost(*key, now) else { continue };
                 let Some(victim) = job.unit_of(*key) else { continue };
                 let entry = victims.entry(victim).or_insert_with(|| {
-                    preemption_plan::ReclaimVictim { unit: victim, cost: 0, runs: Vec::new() }
+                    preemption_plan::PreemptionVictim { unit: victim, cost: 0, runs: Vec::new() }
                 });
                 entry.cost += factor * cost;
                 entry.runs.push((index, self.room_of(*key)));
             }
         }
-        preemption_plan::VictimPool::new(self.freeing(candidates), victims.into_values().collect())
+        preemption_plan::VictimSet::new(self.freeing(candidates), victims.into_values().collect())
     }
 
     /// Work that stopping a run throws away; nothing where it is stopping already.
@@ -230,7 +230,7 @@
     /// Accounts whose urgent work needs no more than is guaranteed to them.
     pub(crate) fn accounts_within_guarantee(&self) -> BTreeSet<ids::AccountId> {
         let mut needs = BTreeMap::<&str, u32>::new();
-        let urgent = self.active_jobs().filter(|(_, it)| it.priority == URGENT);
+        let urgent = self.active_jobs().filter(|(_, it)| it.priority == URGENT_PRIORITY);
         for (_, job) in urgent {
             if let Some(account) = &job.account {
                 *needs.entry(account).or_default() += job.accelerators();
--- a/crates/graph/src/preemption_plan.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -8,7 +8,7 @@
 
 /// A unit that may be stopped.
 #[derive(Clone, Debug)]
-pub struct ReclaimVictim {
+pub struct PreemptionVictim {
     /// The unit.
     pub unit: task_key::UnitKey,
     /// Work that would be lost, in core-milliseconds; with what a new start costs.
@@ -19,7 +19,7 @@
 
 /// What a reclaim does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReclaimPlan {
+pub struct PreemptionPlan {
     /// Victims by index.
     pub victims: BTreeSet<usize>,
     /// Berths on which the unit will run, one for each task.
@@ -29,11 +29,11 @@
 }
 
 /// Chooses whom to stop for `ask`, at least cost.
-pub fn reclaim(
+pub fn cheapest_plan(
     candidates: &[candidate::WorkerCandidate],
-    pool: &VictimPool,
+    pool: &VictimSet,
     request: &candidate::PlacementRequest,
-) -> Option<ReclaimPlan> {
+) -> Option<PreemptionPlan> {
     let groups = berth_groups(candidates, request);
     let plans = groups.iter().filter_map(|it| plan_within(it, candidates, pool, request));
     plans.min_by_key(|it| it.cost)
@@ -60,23 +60,23 @@
 fn plan_within(
     group: &[usize],
     candidates: &[candidate::WorkerCandidate],
-    pool: &VictimPool,
+    pool: &VictimSet,
     request: &candidate::PlacementRequest,
-) -> Option<ReclaimPlan> {
+) -> Option<PreemptionPlan> {
     let mut state = PlanState::new(group, candidates, pool, request);
     let mut placed = Vec::<usize>::new();
     for _ in 0..request.n_tasks {
         placed.push(state.take_cheapest()?);
     }
     let cost = state.stopped.iter().map(|it| pool.victims[*it].cost).sum();
-    Some(ReclaimPlan { victims: state.stopped, candidates: placed, cost })
+    Some(PreemptionPlan { victims: state.stopped, candidates: placed, cost })
 }
 
 /// Units that may be stopped, where each holds room, and the room of those that are stopping. Made
 /// once a turn: it goes over all that runs.
 #[derive(Clone, Debug, Default)]
-pub struct VictimPool {
-    victims: Vec<ReclaimVictim>,
+pub struct VictimSet {
+    victims: Vec<PreemptionVictim>,
     /// Victims with room there, the cheapest for their room last.
     by_berth: Vec<Vec<(usize, resources::Resources)>>,
     /// Room of tasks that are stopping already, by berth.
@@ -85,9 +85,9 @@
     stopping: BTreeSet<usize>,
 }
 
-impl VictimPool {
+impl VictimSet {
     /// The victims on `n_berths` berths; `freeing` is room of tasks that are stopping already, by berth.
-    pub fn new(freeing: Vec<resources::Resources>, victims: Vec<ReclaimVictim>) -> VictimPool {
+    pub fn new(freeing: Vec<resources::Resources>, victims: Vec<PreemptionVictim>) -> VictimSet {
         let mut by_berth = vec![BTreeMap::<usize, resources::Resources>::new(); freeing.len()];
         for (victim, it) in victims.iter().enumerate() {
             for (candidate, room) in &it.runs {
@@ -103,7 +103,7 @@
             on_berth
         });
         let by_berth = sorted.collect();
-        VictimPool { victims, by_berth, freeing, stopping: BTreeSet::new() }
+        VictimSet { victims, by_berth, freeing, stopping: BTreeSet::new() }
     }
 
     /// The unit of a victim.
@@ -125,7 +125,7 @@
 /// A plan for a group of berths, as far as it is made.
 struct PlanState<'a> {
     candidates: &'a [candidate::WorkerCandidate],
-    pool: &'a VictimPool,
+    pool: &'a VictimSet,
     request: &'a candidate::PlacementRequest<'a>,
     /// What is in use on each berth of the group, less what the plan frees and with what it takes. What is
     /// free follows from it: a worker whose room has shrunk may have more in use than it offers.
@@ -146,7 +146,7 @@
     fn new(
         group: &[usize],
         candidates: &'a [candidate::WorkerCandidate],
-        pool: &'a VictimPool,
+        pool: &'a VictimSet,
         request: &'a candidate::PlacementRequest<'a>,
     ) -> PlanState<'a> {
         let used_on = |index: usize| candidates[index].used.minus(pool.freeing[index]);
--- a/crates/graph/src/progress.rs
+++ b/crates/graph/src/progress.rs
@@ -165,7 +165,7 @@
     let has_failed = |it: &job::StepRecord| {
         it.gang_failures.count() >= most || it.tasks.iter().any(|it| it.failures.count() >= most)
     };
-    let crashes = |it: &job::TaskRecord| !it.done && it.suspicion.is_proved();
+    let crashes = |it: &job::TaskRecord| !it.done && it.suspicion.is_proven_to_crash();
     if job.steps.iter().any(has_failed) {
         return Some(model::FailureCause::Attempts);
     }
@@ -214,17 +214,17 @@
 fn task_losses(task: u32, suspicion: &suspicion::TaskSuspicion) -> model::TaskLosses {
     let losses = suspicion.losses().iter().map(|it| model::WorkerLoss {
         attempt: it.attempt,
-        odds_ppm: (it.odds * MILLION).round() as u32,
-        surroundings_ppm: (it.surroundings * MILLION).round() as u32,
-        struck_ms: it.struck_by.map(millis),
+        odds_ppm: (it.early_probability * MILLION).round() as u32,
+        surroundings_ppm: (it.anytime_probability * MILLION).round() as u32,
+        struck_ms: it.latest_loss_offset.map(millis),
     });
-    let survived_ms = Some(suspicion.survived()).filter(|it| !it.is_zero()).map(millis);
+    let survived_ms = Some(suspicion.longest_survived_run()).filter(|it| !it.is_zero()).map(millis);
     model::TaskLosses { task, losses: losses.collect(), survived_ms }
 }
 
 /// The start of a task that is on record.
 fn trial(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
-    let attempt = record.suspicion.trial.or(record.suspicion.inherited_trial)?;
+    let attempt = record.suspicion.saved_attempt.or(record.suspicion.inherited_attempt)?;
     (!record.done).then_some(model::TaskAttempt { task, attempt })
 }
 
@@ -237,9 +237,9 @@
     let span = |ms: u32| Duration::from_millis(u64::from(ms));
     let losses = saved.losses.iter().map(|it| suspicion::TaskLoss {
         attempt: it.attempt,
-        odds: f64::from(it.odds_ppm) / MILLION,
-        surroundings: f64::from(it.surroundings_ppm) / MILLION,
-        struck_by: it.struck_ms.map(span),
+        early_probability: f64::from(it.odds_ppm) / MILLION,
+        anytime_probability: f64::from(it.surroundings_ppm) / MILLION,
+        latest_loss_offset: it.struck_ms.map(span),
     });
     let survived = saved.survived_ms.map(span).unwrap_or_default();
     suspicion::TaskSuspicion::restored(losses.collect(), survived)
@@ -270,7 +270,7 @@
     }
     for it in saved.trials {
         if let Some(task) = step.tasks.get_mut(it.task as usize) {
-            task.suspicion.inherited_trial = Some(it.attempt);
+            task.suspicion.inherited_attempt = Some(it.attempt);
         }
     }
     for it in saved.attempts {
--- a/crates/graph/src/prospect.rs
+++ b/crates/graph/src/prospect.rs
@@ -53,7 +53,7 @@
     pub(crate) fn prospect(&self, job: &job::JobRecord, now: Duration) -> JobProspect {
         let is_guaranteed =
             job.account.as_ref().is_some_and(|it| self.within_guarantee.contains(it));
-        let is_kept = job.priority == preemption::URGENT && is_guaranteed;
+        let is_kept = job.priority == preemption::URGENT_PRIORITY && is_guaranteed;
         // The runs of a timed job are due one after the other.
         if is_kept || job.schedule.is_some() {
             return JobProspect::InTime;
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -27,14 +27,14 @@
 
 impl core::PoolCore {
     /// Judges a worker by the pace of what runs there.
-    pub(crate) fn judge_pace(&mut self, worker: &ids::WorkerId, now: Duration) {
+    pub(crate) fn detect_slow_worker(&mut self, worker: &ids::WorkerId, now: Duration) {
         let Some(record) = self.workers.get(worker) else { return };
         let verdicts = record.runs.iter().map(|it| self.pace_of(*it)).collect::<Vec<_>>();
         // One task at its usual pace clears the worker: a gang is as slow as its slowest member,
         // wherever that is.
         let is_slow = verdicts.contains(&pace::PaceVerdict::Slow)
-            && !verdicts.contains(&pace::PaceVerdict::Sound);
-        let is_spare = is_slow && self.can_spare(worker, |it| now < it.slow_until);
+            && !verdicts.contains(&pace::PaceVerdict::Normal);
+        let is_spare = is_slow && self.can_exclude(worker, |it| now < it.slow_until);
         let Some(record) = self.workers.get_mut(worker) else { return };
         if is_spare {
             if now >= record.slow_until {
@@ -45,7 +45,7 @@
     }
 
     /// Stops urgent units that progress far too slowly, so that they start elsewhere.
-    pub(crate) fn move_off_slow(&mut self, now: Duration) {
+    pub(crate) fn move_urgent_off_slow_workers(&mut self, now: Duration) {
         let keys = self.workers.values().flat_map(|it| it.runs.iter().copied());
         let moving = keys.filter(|it| self.should_move(*it, now)).collect::<BTreeSet<_>>();
         for key in moving {
@@ -66,7 +66,7 @@
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let Some(run) = self.run(key) else { return false };
         let is_running = matches!(run.phase, job::RunPhase::Running { .. });
-        if job.priority != preemption::URGENT || !is_running || run.attempt >= MOST_MOVES {
+        if job.priority != preemption::URGENT_PRIORITY || !is_running || run.attempt >= MOST_MOVES {
             return false;
         }
         let is_young = now <= run.since + MOVES_WITHIN;
@@ -83,7 +83,7 @@
         }
         let by_class = pace::UsualPace { siblings: None, class: self.class_pace(key) };
         match run.pace.verdict(by_class) {
-            pace::PaceVerdict::Sound => pace::PaceVerdict::Sound,
+            pace::PaceVerdict::Normal => pace::PaceVerdict::Normal,
             // The siblings tell more, and cost more to look at.
             unsure => match self.sibling_pace(key) {
                 Some(siblings) => {
@@ -97,12 +97,12 @@
     /// Mean pace of the class of a run, in percent per second.
     pub(crate) fn class_pace(&self, key: task_key::TaskKey) -> Option<f64> {
         let job = self.jobs.get(&key.graph)?;
-        let mean = self.run_times.known_mean(&job.class)?.mul_f64(self.far_factor(key));
+        let mean = self.run_times.known_mean(&job.class)?.mul_f64(self.remote_run_time_factor(key));
         Some(100.0 / mean.as_secs_f64().max(0.001))
     }
 
     /// How many times as long a run takes where it is.
-    pub(crate) fn far_factor(&self, key: task_key::TaskKey) -> f64 {
+    pub(crate) fn remote_run_time_factor(&self, key: task_key::TaskKey) -> f64 {
         let is_remote = self.run(key).is_some_and(|it| it.is_remote);
         if is_remote { self.timing.remote_factor } else { 1.0 }
     }
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -46,11 +46,11 @@
                 worker,
                 "task stands still and is stopped"
             );
-            let is_spare = self.can_spare(&worker, |it| it.health.is_paused(now));
+            let is_spare = self.can_exclude(&worker, |it| it.health.is_paused(now));
             if let Some(record) = self.workers.get_mut(&worker)
                 && !record.health.is_paused(now)
             {
-                record.health.hung(is_spare, now);
+                record.health.task_stalled(is_spare, now);
             }
             if let Some(task) = self.jobs.get_mut(&key.graph).and_then(|it| it.task_mut(key)) {
                 task.n_stalls += 1;
@@ -76,6 +76,6 @@
     fn declared_pace(&self, key: task_key::TaskKey) -> f64 {
         let step = self.jobs.get(&key.graph).and_then(|it| it.step(key));
         let estimate_ms = step.map_or(0, |it| it.spec.estimate_ms).max(1);
-        100_000.0 / (f64::from(estimate_ms) * self.far_factor(key))
+        100_000.0 / (f64::from(estimate_ms) * self.remote_run_time_factor(key))
     }
 }
--- a/crates/graph/src/suspicion.rs
+++ b/crates/graph/src/suspicion.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 /// Chance at which a loss counts at least: no single one proves anything.
-pub const LEAST_ODDS: f64 = 0.01;
+pub const MIN_PROBABILITY: f64 = 0.01;
 
 /// A task is given up once the chance of all that has struck it is lower than this, after two losses and
 /// after more, whenever in its runs they came. Two losses have to be by themselves, under a task that ran alone,
 /// while hardly any other worker was lost. The more there are, the less has to be known of each: the platform
 /// lets a task be started twice more when three workers have crashed under it, and of the first losses, amid an
 /// outage, little may be known, or nothing.
-const PROOF_ODDS: [f64; 2] = [2.0 * LEAST_ODDS * LEAST_ODDS, 0.001];
+const PROOF_ODDS: [f64; 2] = [2.0 * MIN_PROBABILITY * MIN_PROBABILITY, 0.001];
 
 /// The same of the chance that all struck it so early, after four losses and after more. Among many tasks some are
 /// struck early in a row, so that it has to be lower.
@@ -47,12 +47,12 @@
     pub attempt: u32,
     /// Chance that a task that crashes nothing was struck as it was, so early in its run: by what else was
     /// lost, by what else ran there, and by how sure it is that the worker crashed.
-    pub odds: f64,
+    pub early_probability: f64,
     /// Chance that what else was lost struck it at any time of its run.
-    pub surroundings: f64,
+    pub anytime_probability: f64,
     /// How far into its run the worker was lost at the latest; nothing where that can't be compared with
     /// other runs.
-    pub struck_by: Option<Duration>,
+    pub latest_loss_offset: Option<Duration>,
 }
 
 /// What is held against a task.
@@ -63,9 +63,9 @@
     survived: Duration,
     /// The attempt of a start that is on record: should the scheduler go, its successor counts the start
     /// unless it hears of its end.
-    pub trial: Option<u32>,
+    pub saved_attempt: Option<u32>,
     /// The same as an earlier scheduler has left it.
-    pub inherited_trial: Option<u32>,
+    pub inherited_attempt: Option<u32>,
 }
 
 impl TaskSuspicion {
@@ -80,12 +80,12 @@
     }
 
     /// The longest that a run of it was seen to go on.
-    pub fn survived(&self) -> Duration {
+    pub fn longest_survived_run(&self) -> Duration {
         self.survived
     }
 
     /// A run of it was seen to go on for so long. It is not what ended others much sooner.
-    pub fn note_survived(&mut self, ran: Duration) {
+    pub fn record_survival(&mut self, ran: Duration) {
         self.survived = self.survived.max(ran);
     }
 
@@ -96,34 +96,36 @@
 
     /// Whether its starts are trials: apart from other work, and on record. What was struck several times,
     /// amid whatever, runs alone at last; beside others each further loss would say as little.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn needs_isolation(&self) -> bool {
         self.is_suspect() || self.counted().count() >= LOSSES_TO_TRIAL
     }
 
     /// Whether more than one loss speaks against it, or one under it alone.
-    pub fn is_strong(&self) -> bool {
-        self.n_unexplained() > 1 || (self.is_suspect() && self.odds() <= STRONG_ODDS)
+    pub fn is_strong_suspect(&self) -> bool {
+        self.n_unexplained() > 1 || (self.is_suspect() && self.early_probability() <= STRONG_ODDS)
     }
 
     /// Whether it is taken to crash the workers that start it.
-    pub fn is_proved(&self) -> bool {
+    pub fn is_proven_to_crash(&self) -> bool {
         let n_losses = self.counted().count();
         let is_below = |odds: f64, bounds: [f64; 2], least_losses: usize| {
             let n_more = n_losses.checked_sub(least_losses);
             n_more.is_some_and(|it| odds < bounds[it.min(bounds.len() - 1)])
         };
-        let at_any_time = self.counted().map(|it| it.odds.max(it.surroundings)).product();
-        is_below(at_any_time, PROOF_ODDS, 2) || is_below(self.odds(), EARLY_PROOF_ODDS, 4)
+        let at_any_time =
+            self.counted().map(|it| it.early_probability.max(it.anytime_probability)).product();
+        is_below(at_any_time, PROOF_ODDS, 2)
+            || is_below(self.early_probability(), EARLY_PROOF_ODDS, 4)
     }
 
     /// The longest that any run of it has lasted, as far as is known.
     pub fn longest_run(&self) -> Duration {
-        let struck = self.counted().filter_map(|it| it.struck_by).max();
+        let struck = self.counted().filter_map(|it| it.latest_loss_offset).max();
         self.survived.max(struck.unwrap_or_default())
     }
 
     fn n_unexplained(&self) -> usize {
-        self.counted().filter(|it| it.surroundings <= UNEXPLAINED_ODDS).count()
+        self.counted().filter(|it| it.anytime_probability <= UNEXPLAINED_ODDS).count()
     }
 
     /// The losses that may be its doing: no run of it was seen to go on far beyond the moment of theirs.
@@ -131,42 +133,45 @@
         let latest = |it: Duration| it.mul_f64(MOMENT_SPREAD) + MOMENT_SLACK;
         self.losses
             .iter()
-            .filter(move |it| it.struck_by.is_none_or(|by| latest(by) >= self.survived))
+            .filter(move |it| it.latest_loss_offset.is_none_or(|by| latest(by) >= self.survived))
     }
 
     /// Chance of all that has struck it, if it crashes nothing.
-    pub fn odds(&self) -> f64 {
-        self.counted().map(|it| it.odds).product()
+    pub fn early_probability(&self) -> f64 {
+        self.counted().map(|it| it.early_probability).product()
     }
 
     /// Takes in a loss. One of the same attempt counts once, by what is known best.
-    pub fn charge(&mut self, loss: TaskLoss) {
+    pub fn record_loss(&mut self, loss: TaskLoss) {
         if let Some(known) = self.losses.iter_mut().find(|it| it.attempt == loss.attempt) {
-            known.odds = known.odds.min(loss.odds);
-            known.surroundings = known.surroundings.min(loss.surroundings);
-            known.struck_by = known.struck_by.or(loss.struck_by);
+            known.early_probability = known.early_probability.min(loss.early_probability);
+            known.anytime_probability = known.anytime_probability.min(loss.anytime_probability);
+            known.latest_loss_offset = known.latest_loss_offset.or(loss.latest_loss_offset);
             return;
         }
         self.losses.push(loss);
         if self.losses.len() > MOST_KEPT {
-            let weakest = (0..self.losses.len())
-                .max_by(|one, other| self.losses[*one].odds.total_cmp(&self.losses[*other].odds));
+            let weakest = (0..self.losses.len()).max_by(|one, other| {
+                self.losses[*one]
+                    .early_probability
+                    .total_cmp(&self.losses[*other].early_probability)
+            });
             weakest.map(|it| self.losses.remove(it));
         }
     }
 
     /// Takes back what an attempt was charged with, as its worker lives. Tells whether there was anything.
-    pub fn acquit(&mut self, attempt: u32) -> bool {
+    pub fn withdraw_loss(&mut self, attempt: u32) -> bool {
         let n_before = self.losses.len();
         self.losses.retain(|it| it.attempt != attempt);
         self.losses.len() < n_before
     }
 
     /// Takes the start of an attempt off the record, as its end is known. Tells whether it was there.
-    pub fn settle(&mut self, attempt: u32) -> bool {
-        let before = (self.trial, self.inherited_trial);
-        self.trial = self.trial.filter(|it| *it != attempt);
-        self.inherited_trial = self.inherited_trial.filter(|it| *it != attempt);
-        before != (self.trial, self.inherited_trial)
+    pub fn forget_attempt(&mut self, attempt: u32) -> bool {
+        let before = (self.saved_attempt, self.inherited_attempt);
+        self.saved_attempt = self.saved_attempt.filter(|it| *it != attempt);
+        self.inherited_attempt = self.inherited_attempt.filter(|it| *it != attempt);
+        before != (self.saved_attempt, self.inherited_attempt)
     }
 }
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -59,7 +59,7 @@
 /// Whether an earlier scheduler has left the start of a task on record of which nothing was heard since.
 fn has_recorded_start(job: &job::JobRecord) -> bool {
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
-    tasks.any(|it| it.suspicion.inherited_trial.is_some())
+    tasks.any(|it| it.suspicion.inherited_attempt.is_some())
 }
 
 impl core::PoolCore {
@@ -123,6 +123,6 @@
         let Some(chunk) = progress::chunk_of(job, key) else { return false };
         let row = save_queue::SaveKey::Progress { graph: key.graph, chunk };
         let attempt = task.run.as_ref().map(|it| it.attempt);
-        attempt.is_some() && task.suspicion.trial == attempt && self.unsaved.is_saved(row)
+        attempt.is_some() && task.suspicion.saved_attempt == attempt && self.unsaved.is_saved(row)
     }
 }
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -31,8 +31,8 @@
         if end.checkpoint.is_some() {
             task.checkpoint = end.checkpoint.clone();
         }
-        let is_acquitted = self.acquit(key, end.attempt);
-        let is_settled = self.settle_trial(key, end.attempt) || is_acquitted;
+        let is_acquitted = self.withdraw_loss(key, end.attempt);
+        let is_settled = self.clear_saved_start(key, end.attempt) || is_acquitted;
         tracing::info!(
             job = format_args!("{:016x}", key.graph),
             task = %key,
@@ -73,7 +73,7 @@
         now: Duration,
     ) -> Option<save_queue::SaveMark> {
         if let Some(record) = self.workers.get_mut(worker) {
-            record.health.succeeded();
+            record.health.task_succeeded();
         }
         let job = self.jobs.get_mut(&key.graph)?;
         if job.has_ended() && job.state != model::GraphState::Completed {
@@ -110,9 +110,9 @@
         attempt: u32,
         now: Duration,
     ) -> Option<save_queue::SaveMark> {
-        let is_spare = self.can_spare(worker, |it| it.health.is_paused(now));
+        let is_spare = self.can_exclude(worker, |it| it.health.is_paused(now));
         if let Some(record) = self.workers.get_mut(worker)
-            && record.health.failed(key.graph, is_spare, now)
+            && record.health.task_failed(key.graph, is_spare, now)
         {
             tracing::warn!(worker, "worker fails tasks of several jobs and is paused");
         }
@@ -127,7 +127,7 @@
         let failures = if is_gang { &mut step.gang_failures } else { &mut task.failures };
         let is_new = failures.record(attempt);
         let is_last = failures.count() >= most;
-        self.keep_off(key, worker, now);
+        self.avoid_failed_worker(key, worker, now);
         if !is_new {
             return None;
         }
--- a/crates/graph/src/unsaved_suspicions.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -55,25 +55,25 @@
     }
 
     fn learn_losses(&mut self, key: task_key::TaskKey, told: &model::TaskLosses, now: Duration) {
-        let Some(task) = self.task_of(key).filter(|it| !it.done) else { return };
+        let Some(task) = self.task_record_mut(key).filter(|it| !it.done) else { return };
         let former = progress::restore_suspicion(told);
-        task.suspicion.note_survived(former.survived());
+        task.suspicion.record_survival(former.longest_survived_run());
         let ended = task.ended_attempt;
         let open = former.losses().iter().filter(|it| it.attempt > ended);
         for loss in open.copied().collect::<Vec<_>>() {
             tracing::info!(task = %key, attempt = loss.attempt, "loss is told by a former scheduler");
-            self.charge(key, loss, now);
+            self.record_loss(key, loss, now);
         }
     }
 
     fn learn_trial(&mut self, key: task_key::TaskKey, attempt: u32) {
-        let Some(task) = self.task_of(key).filter(|it| !it.done) else { return };
+        let Some(task) = self.task_record_mut(key).filter(|it| !it.done) else { return };
         if attempt <= task.ended_attempt {
             return;
         }
         let trial = match &task.run {
-            Some(run) if run.attempt == attempt => &mut task.suspicion.trial,
-            _ => &mut task.suspicion.inherited_trial,
+            Some(run) if run.attempt == attempt => &mut task.suspicion.saved_attempt,
+            _ => &mut task.suspicion.inherited_attempt,
         };
         if *trial < Some(attempt) {
             tracing::info!(task = %key, attempt, "start is told by a former scheduler");
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -117,7 +117,8 @@
             Some(task) => step.tasks.get(task as usize..=task as usize)?,
             None => &step.tasks[..],
         };
-        let is_plain = |it: &job::TaskRecord| it.avoids.is_none() && !it.suspicion.is_on_trial();
+        let is_plain =
+            |it: &job::TaskRecord| it.avoids.is_none() && !it.suspicion.needs_isolation();
         let tells = step.spec.per_worker == 0 && tasks.iter().all(is_plain);
         tells.then(|| UnitShape {
             upstream: job.upstream.clone(),
@@ -370,10 +371,10 @@
         let Some(unit) = wait.unit else { return open_order_reason(job, now) };
         let reason =
             |cause, detail: &str| WaitReason { cause, detail: detail.to_owned(), age: waited };
-        if self.is_held(unit, now) {
+        if self.is_held_back(unit, now) {
             return reason(WaitCause::UncertainLoss, "a worker under it may live");
         }
-        if self.awaits_record(unit) {
+        if self.awaits_saved_start(unit) {
             return reason(WaitCause::UnsavedStart, "its start is not on record");
         }
         if outlook.has_room() {
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -95,7 +95,7 @@
     /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
     pub has_lapsed: bool,
     /// What its looks tell of which life it is in.
-    pub trust: ack_window::LifeTrust,
+    pub trust: ack_window::AckWindow,
     /// Lowest end that its last answer has listed.
     pub oldest_listed: Option<u64>,
     /// Highest end that was taken in.
@@ -193,10 +193,10 @@
         if !is_owed {
             return ack_window::EndAck::Nothing;
         }
-        if self.answers() && self.trust.holds(now) {
+        if self.answers() && self.trust.is_open(now) {
             ack_window::EndAck::UpTo(self.acknowledged)
         } else {
-            ack_window::EndAck::AskFirst
+            ack_window::EndAck::VerifyFirst
         }
     }
 
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -18,34 +18,42 @@
 
 /// In which life a worker has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerLife {
+pub(crate) enum AnswerIncarnation {
     /// In the one that is known.
     Known,
     /// In one that is over; the answer was overtaken by one of the known life.
-    Former,
+    Earlier,
     /// In a later one.
     Later,
 }
 
 impl worker::WorkerRecord {
     /// In which life the worker gave an answer to a look sent at `sent_at`.
-    pub(crate) fn life_of(&self, listed: &order::PollReply, sent_at: Duration) -> AnswerLife {
+    pub(crate) fn incarnation_of_answer(
+        &self,
+        listed: &order::PollReply,
+        sent_at: Duration,
+    ) -> AnswerIncarnation {
         let (Some(told), Some(known)) = (listed.incarnation, self.incarnation) else {
             // Where lives are not told apart, the clock tells: within one it never falls behind.
-            let is_behind = self.clock.is_behind(listed.clock_ms, sent_at);
-            return if is_behind { AnswerLife::Later } else { AnswerLife::Known };
+            let is_behind = self.clock.shows_reset(listed.clock_ms, sent_at);
+            return if is_behind { AnswerIncarnation::Later } else { AnswerIncarnation::Known };
         };
         if told == known {
-            return AnswerLife::Known;
+            return AnswerIncarnation::Known;
         }
         // Not by which number is higher: the clock of the day may be set back between two lives.
-        if sent_at < self.life_since { AnswerLife::Former } else { AnswerLife::Later }
+        if sent_at < self.life_since {
+            AnswerIncarnation::Earlier
+        } else {
+            AnswerIncarnation::Later
+        }
     }
 
     /// Whether the list speaks of the life that answers. A later one may be of another kind and size,
     /// so that until its own entry is read no task is known to fit there. An entry that tells no life,
     /// of a worker that does, is not the worker's own.
-    pub(crate) fn is_listed_life(&self) -> bool {
+    pub(crate) fn is_listed_incarnation(&self) -> bool {
         self.incarnation.is_none() || self.listing.incarnation == self.incarnation
     }
 
@@ -86,7 +94,7 @@
     ) {
         let Some(record) = self.workers.get(worker) else { return };
         let runs = record.runs.iter().copied().collect::<Vec<_>>();
-        self.life_is_over(worker, losses::LossSign::Restarted, &runs, now);
+        self.incarnation_ended(worker, losses::LossEvidence::Restarted, &runs, now);
         let Some(record) = self.workers.get_mut(worker) else { return };
         tracing::info!(
             worker,
@@ -115,7 +123,7 @@
             let task = self.jobs.get_mut(&key.graph).and_then(|it| it.task_mut(key));
             let Some(run) = task.and_then(|it| it.run.as_mut()) else { continue };
             run.is_confirmed_by_incarnation = false;
-            run.pace = pace::RunPace::unbegun();
+            run.pace = pace::RunPace::not_started();
             run.first_confirmed_clock = None;
             if run.phase.is_stopping() {
                 run.phase = job::RunPhase::Stopping { asked_at: now, acked_at: None };
@@ -144,11 +152,11 @@
             order::PoolOrder::Stop(stop) => (&stop.worker, stop.generation),
             order::PoolOrder::Poll { .. } => return false,
         };
-        !self.is_generation(worker, generation)
+        !self.is_current_generation(worker, generation)
     }
 
     /// Whether the worker is in that life of it.
-    pub(crate) fn is_generation(&self, worker: &ids::WorkerId, generation: u32) -> bool {
+    pub(crate) fn is_current_generation(&self, worker: &ids::WorkerId, generation: u32) -> bool {
         self.workers.get(worker).is_some_and(|it| it.generation == generation)
     }
 }
--- a/crates/graph/tests/pool/slowness.rs
+++ b/crates/graph/tests/pool/slowness.rs
@@ -200,19 +200,19 @@
 
 paces! {
     nothing_is_said_before_a_reading: [(100, 4)], CLASS => Unknown;
-    a_run_at_the_pace_of_its_class: [(500, 20)], CLASS => Sound;
+    a_run_at_the_pace_of_its_class: [(500, 20)], CLASS => Normal;
     the_longest_urgent_task_is_not_slow: [(500, 6), (1_000, 12)], CLASS => Unknown;
     a_run_at_a_fifth_of_the_pace: [(500, 4), (1_000, 8)], CLASS => Slow;
     a_run_that_has_lost_its_own_pace: [(1_000, 40), (2_000, 48)], NOTHING => Slow;
     a_member_that_falls_behind_its_gang: [(500, 7)], SIBLINGS => Slow;
-    a_member_on_the_slower_kind_of_worker: [(500, 15)], SIBLINGS => Sound;
+    a_member_on_the_slower_kind_of_worker: [(500, 15)], SIBLINGS => Normal;
     /// A task that resumes stands still until its checkpoint is restored.
     a_run_that_restores_its_checkpoint: [(500, 0), (800, 0)], CLASS => Unknown;
     /// Whole percent come every six seconds, and a look every second.
     a_run_of_ten_minutes_between_two_percent:
         [(1_000, 0), (7_000, 1), (8_000, 1), (9_000, 1)], LONG_CLASS => Unknown;
-    a_run_of_ten_minutes: [(6_000, 1), (60_000, 10)], LONG_CLASS => Sound;
+    a_run_of_ten_minutes: [(6_000, 1), (60_000, 10)], LONG_CLASS => Normal;
     nothing_is_said_before_the_first_percent_of_an_unknown_class: [(1_000, 0), (2_000, 0)], NOTHING => Unknown;
     /// A member that has done its share waits at 100 percent.
-    a_member_that_waits: [(500, 30), (1_000, 100), (1_500, 100)], CLASS => Sound;
+    a_member_that_waits: [(500, 30), (1_000, 100), (1_500, 100)], CLASS => Normal;
 }
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -199,7 +199,7 @@
     });
     // The tenure is renewed, and with it what is known of losses, before anything is loaded.
     core.inherit_silence_notes(taken.notes_silence);
-    core.begin_losses(taken.losses.as_ref(), state.adapters.clock().now());
+    core.restore_loss_history(taken.losses.as_ref(), state.adapters.clock().now());
     let leader = Arc::new(LeaderState::new(&taken, state.settings.tenure, core));
     let _held = TenureGuard { state: &state, leader: &leader };
     let mut parts = JoinSet::new();
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -32,7 +32,7 @@
 /// When all that a holder has ordered has ended on workers that don't answer, if it gives no orders from
 /// `over_at` on.
 pub(crate) fn settles_after(over_at: Duration, terms: &timing::PoolTiming) -> Duration {
-    over_at + ORDER_SLACK + lease_clock::at_most(terms.lease)
+    over_at + ORDER_SLACK + lease_clock::max_local_span(terms.lease)
 }
 
 /// Asks at the addresses of the former holders until each is known to be over there, or all that they may have
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -108,7 +108,7 @@
 }
 
 fn meter_losses(counts: &losses::LossCounts) {
-    for sign in &counts.signs {
+    for sign in &counts.evidence {
         metrics::counter!("almondpass_pool_workers_lost_total", "sign" => sign.name()).increment(1);
     }
     metrics::counter!("almondpass_pool_jobs_given_up_total").increment(counts.n_given_up);
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -79,7 +79,7 @@
     for row in workers.rows {
         apply_worker_row(state, &mut core, &row, now);
     }
-    core.begin_losses(taken.losses.as_ref(), now);
+    core.restore_loss_history(taken.losses.as_ref(), now);
     for row in &roster.rows {
         inherit_page(&mut core, row);
     }
