--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -129,7 +129,7 @@
     async fn start(kind: WorkKind, seed: u64) -> WorkStorm {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bench = support::PoolBench::start(N_INSTANCES, N_WORKERS).await;
-        bench.keep_heartbeats();
+        bench.start_heartbeats();
         let addresses = bench.instances.iter().map(|it| it.address.clone()).collect();
         // From pools that are nearly empty to those that are nearly full.
         let load = rng.random_range(0.0..0.5);
@@ -200,7 +200,7 @@
 
     /// What the holder in force believes.
     fn beliefs(&self, fault: &still_jobs::StillFault) -> String {
-        let Some(holder) = self.bench.holder_in_force() else { return "no holder".to_owned() };
+        let Some(holder) = self.bench.latest_holder() else { return "no holder".to_owned() };
         let instance = &self.bench.instances[holder];
         let Some(leader) = instance.state.leader() else { return "no holder".to_owned() };
         let core = leader.core();
@@ -281,14 +281,14 @@
         }
         tracing::info!(kind, address = self.bench.instances[index].address, "strike");
         match kind {
-            0 => self.bench.instances[index].to_store.set(fault::Condition::Refusing),
+            0 => self.bench.instances[index].store_faults.set(fault::Condition::Refusing),
             1 => {
                 let condition = self.draw_condition();
-                self.bench.instances[index].to_store.set(condition);
+                self.bench.instances[index].store_faults.set(condition);
             }
             2 => {
                 let condition = self.draw_condition();
-                self.bench.instances[index].to_workers.set(condition);
+                self.bench.instances[index].worker_faults.set(condition);
             }
             3 => {
                 let condition = self.draw_condition();
@@ -348,7 +348,7 @@
             ..fault::FaultRates::default()
         };
         let seed = self.rng.random();
-        let plan = &self.bench.instances[index].to_store;
+        let plan = &self.bench.instances[index].store_faults;
         plan.sample_step(table::FOLLOW, seed, rates);
     }
 
@@ -365,7 +365,7 @@
         let pause = self.millis(0..30);
         time::sleep(pause).await;
         let down = self.millis(0..4_000);
-        if let Some(holder) = self.bench.holder_in_force() {
+        if let Some(holder) = self.bench.latest_holder() {
             self.kill(holder, down).await;
         }
     }
@@ -379,14 +379,14 @@
 
     fn bring_back(&mut self, address: &str) {
         let strength = STRENGTHS[self.rng.random_range(0..STRENGTHS.len())];
-        self.bench.start_instance_of(address, strength);
+        self.bench.start_instance_with_strength(address, strength);
     }
 
     /// Nothing of an instance moves: what it has under way goes on when it wakes up.
     fn stand_still(&mut self, index: usize) {
         let instance = &self.bench.instances[index];
-        instance.to_store.set(fault::Condition::Held);
-        instance.to_workers.set(fault::Condition::Held);
+        instance.store_faults.set(fault::Condition::Held);
+        instance.worker_faults.set(fault::Condition::Held);
         self.bench.net.process(&instance.address).set(fault::Condition::Held);
     }
 
@@ -402,22 +402,23 @@
     fn lose_workers(&mut self) {
         for _ in 0..self.rng.random_range(1..5) {
             let ways = [
-                support::Comeback::AtItsAddress,
-                support::Comeback::Elsewhere,
-                support::Comeback::UnderItsId,
-                support::Comeback::Never,
+                support::RestartMode::SameAddress,
+                support::RestartMode::NewAddress,
+                support::RestartMode::SameId,
+                support::RestartMode::Never,
             ];
             let worker = self.rng.random_range(0..N_WORKERS);
             let way = ways[self.rng.random_range(0..ways.len())];
             let down = self.millis(500..4_000);
-            self.bench.lose_worker(worker, way, down);
+            self.bench.crash_worker(worker, way, down);
         }
     }
 
     /// A machine that is stronger than most joins.
     fn start_stronger(&mut self) {
         let address = format!("10.0.1.{}:7000", self.addresses.len());
-        self.bench.start_instance_of(&address, STRENGTHS[2] + self.addresses.len() as u32);
+        self.bench
+            .start_instance_with_strength(&address, STRENGTHS[2] + self.addresses.len() as u32);
         self.addresses.push(address);
     }
 
@@ -426,9 +427,9 @@
         let bench = &self.bench;
         bench.store.faults().set(fault::Condition::Up);
         for instance in &bench.instances {
-            instance.to_store.set(fault::Condition::Up);
-            instance.to_store.sample(0, none);
-            instance.to_workers.set(fault::Condition::Up);
+            instance.store_faults.set(fault::Condition::Up);
+            instance.store_faults.sample(0, none);
+            instance.worker_faults.set(fault::Condition::Up);
         }
         for faults in bench.fleet.all_faults() {
             faults.set(fault::Condition::Up);
@@ -454,7 +455,7 @@
     async fn judge(&self, seed: u64) {
         self.bench.assert_nothing_ran_twice();
         for graph in &self.accepted {
-            let shown = self.bench.look(0, *graph).await;
+            let shown = self.bench.lookup(0, *graph).await;
             let expected = model::LookOutcome::Known(model::GraphState::Completed);
             assert_eq!(shown, expected, "storm {seed}: job {graph}");
         }
--- a/crates/pool/tests/pool/calm.rs
+++ b/crates/pool/tests/pool/calm.rs
@@ -23,7 +23,7 @@
         let bench = support::PoolBench::start(3, 2).await;
         let mut row = support::job(3, 500);
         row.graph.steps.push(support::step(2, &[0]));
-        let other = bench.other();
+        let other = bench.non_holder();
         assert_eq!(bench.submit(other, 1, row).await, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         let records = bench.fleet.records();
@@ -61,7 +61,7 @@
         assert_eq!(bench.cancel(1, 1).await, model::CancelOutcome::Cancelled);
         tokio::time::sleep(Duration::from_secs(2)).await;
         assert_eq!(bench.fleet.n_running(), 0);
-        let shown = bench.look(1, 1).await;
+        let shown = bench.lookup(1, 1).await;
         assert_eq!(shown, model::LookOutcome::Known(model::GraphState::Cancelled));
     });
 }
@@ -87,7 +87,7 @@
         row.account = Some("grid".to_owned());
         bench.submit(0, 1, row).await;
         for index in 0..2 {
-            assert_eq!(bench.look(index, 1).await, model::LookOutcome::Absent);
+            assert_eq!(bench.lookup(index, 1).await, model::LookOutcome::Absent);
             assert_eq!(bench.cancel(index, 1).await, model::CancelOutcome::Absent);
         }
     });
@@ -105,17 +105,20 @@
         bench.submit(0, 2, long).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         time::sleep(Duration::from_secs(240)).await;
-        assert_eq!(bench.look(0, 1).await, model::LookOutcome::Known(model::GraphState::Completed));
+        assert_eq!(
+            bench.lookup(0, 1).await,
+            model::LookOutcome::Known(model::GraphState::Completed)
+        );
         time::sleep(FORGOTTEN_AFTER - Duration::from_secs(240)).await;
         for index in 0..2 {
-            assert_eq!(bench.look(index, 1).await, model::LookOutcome::Absent);
+            assert_eq!(bench.lookup(index, 1).await, model::LookOutcome::Absent);
         }
         // The other one has made no progress that would have to be saved.
         assert_eq!(bench.store.peek("graph/").len(), 1);
         assert_eq!(bench.store.peek("progress/").len(), 0);
         bench.kill(bench.holder()).await;
         time::sleep(Duration::from_secs(10)).await;
-        assert_eq!(bench.look(0, 2).await, model::LookOutcome::Known(model::GraphState::Running));
+        assert_eq!(bench.lookup(0, 2).await, model::LookOutcome::Known(model::GraphState::Running));
         assert_eq!(bench.fleet.records().len(), 3);
     });
 }
--- a/crates/pool/tests/pool/crashes.rs
+++ b/crates/pool/tests/pool/crashes.rs
@@ -32,9 +32,9 @@
 }
 
 /// A job that crashes its workers beside others, which end well.
-async fn check(row: model::GraphRow, comeback: support::Comeback) {
+async fn check(row: model::GraphRow, comeback: support::RestartMode) {
     let bench = support::PoolBench::start(2, 8).await;
-    bench.bring_back(comeback, DOWN);
+    bench.restart_crashed_workers(comeback, DOWN);
     for graph in 2..6 {
         bench.submit(0, graph, support::job(4, 6_000)).await;
     }
@@ -54,7 +54,7 @@
     ($($name:ident: $row:expr, $comeback:ident;)*) => {
         $(#[test]
         fn $name() {
-            support::run(check($row, support::Comeback::$comeback));
+            support::run(check($row, support::RestartMode::$comeback));
         })*
     };
 }
@@ -67,13 +67,13 @@
 // Evidence: 13 of 14 workers were lost 11 ms behind a start of one of two tasks on them, whatever their
 // racks; nothing was logged, saved or counted of it but that the worker was over.
 crashes! {
-    a_task_that_crashes_workers_is_given_up: crashing(1, 10), AtItsAddress;
-    a_task_that_crashes_workers_that_come_back_elsewhere: crashing(1, 10), Elsewhere;
-    a_task_that_crashes_workers_that_come_back_under_their_ids: crashing(1, 10), UnderItsId;
+    a_task_that_crashes_workers_is_given_up: crashing(1, 10), SameAddress;
+    a_task_that_crashes_workers_that_come_back_elsewhere: crashing(1, 10), NewAddress;
+    a_task_that_crashes_workers_that_come_back_under_their_ids: crashing(1, 10), SameId;
     a_task_that_crashes_workers_for_good: crashing(1, 10), Never;
-    a_task_that_crashes_workers_late: crashing(1, 3_000), InTurn;
-    a_wide_step_with_a_task_that_crashes_workers: crashing(12, 500), InTurn;
-    a_gang_with_a_task_that_crashes_workers: gang(crashing(4, 1_000)), InTurn;
+    a_task_that_crashes_workers_late: crashing(1, 3_000), Rotating;
+    a_wide_step_with_a_task_that_crashes_workers: crashing(12, 500), Rotating;
+    a_gang_with_a_task_that_crashes_workers: gang(crashing(4, 1_000)), Rotating;
 }
 
 fn gang(mut row: model::GraphRow) -> model::GraphRow {
@@ -86,10 +86,10 @@
 fn a_successor_is_told_of_losses_that_were_not_saved() {
     support::run(async {
         let bench = support::PoolBench::start(3, 8).await;
-        bench.bring_back(support::Comeback::AtItsAddress, Duration::from_secs(1));
-        let (holder, other) = (bench.holder(), bench.other());
+        bench.restart_crashed_workers(support::RestartMode::SameAddress, Duration::from_secs(1));
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, crashing(1, 10)).await;
-        bench.instances[holder].to_store.set(fault::Condition::Silent);
+        bench.instances[holder].store_faults.set(fault::Condition::Silent);
         bench.await_state(other, 1, model::GraphState::Failed, GIVEN_UP).await;
         assert!(bench.instances[holder].state.leader().is_none_or(|it| it.has_ended()));
         assert_eq!(n_starts(&bench, 1), 3);
--- a/crates/pool/tests/pool/entries.rs
+++ b/crates/pool/tests/pool/entries.rs
@@ -18,7 +18,7 @@
 fn a_spoiled_entry_names_no_worker_and_the_others_hold() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        bench.spoil_entry(0).await;
+        bench.corrupt_entry(0).await;
         time::sleep(SOON).await;
         bench.submit(0, 1, support::job(4, 500)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
@@ -40,7 +40,7 @@
         let bench = support::PoolBench::start(3, 1).await;
         bench.submit(0, 1, support::job(2, 4_000)).await;
         time::sleep(Duration::from_secs(1)).await;
-        bench.spoil_entry(0).await;
+        bench.corrupt_entry(0).await;
         bench.await_state(0, 1, model::GraphState::Completed, 2 * SOON).await;
         assert_eq!(bench.fleet.records().len(), 2);
         bench.assert_nothing_ran_twice();
@@ -52,12 +52,12 @@
 fn a_takeover_reads_past_a_spoiled_entry() {
     support::run(async {
         let mut bench = support::PoolBench::start(3, 2).await;
-        bench.spoil_entry(1).await;
+        bench.corrupt_entry(1).await;
         time::sleep(SOON).await;
         let holder = bench.holder();
         bench.kill(holder).await;
         time::sleep(2 * SOON).await;
-        let other = bench.other();
+        let other = bench.non_holder();
         bench.submit(other, 1, support::job(2, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, 2 * SOON).await;
     });
--- a/crates/pool/tests/pool/evacuations.rs
+++ b/crates/pool/tests/pool/evacuations.rs
@@ -41,7 +41,7 @@
         time::sleep(SOON).await;
         assert_eq!(runs_in(&bench, 0), []);
         assert_eq!(bench.fleet.records().len(), 16 * 8);
-        assert!(bench.take_back("dc0").await);
+        assert!(bench.end_evacuation("dc0").await);
         time::sleep(IN_FORCE).await;
         hand_in(&bench, 17..33, 1_000).await;
         time::sleep(SOON).await;
@@ -72,7 +72,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 2 * WORKERS).await;
         let holder = bench.holder();
-        bench.instances[holder].to_store.set(fault::Condition::Refusing);
+        bench.instances[holder].store_faults.set(fault::Condition::Refusing);
         assert!(bench.evacuate("dc0").await);
         time::sleep(IN_FORCE).await;
         let known = bench.instances[holder].state.evacuations.data_centers();
@@ -110,7 +110,7 @@
         hand_in(&bench, 1..3, 500).await;
         time::sleep(SOON).await;
         assert_eq!(bench.fleet.records(), []);
-        assert!(bench.take_back("dc1").await);
+        assert!(bench.end_evacuation("dc1").await);
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         bench.await_state(0, 2, model::GraphState::Completed, SOON).await;
     });
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -17,7 +17,7 @@
 
 /// Each call of `step` that an instance makes from now on is struck.
 fn strike(instance: &support::BenchInstance, step: &'static str, fault: fault::Fault) {
-    (1..=N_CALLS).for_each(|nth| instance.to_store.nth(step, nth, fault));
+    (1..=N_CALLS).for_each(|nth| instance.store_faults.nth(step, nth, fault));
 }
 
 /// Guards against a feed of jobs that stands still for good although the table can be read.
@@ -25,7 +25,7 @@
 fn a_feed_of_jobs_without_answers_is_replaced_by_the_table() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         strike(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
         let address = |it: usize| bench.instances[it].address.as_str();
         bench.net.partition(&[address(other)], &[address(holder)], fault::Condition::Refusing);
@@ -33,7 +33,7 @@
         // Whoever asks for the job sooner has the holder take it in.
         time::sleep(SOON).await;
         let completed = model::LookOutcome::Known(model::GraphState::Completed);
-        assert_eq!(bench.look(holder, 1).await, completed);
+        assert_eq!(bench.lookup(holder, 1).await, completed);
     });
 }
 
@@ -79,8 +79,8 @@
         bench.submit(holder, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
-        let to_store = &bench.instances[holder].to_store;
-        to_store.next(model::TableGet::PATH, fault::Fault::Unavailable);
+        let store_faults = &bench.instances[holder].store_faults;
+        store_faults.next(model::TableGet::PATH, fault::Fault::Unavailable);
         bench.store.forget_history();
         bench.add_worker(0).await;
         time::sleep(SOON).await;
--- a/crates/pool/tests/pool/logs.rs
+++ b/crates/pool/tests/pool/logs.rs
@@ -20,11 +20,11 @@
 #[test]
 fn an_admitted_job_tells_how_it_became_known() {
     support::run(async {
-        let (lines, _guard) = support::LogLines::gather();
+        let (lines, _guard) = support::LogLines::capture();
         let mut bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         for nth in 1..=20 {
-            bench.instances[holder].to_store.nth(table::FOLLOW, nth, fault::Fault::Refused);
+            bench.instances[holder].store_faults.nth(table::FOLLOW, nth, fault::Fault::Refused);
         }
         time::sleep(Duration::from_millis(100)).await;
         bench.submit(other, 1, support::job(1, 60_000)).await;
@@ -35,7 +35,7 @@
         time::sleep(SOON).await;
         bench.kill(holder).await;
         time::sleep(SOON).await;
-        let admitted = lines.with("job admitted");
+        let admitted = lines.containing("job admitted");
         let origins = admitted.iter().map(|line| {
             assert!(line.contains("version="), "{line}");
             ["nudge", "feed", "load"]
@@ -52,8 +52,8 @@
 fn a_nudge_that_is_not_acknowledged_is_told_once() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
-        let (lines, _guard) = support::LogLines::gather();
+        let (holder, other) = (bench.holder(), bench.non_holder());
+        let (lines, _guard) = support::LogLines::capture();
         let (from, to) = addresses(&bench, other, holder);
         let path = bench.net.path(from, to);
         for nth in 1..=3 {
@@ -61,10 +61,10 @@
         }
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(SOON).await;
-        let told = lines.with("nudge is not acknowledged");
+        let told = lines.containing("nudge is not acknowledged");
         assert_eq!(told.len(), 1, "{told:?}");
         assert!(told[0].contains("0000000000000001"), "{told:?}");
-        assert!(lines.with("nudge is acknowledged")[0].contains("n_tries=4"));
+        assert!(lines.containing("nudge is acknowledged")[0].contains("n_tries=4"));
     });
 }
 
@@ -74,15 +74,15 @@
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
         let holder = bench.holder();
-        let (lines, _guard) = support::LogLines::gather();
+        let (lines, _guard) = support::LogLines::capture();
         for nth in 1..=60 {
-            bench.instances[holder].to_store.nth(table::FOLLOW, nth, fault::Fault::Refused);
+            bench.instances[holder].store_faults.nth(table::FOLLOW, nth, fault::Fault::Refused);
         }
         time::sleep(3 * SOON).await;
         for feed in ["jobs", "workers"] {
             let of_feed = |line: &String| line.contains(&format!("feed=\"{feed}\""));
-            let began = lines.with("feed can't be followed");
-            let ended = lines.with("feed answers again");
+            let began = lines.containing("feed can't be followed");
+            let ended = lines.containing("feed answers again");
             assert_eq!(began.iter().filter(|it| of_feed(it)).count(), 1, "{began:?}");
             assert_eq!(ended.iter().filter(|it| of_feed(it)).count(), 1, "{ended:?}");
             assert!(ended.iter().all(|it| it.contains("stood_ms=") && it.contains("after=")));
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -21,8 +21,8 @@
 /// No feed of an instance is answered any more; everything else is.
 fn stop_feeds(instance: &support::BenchInstance) {
     for nth in 1..=N_LOST {
-        instance.to_store.nth(table::FOLLOW, nth, fault::Fault::RequestLost);
-        instance.to_store.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+        instance.store_faults.nth(table::FOLLOW, nth, fault::Fault::RequestLost);
+        instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
     }
 }
 
@@ -38,7 +38,7 @@
 fn a_lost_nudge_is_repeated() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         stop_feeds(&bench.instances[holder]);
         lose_nudge(&bench, other, holder);
         bench.submit(other, 1, support::job(1, 500)).await;
@@ -51,10 +51,10 @@
 fn a_write_that_meets_its_own_row_is_followed_by_a_nudge() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         stop_feeds(&bench.instances[holder]);
         let step = model::TableTransaction::PATH;
-        bench.instances[other].to_store.next(step, fault::Fault::AnswerLost);
+        bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
         let accepted = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
@@ -66,7 +66,7 @@
 fn a_lost_nudge_of_a_cancelling_is_repeated() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, support::job(1, 60_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         stop_feeds(&bench.instances[holder]);
@@ -83,7 +83,7 @@
 fn a_job_that_the_holder_does_not_know_is_taken_in_once_asked_for() {
     support::run(async {
         let bench = support::PoolBench::start(3, 0).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
@@ -99,7 +99,7 @@
 fn a_late_nudge_of_a_forgotten_job_starts_nothing() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         let version = bench.store.peek(&keys::graph(1)).first().map_or(0, |it| it.version);
@@ -120,7 +120,7 @@
 fn a_nudge_that_panics_is_followed_by_others() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         stop_feeds(&bench.instances[holder]);
         let address = |it: usize| bench.instances[it].address.as_str();
         let path = bench.net.path(address(other), address(holder));
@@ -135,13 +135,15 @@
 fn a_reading_of_a_missed_job_that_panics_is_followed_by_others() {
     support::run(async {
         let bench = support::PoolBench::start(3, 0).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         bench.add_worker(0).await;
         time::sleep(SOON).await;
-        bench.instances[holder].to_store.next(model::TableGet::PATH, fault::Fault::CallerPanics);
+        bench.instances[holder]
+            .store_faults
+            .next(model::TableGet::PATH, fault::Fault::CallerPanics);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
@@ -152,14 +154,14 @@
 fn a_job_that_is_forgotten_while_its_rows_are_read_starts_nothing() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         let version = bench.store.peek(&keys::graph(1)).first().map_or(0, |it| it.version);
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let slow = fault::Fault::Slow(Duration::from_millis(500));
-        let to_store = &bench.instances[holder].to_store;
-        (1..=N_LOST).for_each(|nth| to_store.nth(model::TableGet::PATH, nth, slow));
+        let store_faults = &bench.instances[holder].store_faults;
+        (1..=N_LOST).for_each(|nth| store_faults.nth(model::TableGet::PATH, nth, slow));
         let nudge = model::GraphNudge { graph: 1, version, row: support::job(1, 500) };
         let link = bench.net.link(&bench.instances[other].address);
         let taken = link.call(&bench.instances[holder].address, nudge, SOON).await;
--- a/crates/pool/tests/pool/outages.rs
+++ b/crates/pool/tests/pool/outages.rs
@@ -21,8 +21,8 @@
 fn an_instance_that_the_store_turns_away_goes_by_a_peer() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let other = bench.other();
-        bench.instances[other].to_store.set(fault::Condition::Refusing);
+        let other = bench.non_holder();
+        bench.instances[other].store_faults.set(fault::Condition::Refusing);
         time::sleep(Duration::from_secs(2)).await;
         let accepted = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
@@ -46,7 +46,7 @@
         bench.store.faults().set(fault::Condition::Up);
         time::sleep(SOON).await;
         assert_eq!(bench.fleet.records(), []);
-        assert_eq!(bench.look(0, 1).await, model::LookOutcome::Absent);
+        assert_eq!(bench.lookup(0, 1).await, model::LookOutcome::Absent);
     });
 }
 
@@ -55,9 +55,9 @@
 fn a_write_whose_answer_was_lost_is_found_again() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
-        let other = bench.other();
+        let other = bench.non_holder();
         let step = <model::TableTransaction as almondpass_peer::call::PeerCall>::PATH;
-        bench.instances[other].to_store.next(step, fault::Fault::AnswerLost);
+        bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
         let outcome = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(outcome, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
@@ -87,12 +87,12 @@
 fn a_configuration_travels_between_instances() {
     support::run(async {
         let bench = support::PoolBench::start(3, 1).await;
-        let away = bench.other();
-        bench.instances[away].to_store.set(fault::Condition::Silent);
+        let away = bench.non_holder();
+        bench.instances[away].store_faults.set(fault::Condition::Silent);
         bench.set_document(7).await;
         time::sleep(Duration::from_secs(4)).await;
         assert_eq!(bench.instances[away].state.document.version(), 7);
-        bench.instances[away].to_store.set(fault::Condition::Up);
+        bench.instances[away].store_faults.set(fault::Condition::Up);
         bench.set_document(3).await;
         time::sleep(Duration::from_secs(4)).await;
         assert!(bench.instances.iter().all(|it| it.state.document.version() == 7));
@@ -131,7 +131,7 @@
             time::sleep(Duration::from_millis(100)).await;
             bench.store.faults().set(fault::Condition::Up);
             time::sleep(Duration::from_millis(300)).await;
-            bench.look(0, 1).await
+            bench.lookup(0, 1).await
         };
         let (submitted, shown) = tokio::join!(time::timeout(SILENT_PATIENCE, submitted), back);
         assert_eq!(submitted, Ok(model::SubmitOutcome::Accepted));
--- a/crates/pool/tests/pool/panics.rs
+++ b/crates/pool/tests/pool/panics.rs
@@ -18,10 +18,10 @@
     support::run(async move {
         let bench = support::PoolBench::start(2, 1).await;
         let holder = bench.holder();
-        bench.instances[holder].panics.next(step);
+        bench.instances[holder].panics.panic_at_next(step);
         bench.submit(holder, 1, support::job(1, LONG_WORK)).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
-        assert!(!bench.instances[holder].panics.is_due());
+        assert!(!bench.instances[holder].panics.is_pending());
         bench.assert_nothing_ran_twice();
     });
 }
--- a/crates/pool/tests/pool/rooms.rs
+++ b/crates/pool/tests/pool/rooms.rs
@@ -14,7 +14,7 @@
 async fn unguarded_bench() -> support::PoolBench {
     let bench = support::PoolBench::start(2, 2).await;
     bench.fleet.unguard();
-    bench.keep_heartbeats();
+    bench.start_heartbeats();
     bench.set_document_unguarded(2).await;
     time::sleep(Duration::from_secs(2)).await;
     bench
@@ -29,12 +29,12 @@
 fn work_goes_by_the_room_as_it_is() {
     support::run(async {
         let bench = unguarded_bench().await;
-        bench.set_room(&support::worker_id(0), 2);
+        bench.set_accelerators(&support::worker_id(0), 2);
         time::sleep(Duration::from_secs(6)).await;
         bench.submit(0, 1, support::job(30, 2_000)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         assert_none_overfull(&bench);
-        bench.set_room(&support::worker_id(0), 8);
+        bench.set_accelerators(&support::worker_id(0), 8);
         time::sleep(Duration::from_secs(6)).await;
         bench.submit(0, 2, support::job(16, 2_000)).await;
         time::sleep(Duration::from_millis(500)).await;
@@ -49,8 +49,8 @@
         let bench = unguarded_bench().await;
         bench.submit(0, 1, support::job(14, 12_000)).await;
         time::sleep(Duration::from_millis(500)).await;
-        bench.set_room(&support::worker_id(0), 4);
-        bench.set_room(&support::worker_id(1), 4);
+        bench.set_accelerators(&support::worker_id(0), 4);
+        bench.set_accelerators(&support::worker_id(1), 4);
         for graph in 2..12 {
             time::sleep(Duration::from_secs(1)).await;
             bench.submit(0, graph, support::job(2, 1_000)).await;
@@ -70,8 +70,8 @@
         bench.submit(0, 1, support::job(160, 1_000)).await;
         time::sleep(Duration::from_millis(100)).await;
         bench.store.faults().set(fault::Condition::Silent);
-        bench.set_room(&support::worker_id(0), 2);
-        bench.set_room(&support::worker_id(1), 2);
+        bench.set_accelerators(&support::worker_id(0), 2);
+        bench.set_accelerators(&support::worker_id(1), 2);
         time::sleep(Duration::from_secs(8)).await;
         bench.store.faults().set(fault::Condition::Up);
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
--- a/crates/pool/tests/pool/rows.rs
+++ b/crates/pool/tests/pool/rows.rs
@@ -72,7 +72,7 @@
         // Long enough for the row to be offered again.
         time::sleep(Duration::from_secs(25)).await;
         assert_eq!(
-            bench.look(0, 1).await,
+            bench.lookup(0, 1).await,
             model::LookOutcome::Known(model::GraphState::Running),
             "an end is shown only once it is durable"
         );
@@ -112,7 +112,7 @@
         let sent_at = time::Instant::now();
         assert_eq!(bench.submit(0, 1, row).await, model::SubmitOutcome::Refused);
         assert!(sent_at.elapsed() < Duration::from_millis(100));
-        assert_eq!(bench.look(0, 1).await, model::LookOutcome::Absent);
+        assert_eq!(bench.lookup(0, 1).await, model::LookOutcome::Absent);
     });
 }
 
--- a/crates/pool/tests/pool/still_jobs.rs
+++ b/crates/pool/tests/pool/still_jobs.rs
@@ -141,7 +141,7 @@
     }
 
     fn follow_holder(&mut self, bench: &support::PoolBench, now: Instant) {
-        let holder = bench.holder_in_force();
+        let holder = bench.latest_holder();
         let holder = holder.map(|it| bench.instances[it].state.settings.instance.clone());
         if self.holder != holder {
             self.holder = holder;
@@ -155,7 +155,7 @@
         if self.holder.is_none() {
             return (now > in_touch_since + HELD_WITHIN).then_some(StillFault::NoHolder);
         }
-        let leader = bench.instances[bench.holder_in_force()?].state.leader()?;
+        let leader = bench.instances[bench.latest_holder()?].state.leader()?;
         let core = leader.core();
         let due = |it: &AcceptedJob| now > in_touch_since.max(it.accepted_at) + KNOWN_WITHIN;
         let mut late = self.accepted.iter().filter(|(_, it)| due(it));
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -275,9 +275,9 @@
         }
     }
     if kind.crashes() > 0.0 {
-        bench.keep_heartbeats();
+        bench.start_heartbeats();
         let down = Duration::from_millis(rng.random_range(1_000..4_000));
-        bench.bring_back(support::Comeback::InTurn, down);
+        bench.restart_crashed_workers(support::RestartMode::Rotating, down);
     }
     if kind == StormKind::Rooms {
         bench.fleet.unguard();
@@ -311,7 +311,7 @@
         evacuate_in_calm(&bench, &mut ledger, &mut rng).await;
     }
     for worker in bench.fleet.workers_up() {
-        bench.set_room(&worker, WHOLE_ROOM);
+        bench.set_accelerators(&worker, WHOLE_ROOM);
     }
     time::sleep(SETTLE).await;
     judge(&bench, &ledger, seed).await;
@@ -416,7 +416,7 @@
         let until = removals.into_iter().find(|it| acked_at <= *it).unwrap_or(until);
         ledger.past_evacuations.push(EvacuationSpan { number, acked_at, until });
     }
-    while !bench.take_back(&data_center(number)).await {
+    while !bench.end_evacuation(&data_center(number)).await {
         time::sleep(OPERATOR_AGAIN).await;
         if ledger.disrupted_since.is_some() {
             return;
@@ -431,7 +431,7 @@
 fn change_room(bench: &support::PoolBench, rng: &mut ChaCha8Rng) {
     for worker in bench.fleet.workers_up() {
         if rng.random_bool(0.3) {
-            bench.set_room(&worker, rng.random_range(0..=WHOLE_ROOM));
+            bench.set_accelerators(&worker, rng.random_range(0..=WHOLE_ROOM));
         }
     }
 }
@@ -451,8 +451,8 @@
     }
     match kind {
         0 => bench.store.faults().set(condition),
-        1 => bench.instances[index].to_store.set(condition),
-        2 => bench.instances[index].to_workers.set(condition),
+        1 => bench.instances[index].store_faults.set(condition),
+        2 => bench.instances[index].worker_faults.set(condition),
         3 => bench.fleet.faults(&support::worker_id(rng.random_range(0..N_WORKERS))).set(condition),
         4 => {
             let rates = fault::FaultRates {
@@ -491,8 +491,8 @@
     bench.store.faults().set(fault::Condition::Up);
     bench.store.faults().sample(0, none);
     for instance in &bench.instances {
-        instance.to_store.set(fault::Condition::Up);
-        instance.to_workers.set(fault::Condition::Up);
+        instance.store_faults.set(fault::Condition::Up);
+        instance.worker_faults.set(fault::Condition::Up);
     }
     for faults in bench.fleet.all_faults() {
         faults.set(fault::Condition::Up);
@@ -550,7 +550,7 @@
     }
     // LOST and MIXED: each accepted job has ended, and as it is shown.
     for graph in &ledger.accepted {
-        let shown = bench.look(0, *graph).await;
+        let shown = bench.lookup(0, *graph).await;
         let model::LookOutcome::Known(shown) = shown else {
             panic!("storm {seed}: {graph} {shown:?}")
         };
--- a/crates/pool/tests/pool/strengths.rs
+++ b/crates/pool/tests/pool/strengths.rs
@@ -24,10 +24,10 @@
     support::run(async {
         let mut bench = support::PoolBench::start(0, 2).await;
         for index in 0..4 {
-            bench.start_instance_of(&format!("10.0.0.{}:7000", index + 1), WEAK);
+            bench.start_instance_with_strength(&format!("10.0.0.{}:7000", index + 1), WEAK);
         }
         time::sleep(Duration::from_millis(700)).await;
-        let strong = bench.start_instance_of(STRONG_ADDRESS, STRONG);
+        let strong = bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
         time::sleep(Duration::from_secs(4)).await;
         let leader = bench.instances[strong].state.leader().expect("a tenure");
         assert_eq!(leader.epoch, 1);
@@ -39,11 +39,11 @@
 fn a_weak_holder_hands_over_to_a_stronger_instance() {
     support::run(async {
         let mut bench = support::PoolBench::start(0, 2).await;
-        bench.start_instance_of("10.0.0.1:7000", WEAK);
-        bench.start_instance_of("10.0.0.2:7000", WEAK);
+        bench.start_instance_with_strength("10.0.0.1:7000", WEAK);
+        bench.start_instance_with_strength("10.0.0.2:7000", WEAK);
         time::sleep(Duration::from_secs(8)).await;
         bench.submit(0, 1, support::job(8, 20_000)).await;
-        let strong = bench.start_instance_of(STRONG_ADDRESS, STRONG);
+        let strong = bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
         time::sleep(Duration::from_secs(9)).await;
         assert_eq!(bench.holder(), strong);
         bench.await_state(0, 1, model::GraphState::Completed, Duration::from_secs(30)).await;
@@ -57,10 +57,10 @@
 fn a_weak_holder_offers_the_tenure_once() {
     support::run(async {
         let mut bench = support::PoolBench::start(0, 2).await;
-        let strong = bench.start_instance_of(STRONG_ADDRESS, STRONG);
+        let strong = bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
         time::sleep(Duration::from_secs(4)).await;
         bench.kill(strong).await;
-        let weak = bench.start_instance_of("10.0.0.1:7000", WEAK);
+        let weak = bench.start_instance_with_strength("10.0.0.1:7000", WEAK);
         time::sleep(Duration::from_secs(30)).await;
         let epoch = bench.instances[weak].state.leader().expect("a tenure").epoch;
         time::sleep(Duration::from_secs(60)).await;
@@ -87,17 +87,17 @@
 fn a_tenure_is_not_handed_over_while_a_worker_does_not_answer() {
     support::run(async {
         let mut bench = support::PoolBench::start(0, 16).await;
-        bench.start_instance_of(STRONG_ADDRESS, STRONG);
-        bench.start_instance_of("10.0.0.1:7000", WEAK);
+        bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
+        bench.start_instance_with_strength("10.0.0.1:7000", WEAK);
         time::sleep(Duration::from_secs(8)).await;
-        bench.keep_heartbeats();
-        bench.lose_worker(0, support::Comeback::Never, Duration::ZERO);
+        bench.start_heartbeats();
+        bench.crash_worker(0, support::RestartMode::Never, Duration::ZERO);
         bench.kill(0).await;
         let accepted = bench.submit(0, 1, support::job(2, 20_000)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         time::sleep(Duration::from_secs(3)).await;
-        assert_eq!(bench.holder_in_force(), Some(0));
-        let strong = bench.start_instance_of(STRONG_ADDRESS, STRONG);
+        assert_eq!(bench.latest_holder(), Some(0));
+        let strong = bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
         time::sleep(LEASE_AND_MORE).await;
         assert_eq!(bench.fleet.running().len(), 2);
         time::sleep(Duration::from_secs(9)).await;
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -39,7 +39,7 @@
 }
 
 async fn await_holder(bench: &support::PoolBench) {
-    while bench.holder_in_force().is_none() {
+    while bench.latest_holder().is_none() {
         time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -49,11 +49,11 @@
 fn a_former_holder_tells_since_when_it_has_given_no_orders() {
     support::run(async {
         let bench = start_full(2).await;
-        let (former, other) = (bench.holder(), bench.other());
+        let (former, other) = (bench.holder(), bench.non_holder());
         let address = &bench.instances[former].address;
         let other = &bench.instances[other].address;
         bench.net.partition(&[address], &[other], fault::Condition::Silent);
-        bench.instances[former].to_store.set(fault::Condition::Silent);
+        bench.instances[former].store_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(12)).await;
         bench.net.partition(&[address], &[other], fault::Condition::Up);
         let holder = bench.instances[former].state.settings.instance.clone();
@@ -71,10 +71,12 @@
     support::run(async {
         let mut bench = start_full(2).await;
         let former = bench.holder();
-        let other = bench.other();
-        let stronger = bench.start_instance_of("10.0.1.1:7000", 400);
+        let other = bench.non_holder();
+        let stronger = bench.start_instance_with_strength("10.0.1.1:7000", 400);
         for index in [other, stronger] {
-            bench.instances[index].to_store.set(fault::Condition::Slow(Duration::from_millis(50)));
+            bench.instances[index]
+                .store_faults
+                .set(fault::Condition::Slow(Duration::from_millis(50)));
         }
         while bench.instances[former].state.leader().is_some() {
             time::sleep(Duration::from_millis(10)).await;
@@ -82,11 +84,11 @@
         let given_up_at = Instant::now();
         silence_worker(&bench);
         for instance in &bench.instances {
-            instance.to_store.set(fault::Condition::Refusing);
+            instance.store_faults.set(fault::Condition::Refusing);
         }
         time::sleep(Duration::from_secs(5)).await;
         for instance in &bench.instances {
-            instance.to_store.set(fault::Condition::Up);
+            instance.store_faults.set(fault::Condition::Up);
         }
         await_holder(&bench).await;
         assert_waiting_job_is_done_by(&bench, given_up_at + LEASE + Duration::from_secs(1)).await;
@@ -136,7 +138,7 @@
     support::run(async {
         let mut bench = start_full(1).await;
         silence_worker(&bench);
-        bench.start_instance_of("10.0.1.1:7000", 400);
+        bench.start_instance_with_strength("10.0.1.1:7000", 400);
         let weak = bench.holder();
         let address = bench.kill(weak).await;
         let weak = bench.start_instance(&address);
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -102,16 +102,16 @@
 
 impl PanicPlan {
     /// At the next call of `step`.
-    pub(crate) fn next(&self, step: &'static str) {
+    pub(crate) fn panic_at_next(&self, step: &'static str) {
         *self.step.lock().expect("a step") = Some(step);
     }
 
     /// Whether that call is still to come.
-    pub(crate) fn is_due(&self) -> bool {
+    pub(crate) fn is_pending(&self) -> bool {
         self.step.lock().expect("a step").is_some()
     }
 
-    fn strike(&self, step: &'static str) {
+    fn panic_if_due(&self, step: &'static str) {
         let due = self.step.lock().expect("a step").take_if(|it| *it == step);
         assert_eq!(due, None, "a panic that the test asked for");
     }
@@ -124,7 +124,7 @@
         token: ids::FencingToken,
         ask: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
-        self.panics.strike(pool_fleet::HOLD);
+        self.panics.panic_if_due(pool_fleet::HOLD);
         self.fleet.hold(target, token, ask).await
     }
 
@@ -133,7 +133,7 @@
         token: ids::FencingToken,
         start: &order::StartOrder,
     ) -> order::StartAnswer {
-        self.panics.strike(pool_fleet::START);
+        self.panics.panic_if_due(pool_fleet::START);
         self.fleet.start(token, start).await
     }
 
@@ -142,7 +142,7 @@
         token: ids::FencingToken,
         stop: &order::StopOrder,
     ) -> Result<(), control::ControlFault> {
-        self.panics.strike(pool_fleet::STOP);
+        self.panics.panic_if_due(pool_fleet::STOP);
         self.fleet.stop(token, stop).await
     }
 }
@@ -200,7 +200,7 @@
         Ok(worker::WorkerListing {
             address: address.to_owned(),
             upstream: UPSTREAM.to_owned(),
-            capacity: room_of(accelerators.parse().unwrap_or_default()),
+            capacity: capacity_for(accelerators.parse().unwrap_or_default()),
             labels: vec!["a".to_owned(), rack.clone()],
             data_center: rack.replacen('r', "dc", 1),
             rack,
@@ -213,23 +213,23 @@
 
 /// How a worker comes back that a task has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Comeback {
+pub(crate) enum RestartMode {
     /// Under another id, at its address.
-    AtItsAddress,
+    SameAddress,
     /// Under another id, at another address.
-    Elsewhere,
+    NewAddress,
     /// Under its id.
-    UnderItsId,
+    SameId,
     /// Not at all.
     Never,
     /// In any of these ways, one after the other.
-    InTurn,
+    Rotating,
 }
 
-impl Comeback {
-    fn of(self, n_crashes: usize) -> Comeback {
-        let ways = [Comeback::AtItsAddress, Comeback::Elsewhere, Comeback::UnderItsId];
-        if self == Comeback::InTurn { ways[n_crashes % ways.len()] } else { self }
+impl RestartMode {
+    fn of(self, n_crashes: usize) -> RestartMode {
+        let ways = [RestartMode::SameAddress, RestartMode::NewAddress, RestartMode::SameId];
+        if self == RestartMode::Rotating { ways[n_crashes % ways.len()] } else { self }
     }
 }
 
@@ -248,8 +248,8 @@
 pub(crate) struct BenchInstance {
     pub(crate) state: Arc<state::PoolState<BenchSite>>,
     pub(crate) address: String,
-    pub(crate) to_store: fault::FaultPlan,
-    pub(crate) to_workers: fault::FaultPlan,
+    pub(crate) store_faults: fault::FaultPlan,
+    pub(crate) worker_faults: fault::FaultPlan,
     pub(crate) panics: PanicPlan,
     running: JoinHandle<()>,
 }
@@ -280,18 +280,22 @@
 
     /// Another process at `address`, in place of a former one there.
     pub(crate) fn start_instance(&mut self, address: &str) -> usize {
-        self.start_instance_of(address, STRENGTH_MILLI)
+        self.start_instance_with_strength(address, STRENGTH_MILLI)
     }
 
     /// The same, on a machine of that strength.
-    pub(crate) fn start_instance_of(&mut self, address: &str, strength_milli: u32) -> usize {
+    pub(crate) fn start_instance_with_strength(
+        &mut self,
+        address: &str,
+        strength_milli: u32,
+    ) -> usize {
         self.n_started += 1;
-        let (to_store, to_workers) = (fault::FaultPlan::new(), fault::FaultPlan::new());
+        let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
         let site = BenchSite {
-            store: self.store.seen_through(to_store.clone()),
+            store: self.store.seen_through(store_faults.clone()),
             control: BenchControl {
-                fleet: self.fleet.seen_through(to_workers.clone()),
+                fleet: self.fleet.seen_through(worker_faults.clone()),
                 panics: panics.clone(),
             },
             peers: self.net.link(address),
@@ -309,7 +313,7 @@
         self.net.register(address, peer_handler::PeerHandler::new(Arc::clone(&state)));
         let running = tokio::spawn(instance::run(Arc::clone(&state)));
         let address = address.to_owned();
-        let fresh = BenchInstance { state, address, to_store, to_workers, panics, running };
+        let fresh = BenchInstance { state, address, store_faults, worker_faults, panics, running };
         self.instances.push(fresh);
         self.instances.len() - 1
     }
@@ -320,8 +324,8 @@
         tracing::info!(address = dead.address, "instance is killed");
         self.net.crash(&dead.address);
         // What the dead process had under way does not reach anybody any more.
-        dead.to_store.set(fault::Condition::Silent);
-        dead.to_workers.set(fault::Condition::Silent);
+        dead.store_faults.set(fault::Condition::Silent);
+        dead.worker_faults.set(fault::Condition::Silent);
         dead.running.abort();
         let _ = dead.running.await;
         dead.address
@@ -339,7 +343,7 @@
     }
 
     /// Whoever holds the tenure, by the latest epoch.
-    pub(crate) fn holder_in_force(&self) -> Option<usize> {
+    pub(crate) fn latest_holder(&self) -> Option<usize> {
         let leads = self.instances.iter().enumerate();
         let leads = leads.filter_map(|(index, it)| Some((it.state.leader()?.epoch, index)));
         leads.max().map(|(_, index)| index)
@@ -350,7 +354,7 @@
         self.instances.iter().position(|it| it.state.leader().is_some()).expect("a holder")
     }
 
-    pub(crate) fn other(&self) -> usize {
+    pub(crate) fn non_holder(&self) -> usize {
         self.instances.iter().position(|it| it.state.leader().is_none()).expect("another instance")
     }
 
@@ -379,7 +383,7 @@
     }
 
     /// The operator takes a data centre back, as far as the store takes it.
-    pub(crate) async fn take_back(&self, data_center: &str) -> bool {
+    pub(crate) async fn end_evacuation(&self, data_center: &str) -> bool {
         self.try_put(&evacuation_key(data_center), None).await
     }
 
@@ -389,7 +393,7 @@
     }
 
     /// Somebody else writes over the entry of a worker.
-    pub(crate) async fn spoil_entry(&self, index: usize) {
+    pub(crate) async fn corrupt_entry(&self, index: usize) {
         self.write(&entry_key(index), b"\xff\xfe").await;
     }
 
@@ -409,19 +413,19 @@
     }
 
     /// The room of a worker changes; its entry tells at its next heartbeat.
-    pub(crate) fn set_room(&self, worker: &ids::WorkerId, accelerators: u32) {
+    pub(crate) fn set_accelerators(&self, worker: &ids::WorkerId, accelerators: u32) {
         tracing::info!(worker, accelerators, "room changes");
-        self.fleet.set_capacity(worker, room_of(accelerators));
+        self.fleet.set_capacity(worker, capacity_for(accelerators));
     }
 
     /// Each worker that is up writes its entry at each heartbeat from now on, as far as the store takes it.
-    pub(crate) fn keep_heartbeats(&self) {
+    pub(crate) fn start_heartbeats(&self) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         tokio::spawn(async move {
             loop {
                 for worker in fleet.workers_up() {
                     // What the store does not take is told of by the next one.
-                    tokio::spawn(beat(store.clone(), fleet.clone(), index_of(&worker)));
+                    tokio::spawn(try_write_entry(store.clone(), fleet.clone(), index_of(&worker)));
                 }
                 time::sleep(HEARTBEAT).await;
             }
@@ -450,20 +454,20 @@
     }
 
     /// A worker dies, and comes back `down` later that way, if at all.
-    pub(crate) fn lose_worker(&self, index: usize, way: Comeback, down: Duration) {
+    pub(crate) fn crash_worker(&self, index: usize, way: RestartMode, down: Duration) {
         let worker = worker_id(index);
         let address = self.fleet.address_of(&worker);
         let Some(capacity) = self.fleet.crash(&worker) else { return };
         tracing::info!(worker, ?way, ?down, "worker dies");
         let dead = pool_fleet::CrashedWorker { worker: worker.clone(), address, capacity };
-        tokio::spawn(come_back(self.fleet.clone(), self.store.clone(), dead, way, down));
-        if way != Comeback::UnderItsId {
+        tokio::spawn(restart_crashed(self.fleet.clone(), self.store.clone(), dead, way, down));
+        if way != RestartMode::SameId {
             tokio::spawn(expire_entry(self.store.clone(), worker));
         }
     }
 
     /// Workers that tasks crash come back from now on, `down` later, as the platform lets them.
-    pub(crate) fn bring_back(&self, comeback: Comeback, down: Duration) {
+    pub(crate) fn restart_crashed_workers(&self, comeback: RestartMode, down: Duration) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         tokio::spawn(async move {
             let mut n_crashes = 0;
@@ -471,9 +475,10 @@
                 for dead in fleet.take_crashed() {
                     let way = comeback.of(n_crashes);
                     n_crashes += 1;
-                    let back = come_back(fleet.clone(), store.clone(), dead.clone(), way, down);
+                    let back =
+                        restart_crashed(fleet.clone(), store.clone(), dead.clone(), way, down);
                     tokio::spawn(back);
-                    if way != Comeback::UnderItsId {
+                    if way != RestartMode::SameId {
                         tokio::spawn(expire_entry(store.clone(), dead.worker));
                     }
                 }
@@ -515,9 +520,9 @@
         cancel::cancel(&self.instances[index].state, graph, Some("lab"), deadline).await
     }
 
-    pub(crate) async fn look(&self, index: usize, graph: ids::GraphId) -> model::LookOutcome {
+    pub(crate) async fn lookup(&self, index: usize, graph: ids::GraphId) -> model::LookOutcome {
         let deadline = Instant::now() + Duration::from_secs(2);
-        self.look_by(index, graph, deadline).await.outcome
+        self.lookup_by(index, graph, deadline).await.outcome
     }
 
     /// Why a job has failed, as its caller is told.
@@ -527,10 +532,10 @@
         graph: ids::GraphId,
     ) -> Option<model::FailureCause> {
         let deadline = Instant::now() + Duration::from_secs(2);
-        self.look_by(index, graph, deadline).await.failure
+        self.lookup_by(index, graph, deadline).await.failure
     }
 
-    async fn look_by(
+    async fn lookup_by(
         &self,
         index: usize,
         graph: ids::GraphId,
@@ -549,7 +554,7 @@
     ) {
         let expires = Instant::now() + limit;
         loop {
-            let shown = self.look(index, graph).await;
+            let shown = self.lookup(index, graph).await;
             if shown == model::LookOutcome::Known(wanted) {
                 return;
             }
@@ -587,7 +592,11 @@
 }
 
 /// A worker writes its entry once. Whether the store has taken it.
-async fn beat(store: table::TableFake, fleet: pool_fleet::PoolFleet, index: usize) -> bool {
+async fn try_write_entry(
+    store: table::TableFake,
+    fleet: pool_fleet::PoolFleet,
+    index: usize,
+) -> bool {
     let key = entry_key(index);
     let writing = async {
         let read = store.get(model::TableGet { keys: vec![key.clone()] }).await.ok()?;
@@ -605,31 +614,31 @@
 }
 
 /// Lets a worker that was crashed start again, and write its entry once the store takes it.
-async fn come_back(
+async fn restart_crashed(
     fleet: pool_fleet::PoolFleet,
     store: table::TableFake,
     dead: pool_fleet::CrashedWorker,
-    way: Comeback,
+    way: RestartMode,
     down: Duration,
 ) {
     time::sleep(down).await;
-    let fresh = fresh_id(&fleet, &dead.worker);
+    let fresh = unused_id(&fleet, &dead.worker);
     let worker = match way {
-        Comeback::UnderItsId => dead.worker,
+        RestartMode::SameId => dead.worker,
         _ => fresh,
     };
     match way {
-        Comeback::AtItsAddress => fleet.add_at(&worker, &dead.address, dead.capacity),
-        Comeback::Never => return,
+        RestartMode::SameAddress => fleet.add_at(&worker, &dead.address, dead.capacity),
+        RestartMode::Never => return,
         _ => fleet.add(&worker, dead.capacity),
     }
-    while !beat(store.clone(), fleet.clone(), index_of(&worker)).await {
+    while !try_write_entry(store.clone(), fleet.clone(), index_of(&worker)).await {
         time::sleep(ENTRY_AGAIN).await;
     }
 }
 
 /// An id that no worker had, of the same rack.
-fn fresh_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
+fn unused_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
     let mut index = index_of(worker) + N_IDS;
     while fleet.was_up(&worker_id(index)) {
         index += N_IDS;
@@ -662,7 +671,7 @@
 }
 
 /// What a worker offers of which that many accelerators are left; the rest shrinks alike.
-pub(crate) fn room_of(accelerators: u32) -> resources::Resources {
+pub(crate) fn capacity_for(accelerators: u32) -> resources::Resources {
     let share = |all: u32| all * accelerators / CAPACITY.accelerators;
     resources::Resources {
         cpu_milli: share(CAPACITY.cpu_milli),
@@ -745,7 +754,7 @@
 
 impl LogLines {
     /// Gathers what the thread logs from now on.
-    pub(crate) fn gather() -> (LogLines, tracing::subscriber::DefaultGuard) {
+    pub(crate) fn capture() -> (LogLines, tracing::subscriber::DefaultGuard) {
         let lines = LogLines::default();
         let writer = lines.clone();
         let log = tracing_subscriber::fmt().with_ansi(false).with_timer(PausedTime);
@@ -754,7 +763,7 @@
     }
 
     /// The lines with `wanted` in them.
-    pub(crate) fn with(&self, wanted: &str) -> Vec<String> {
+    pub(crate) fn containing(&self, wanted: &str) -> Vec<String> {
         let written = self.written.lock().expect("lines");
         let text = String::from_utf8_lossy(&written);
         text.lines().filter(|it| it.contains(wanted)).map(str::to_owned).collect()
@@ -779,15 +788,15 @@
         let _ = log.with_writer(std::io::stderr).try_init();
     }
     // A line that is met first by a thread without a subscriber would be off for all threads.
-    let _ = tracing::subscriber::set_global_default(DeafSubscriber);
+    let _ = tracing::subscriber::set_global_default(DiscardingSubscriber);
     let runtime = runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("a runtime").block_on(test)
 }
 
 /// Writes nothing, and is asked for each line, so that each thread may have lines of its own.
-struct DeafSubscriber;
+struct DiscardingSubscriber;
 
-impl tracing::Subscriber for DeafSubscriber {
+impl tracing::Subscriber for DiscardingSubscriber {
     fn register_callsite(
         &self,
         _: &'static tracing::Metadata<'static>,
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -147,7 +147,7 @@
         bench.submit(0, 1, support::job(8, 4_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         let old = bench.holder();
-        bench.instances[old].to_store.set(fault::Condition::Silent);
+        bench.instances[old].store_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(6)).await;
         let holders = bench.instances.iter().filter(|it| it.state.leader().is_some()).count();
         assert_eq!(holders, 1);
@@ -183,7 +183,7 @@
         bench.kill(holder).await;
         for instance in &bench.instances {
             for nth in 1..=2 * N_TABLES {
-                instance.to_store.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+                instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
             }
         }
         time::sleep(Duration::from_secs(9)).await;
@@ -229,7 +229,7 @@
 fn a_job_is_found_although_the_history_is_gone() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
-        let (holder, other) = (bench.holder(), bench.other());
+        let (holder, other) = (bench.holder(), bench.non_holder());
         let from = bench.instances[other].address.clone();
         let to = bench.instances[holder].address.clone();
         bench.net.partition(&[&from], &[&to], fault::Condition::Refusing);
@@ -244,15 +244,15 @@
 fn a_dead_worker_holds_up_accepted_jobs_no_longer_than_its_lease() {
     support::run(async {
         let mut bench = support::PoolBench::start(3, 16).await;
-        bench.keep_heartbeats();
+        bench.start_heartbeats();
         let holder = bench.holder();
-        bench.lose_worker(0, support::Comeback::Never, Duration::ZERO);
+        bench.crash_worker(0, support::RestartMode::Never, Duration::ZERO);
         let address = bench.kill(holder).await;
         let accepted = bench.submit(0, 1, support::job(2, 1_000)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         // Another instance has taken over by then.
         time::sleep(Duration::from_secs(3)).await;
-        assert!(bench.holder_in_force().is_some());
+        assert!(bench.latest_holder().is_some());
         bench.start_instance(&address);
         time::sleep(LEASE_AND_MORE).await;
         assert_eq!(bench.fleet.running().len(), 2);
@@ -265,19 +265,23 @@
 fn a_restarted_holder_counts_from_its_own_start() {
     support::run(async {
         let mut bench = support::PoolBench::start(1, 16).await;
-        bench.keep_heartbeats();
+        bench.start_heartbeats();
         let accepted = bench.submit(0, 1, support::job(2, 20_000)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         time::sleep(Duration::from_secs(1)).await;
         let silent = bench.fleet.running().into_iter().map(|(worker, _)| worker);
         for worker in silent {
-            bench.lose_worker(support::index_of(&worker), support::Comeback::Never, Duration::ZERO);
+            bench.crash_worker(
+                support::index_of(&worker),
+                support::RestartMode::Never,
+                Duration::ZERO,
+            );
         }
         let address = bench.kill(0).await;
         bench.start_instance(&address);
-        bench.instances[0].to_store.set(fault::Condition::Refusing);
+        bench.instances[0].store_faults.set(fault::Condition::Refusing);
         time::sleep(Duration::from_secs(3)).await;
-        bench.instances[0].to_store.set(fault::Condition::Up);
+        bench.instances[0].store_faults.set(fault::Condition::Up);
         time::sleep(LEASE_AND_MORE - Duration::from_secs(3)).await;
         assert_eq!(bench.fleet.running().len(), 2);
     });
@@ -319,7 +323,7 @@
         bench.kill(holder).await;
         for instance in &bench.instances {
             let step = model::TableTransaction::PATH;
-            instance.to_store.next(step, fault::Fault::AnswerLost);
+            instance.store_faults.next(step, fault::Fault::AnswerLost);
         }
         let version = || bench.store.peek(&keys::pool_tenure()).first().map(|it| it.version);
         let left_at = version();
@@ -339,11 +343,11 @@
         bench.kill(bench.holder()).await;
         // Whichever is first.
         time::sleep(Duration::from_millis(1_500)).await;
-        let lame = bench.instances[0].to_store.clone();
+        let lame = bench.instances[0].store_faults.clone();
         (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
-        bench.instances[1].to_store.set(fault::Condition::Silent);
+        bench.instances[1].store_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(1)).await;
-        bench.instances[1].to_store.set(fault::Condition::Up);
+        bench.instances[1].store_faults.set(fault::Condition::Up);
         time::sleep(Duration::from_secs(5)).await;
         assert!(bench.instances[1].state.leader().is_some());
     });
@@ -355,9 +359,9 @@
 fn a_tenure_that_is_taken_twice_waits_for_its_holder_before() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
-        let (old, successor) = (bench.holder(), bench.other());
+        let (old, successor) = (bench.holder(), bench.non_holder());
         let step = model::TableTransaction::PATH;
-        bench.instances[successor].to_store.next(step, fault::Fault::AnswerLost);
+        bench.instances[successor].store_faults.next(step, fault::Fault::AnswerLost);
         cut_from_peers(&bench, old);
         assert_detached_start_is_waited_for(&bench, old, successor).await;
     });
@@ -371,12 +375,12 @@
         let bench = support::PoolBench::start(3, 2).await;
         let old = bench.holder();
         let (between, successor) = ((old + 1) % 3, (old + 2) % 3);
-        let lame = bench.instances[between].to_store.clone();
+        let lame = bench.instances[between].store_faults.clone();
         (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
-        bench.instances[successor].to_store.set(fault::Condition::Silent);
+        bench.instances[successor].store_faults.set(fault::Condition::Silent);
         cut_from_peers(&bench, old);
         let leaving = bench.instances[between].state.shutdown.clone();
-        let back = bench.instances[successor].to_store.clone();
+        let back = bench.instances[successor].store_faults.clone();
         tokio::spawn(async move {
             time::sleep(Duration::from_millis(3_500)).await;
             leaving.cancel();
@@ -392,7 +396,7 @@
 fn a_holder_that_starts_again_waits_for_the_one_before_it() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
-        let (old, successor) = (bench.holder(), bench.other());
+        let (old, successor) = (bench.holder(), bench.non_holder());
         let [here, there] = [old, successor].map(|it| bench.instances[it].address.clone());
         bench.net.partition(&[&here], &[&there], fault::Condition::Silent);
         detach(&bench, old).await;
@@ -401,7 +405,7 @@
         let address = bench.kill(successor).await;
         bench.start_instance(&address);
         let successor = bench.instances.len() - 1;
-        bench.instances[successor].to_workers.set(fault::Condition::Silent);
+        bench.instances[successor].worker_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_millis(1_800)).await;
         assert_waited_for(&bench, successor).await;
     });
@@ -435,16 +439,16 @@
     });
     bench.submit(old, 1, row).await;
     time::sleep(Duration::from_millis(100)).await;
-    bench.instances[old].to_store.set(fault::Condition::Silent);
+    bench.instances[old].store_faults.set(fault::Condition::Silent);
     for instance in bench.instances.iter().filter(|it| it.address != bench.instances[old].address) {
-        instance.to_workers.set(fault::Condition::Silent);
+        instance.worker_faults.set(fault::Condition::Silent);
     }
 }
 
 /// The worker that has just started a task is cut off, and `successor` reaches the others.
 async fn assert_waited_for(bench: &support::PoolBench, successor: usize) {
     bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Silent);
-    bench.instances[successor].to_workers.set(fault::Condition::Up);
+    bench.instances[successor].worker_faults.set(fault::Condition::Up);
     time::sleep(Duration::from_secs(60)).await;
     bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Up);
     bench.await_state(successor, 1, model::GraphState::Completed, SOON).await;
