--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -54,7 +54,7 @@
     let now = Duration::from_secs(1_000);
     for index in 0..n_workers {
         let rack = format!("r{}", index / RACK);
-        let listing = worker::WorkerListing {
+        let listing = worker::WorkerEntry {
             address: format!("127.0.0.1:{index}"),
             upstream: "analysis".to_owned(),
             capacity: resources::Resources {
@@ -71,7 +71,7 @@
         };
         core.update_worker(format!("w{index:05}"), listing, now);
     }
-    while let Some(batch) = core.take_batch(now, |_| true) {
+    while let Some(batch) = core.take_save_batch(now, |_| true) {
         core.batch_saved(batch);
     }
     core
--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -140,7 +140,7 @@
             return;
         }
         for member in self.unit_tasks(unit) {
-            let worker = self.run(member).and_then(|it| self.workers.get(&it.worker));
+            let worker = self.task_run(member).and_then(|it| self.workers.get(&it.worker));
             let Some(clock) = worker.and_then(|it| it.clock.reading(now)) else { continue };
             let task = self.jobs.get_mut(&member.graph).and_then(|it| it.task_mut(member));
             if let Some(run) = task.and_then(|it| it.run.as_mut()) {
@@ -175,7 +175,7 @@
             order::StartRefusal::Unwell => UNWELL_PAUSE,
         };
         if let Some(worker) = self.workers.get_mut(&start.worker) {
-            worker.pauses_until = worker.pauses_until.max(now + pause);
+            worker.paused_until = worker.paused_until.max(now + pause);
         }
         tracing::info!(worker = start.worker, ?refusal, "start refused");
         self.order_poll(&start.worker);
@@ -203,11 +203,11 @@
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
         record.n_missed += 1;
-        record.trust.close();
+        record.incarnation_trust.close();
         if record.n_missed > 1 {
             return false;
         }
-        record.missed_at = self.last_maintenance_at;
+        record.silent_since = self.last_maintenance_at;
         self.save_runs_on(worker);
         true
     }
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -65,9 +65,9 @@
         let could_run = |id: &ids::WorkerId, it: &worker::WorkerRecord| {
             let label = step.spec.label.as_ref();
             task.avoids.as_ref() != Some(id)
-                && it.listing.upstream == job.upstream
-                && label.is_none_or(|label| it.listing.labels.contains(label))
-                && step.task_resources().fits_in(it.listing.capacity)
+                && it.entry.upstream == job.upstream
+                && label.is_none_or(|label| it.entry.labels.contains(label))
+                && step.task_resources().fits_in(it.entry.capacity)
                 && self.exclusion_reason(id, it, now).is_none()
         };
         !self.underused.contains(&job.upstream)
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -162,9 +162,9 @@
         let at = self.list_read_at;
         let usual_gap = self.timing.heartbeat + ENTRY_SLACK;
         let Some(record) = self.workers.get_mut(worker) else { return };
-        let before = record.entry_at.replace(at);
+        let before = record.entry_read_at.replace(at);
         if before.is_none_or(|it| at <= it + usual_gap) {
-            record.told_at = Some(at);
+            record.entry_current_at = Some(at);
         }
     }
 
@@ -225,7 +225,7 @@
     /// Whether anything is unfinished, so that turns are needed even without events.
     pub fn is_busy(&self) -> bool {
         !self.active.is_empty()
-            || self.workers.values().any(|it| !it.runs.is_empty() || !it.strays.is_empty())
+            || self.workers.values().any(|it| !it.runs.is_empty() || !it.unwanted_runs.is_empty())
     }
 
     /// The workers, for whoever keeps a session with each.
@@ -245,7 +245,7 @@
         for worker in self.workers.values() {
             summary.n_running += worker.runs.len();
             summary.accelerators_used += worker.used.accelerators;
-            summary.accelerators += worker.listing.capacity.accelerators;
+            summary.accelerators += worker.entry.capacity.accelerators;
         }
         summary
     }
@@ -264,7 +264,7 @@
     /// Whether each worker on which a successor has to expect tasks answers.
     pub fn all_answer(&self) -> bool {
         let mut records = self.roster.workers().filter_map(|it| self.workers.get(it));
-        records.all(|it| it.answers() || !it.is_for_roster())
+        records.all(|it| it.is_responsive() || !it.belongs_in_roster())
     }
 
     /// The jobs that have not ended.
@@ -313,11 +313,11 @@
         }
         if let Some(worker) = self.workers.get_mut(&run.worker) {
             worker.runs.remove(&key);
-            worker.apart_runs.remove(&key);
+            worker.isolated_runs.remove(&key);
             worker.used = worker.used.minus(room);
         }
         if was_on_record {
-            self.touch(key);
+            self.mark_task_changed(key);
         }
     }
 
@@ -340,7 +340,7 @@
         attempt: u32,
     ) {
         let Some(record) = self.workers.get(&worker) else { return };
-        let address = record.listing.address.clone();
+        let address = record.entry.address.clone();
         let generation = record.generation;
         self.orders.push(order::PoolOrder::Stop(order::StopOrder {
             worker,
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -25,7 +25,7 @@
     /// Takes note of the time, then starts what can start and clears room for urgent work.
     pub fn run_round(&mut self, now: Duration) {
         self.note_turn(now);
-        self.keep_up(now);
+        self.run_maintenance(now);
         let all = self.startable_accelerators();
         let urgent = self.urgent_accelerators();
         self.headroom.observe(&urgent, all, now);
@@ -168,9 +168,9 @@
             upstream: number_of(&it.place.upstream, &mut upstreams),
             used: it.in_use(),
             free: it.free(),
-            n_runs: it.runs.len() + it.strays.len(),
+            n_runs: it.runs.len() + it.unwanted_runs.len(),
             suspect: it.health.is_suspect(),
-            is_exclusive: !it.apart_runs.is_empty(),
+            is_exclusive: !it.isolated_runs.is_empty(),
             claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
             reserved: Vec::new(),
         });
@@ -180,7 +180,7 @@
     /// Accelerators of the workers on which something may start while they are well.
     fn startable_accelerators(&self) -> u32 {
         let workers = self.workers.values().filter(|it| !self.is_evacuated(it));
-        workers.map(|it| it.listing.capacity.accelerators).sum()
+        workers.map(|it| it.entry.capacity.accelerators).sum()
     }
 
     fn try_start(
@@ -278,7 +278,7 @@
         record.runs.insert(key);
         record.used = record.used.plus(room);
         if is_isolated {
-            record.apart_runs.insert(key);
+            record.isolated_runs.insert(key);
         }
         tracing::info!(
             job = format_args!("{:016x}", key.graph),
@@ -292,7 +292,7 @@
         );
         self.orders.push(order::PoolOrder::Start(order::StartOrder {
             worker,
-            address: record.listing.address.clone(),
+            address: record.entry.address.clone(),
             generation: record.generation,
             ordered_at: now,
             task: key,
--- a/crates/graph/src/exclusion_limit.rs
+++ b/crates/graph/src/exclusion_limit.rs
@@ -23,10 +23,10 @@
         if is_out(record) {
             return true;
         }
-        let upstream = &record.listing.upstream;
+        let upstream = &record.entry.upstream;
         let alike = || {
-            let usable = self.workers.values().filter(|it| it.listed && it.answers());
-            usable.filter(|it| it.listing.upstream == *upstream)
+            let usable = self.workers.values().filter(|it| it.listed && it.is_responsive());
+            usable.filter(|it| it.entry.upstream == *upstream)
         };
         let n_out = alike().filter(|it| is_out(it)).count();
         (n_out + 1) * ONE_IN <= alike().count()
--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -64,10 +64,10 @@
         if !worker.listed {
             return Some(ExclusionReason::Unlisted);
         }
-        if !worker.answers() || now >= worker.answered_at + ANSWERED_WITHIN {
+        if !worker.is_responsive() || now >= worker.answered_at + ANSWERED_WITHIN {
             return Some(ExclusionReason::Silent);
         }
-        if now < worker.pauses_until {
+        if now < worker.paused_until {
             return Some(ExclusionReason::Refusing);
         }
         if worker.health.is_paused(now) {
@@ -90,13 +90,13 @@
         }
         // A worker that refuses nothing would be filled beyond a room that has shrunk unheard, as
         // while the store is away.
-        let is_unguarded = self.catalog.without_admission_check.contains(&worker.listing.upstream);
-        let is_old = is_unguarded && worker.is_news_old(&self.timing, now);
+        let is_unguarded = self.catalog.without_admission_check.contains(&worker.entry.upstream);
+        let is_old = is_unguarded && worker.is_entry_stale(&self.timing, now);
         is_old.then_some(ExclusionReason::StaleEntry)
     }
 
     /// Whether nothing may start on a worker until its data centre is taken back.
     pub(crate) fn is_evacuated(&self, worker: &worker::WorkerRecord) -> bool {
-        self.evacuated.contains(&worker.listing.data_center)
+        self.evacuated.contains(&worker.entry.data_center)
     }
 }
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -81,7 +81,7 @@
         self.update_active(graph);
         if is_unchunked {
             let n_chunks = self.jobs.get(&graph).map_or(0, progress::n_chunks);
-            self.touch_all(graph, n_chunks);
+            self.mark_job_changed(graph, n_chunks);
         }
         if cancelled {
             self.cancel(graph, now);
@@ -119,18 +119,18 @@
     pub fn update_worker(
         &mut self,
         worker: ids::WorkerId,
-        listing: worker::WorkerListing,
+        listing: worker::WorkerEntry,
         now: Duration,
     ) -> bool {
         let list_read_at = self.list_read_at;
         let record = self.record_or_new(&worker);
-        if record.listed && listing.is_overtaken_by(&record.listing) {
+        if record.listed && listing.is_superseded_by(&record.entry) {
             tracing::info!(worker, sequence = listing.sequence, "entry of a worker was overtaken");
             return false;
         }
-        record.entry_at.get_or_insert(list_read_at);
-        let is_other_life = record.listing.incarnation != listing.incarnation;
-        let is_moved = !record.listing.is_found_at(&listing.address, &listing.upstream);
+        record.entry_read_at.get_or_insert(list_read_at);
+        let is_other_life = record.entry.incarnation != listing.incarnation;
+        let is_moved = !record.entry.has_endpoint(&listing.address, &listing.upstream);
         if !record.listed {
             tracing::info!(
                 worker,
@@ -156,14 +156,14 @@
             labels: listing.labels.clone(),
             capacity: listing.capacity,
         });
-        record.told_life = listing.incarnation.or(record.told_life);
-        record.listing = listing;
+        record.entry_incarnation = listing.incarnation.or(record.entry_incarnation);
+        record.entry = listing;
         if is_other_life && !record.is_listed_incarnation() {
             // The list has learned of another life first.
             self.note_missed_exchange(&worker);
         }
         if is_moved {
-            self.refresh_roster(&worker);
+            self.mark_roster_stale(&worker);
         }
         true
     }
@@ -171,22 +171,22 @@
     /// Takes in a worker to which an earlier scheduler may have given orders, as it stands on a page of
     /// the roster.
     pub fn inherit_worker(&mut self, entry: model::RosterEntry, page: u32) {
-        for page in self.roster.inherit(&entry.worker, entry.on_record, page) {
-            self.unsaved.touch(save_queue::SaveKey::Roster { page });
+        for page in self.roster.load_worker(&entry.worker, entry.on_record, page) {
+            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
         }
         let record = self.record_or_new(&entry.worker);
         record.inherited = true;
         if !record.listed {
-            record.listing.address = entry.address;
-            record.listing.upstream = entry.upstream;
-        } else if !record.listing.is_found_at(&entry.address, &entry.upstream) {
-            self.refresh_roster(&entry.worker);
+            record.entry.address = entry.address;
+            record.entry.upstream = entry.upstream;
+        } else if !record.entry.has_endpoint(&entry.address, &entry.upstream) {
+            self.mark_roster_stale(&entry.worker);
         }
     }
 
     fn record_or_new(&mut self, worker: &ids::WorkerId) -> &mut worker::WorkerRecord {
         let generation = self.newest_generation;
-        let fresh = || worker::WorkerRecord::of_generation(generation);
+        let fresh = || worker::WorkerRecord::with_generation(generation);
         self.workers.entry(worker.clone()).or_insert_with(fresh)
     }
 
@@ -208,7 +208,7 @@
         now: Duration,
     ) {
         let Some(record) = self.workers.get(worker) else { return };
-        if record.listing.address != *address {
+        if record.entry.address != *address {
             self.note_missed_exchange(worker);
             return;
         }
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -201,7 +201,7 @@
             let attempt = task.run.as_ref().map(|it| it.attempt);
             if task.suspicion.saved_attempt != attempt {
                 task.suspicion.saved_attempt = attempt;
-                self.touch(key);
+                self.mark_task_changed(key);
             }
         }
     }
@@ -211,7 +211,7 @@
         let Some(task) = self.task_record_mut(key) else { return false };
         if task.suspicion.saved_attempt != Some(attempt) {
             task.suspicion.saved_attempt = Some(attempt);
-            let mark = self.touch(key);
+            let mark = self.mark_task_changed(key);
             if let Some(task) = self.task_record_mut(key) {
                 task.start_change = mark;
             }
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -96,7 +96,7 @@
     /// Since when it could run apart, as far as its start and its room go; before `waits_since` where it could not yet.
     pub isolatable_since: Duration,
     /// The change that puts its next start on record.
-    pub start_change: Option<save_queue::SaveMark>,
+    pub start_change: Option<save_queue::RowChange>,
 }
 
 /// The attempts that failed. Each counts once although a worker may list its end to two
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -250,8 +250,9 @@
     fn scene_of(&self, worker: &ids::WorkerId, now: Duration) -> LossScene<'_> {
         let record = self.workers.get(worker);
         let last_contact_at = record.map_or(now, |it| it.answered_at);
-        let missed_at = record.filter(|it| it.n_missed > 0).map(|it| it.missed_at + MISS_SLACK);
-        let lost_by = missed_at.map_or(now, |it| it.min(now));
+        let silent_since =
+            record.filter(|it| it.n_missed > 0).map(|it| it.silent_since + MISS_SLACK);
+        let lost_by = silent_since.map_or(now, |it| it.min(now));
         let silent = self.workers.iter().filter(|(id, it)| {
             *id != worker
                 && it.n_missed > 0
@@ -283,7 +284,7 @@
 
     /// The share of its run time within which a task was struck.
     fn run_share_at_loss(&self, scene: &LossScene, key: task_key::TaskKey, now: Duration) -> f64 {
-        let Some(run) = self.run(key) else { return 1.0 };
+        let Some(run) = self.task_run(key) else { return 1.0 };
         let ran = scene.lost_by.saturating_sub(run.since).as_secs_f64();
         let exposure = self.exposure(key, now).as_secs_f64();
         if exposure > 0.0 { (ran / exposure).min(1.0) } else { 1.0 }
@@ -316,7 +317,7 @@
     fn exposure(&self, key: task_key::TaskKey, now: Duration) -> Duration {
         let class = self.jobs.get(&key.graph).map(|it| it.class.as_str()).unwrap_or_default();
         let usual = self.run_times.mean(class);
-        let Some(run) = self.run(key) else { return usual };
+        let Some(run) = self.task_run(key) else { return usual };
         let pace = run.pace.latest().filter(|it| *it > 0.0);
         let whole = pace.map_or(Duration::ZERO, |it| Duration::from_secs_f64(100.0 / it));
         whole.max(usual).max(now.saturating_sub(run.since))
@@ -385,7 +386,7 @@
         if is_proved {
             self.give_up(key, now);
         }
-        self.touch(key);
+        self.mark_task_changed(key);
     }
 
     fn give_up(&mut self, key: task_key::TaskKey, now: Duration) {
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -30,7 +30,7 @@
 
 impl core::PoolCore {
     /// Takes note of the passage of time. Comes first in a turn.
-    pub(crate) fn keep_up(&mut self, now: Duration) {
+    pub(crate) fn run_maintenance(&mut self, now: Duration) {
         if now < self.last_maintenance_at + KEEP_UP_INTERVAL {
             return;
         }
@@ -74,7 +74,7 @@
             if !listed {
                 self.workers.remove(&worker);
             } else if let Some(record) = self.workers.get_mut(&worker) {
-                record.has_lapsed = record.strays.is_empty();
+                record.has_lapsed = record.unwanted_runs.is_empty();
             }
         }
     }
@@ -83,7 +83,7 @@
     /// life has not said that it has the run, a later one may: it took the start as late as that may
     /// come, with a deadline far ahead on its own clock, and shortened it to the longest lease.
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
-        let Some(run) = self.run(key) else { return true };
+        let Some(run) = self.task_run(key) else { return true };
         let longest = lease_clock::max_local_span(self.timing.longest_lease);
         run.is_confirmed_by_incarnation || now >= run.since + self.timing.start_timeout + longest
     }
@@ -91,12 +91,13 @@
     /// Whether no life behind the known one of its worker can have taken a start: it would have told of itself
     /// in the list by the time up to which that was read.
     fn is_of_known_life(&self, key: task_key::TaskKey) -> bool {
-        let Some(run) = self.run(key) else { return false };
+        let Some(run) = self.task_run(key) else { return false };
         let (Some(start), Some(worker)) = (run.start_deadline, self.workers.get(&run.worker))
         else {
             return false;
         };
-        let is_told_life = worker.incarnation.is_some() && worker.told_life == worker.incarnation;
+        let is_told_life =
+            worker.incarnation.is_some() && worker.entry_incarnation == worker.incarnation;
         let told_by = run.since + self.timing.start_timeout + self.timing.heartbeat + ENTRY_MARGIN;
         is_told_life && start.generation == worker.generation && self.list_read_at >= told_by
     }
@@ -152,12 +153,12 @@
 
     /// Whether a run would go on behind `leaves_at`, less the time for stopping it.
     fn outlasts(&self, key: task_key::TaskKey, leaves_at: Duration, now: Duration) -> bool {
-        let Some(run) = self.run(key) else { return false };
+        let Some(run) = self.task_run(key) else { return false };
         if run.phase.is_stopping() {
             return false;
         }
         let margin = self.timing.stop_timeout + LEAVE_MARGIN;
-        now + self.time_left(key, now) + margin > leaves_at
+        now + self.expected_time_left(key, now) + margin > leaves_at
     }
 
     /// Stops the other members of a gang that has lost one, so that it can start again as a whole.
@@ -183,8 +184,8 @@
     }
 
     /// How much longer a run is expected to take.
-    pub(crate) fn time_left(&self, key: task_key::TaskKey, now: Duration) -> Duration {
-        let Some(run) = self.run(key) else { return Duration::ZERO };
+    pub(crate) fn expected_time_left(&self, key: task_key::TaskKey, now: Duration) -> Duration {
+        let Some(run) = self.task_run(key) else { return Duration::ZERO };
         let ran = now.saturating_sub(run.since);
         if let Some(pace) = run.pace.latest().filter(|it| *it > 0.0) {
             let left = f64::from(100 - run.percent.min(100)) / pace;
@@ -195,12 +196,12 @@
         self.run_times.mean(class).saturating_sub(ran)
     }
 
-    pub(crate) fn saves(&self, key: task_key::TaskKey) -> bool {
+    pub(crate) fn saves_checkpoints(&self, key: task_key::TaskKey) -> bool {
         let step = self.jobs.get(&key.graph).and_then(|it| it.step(key));
         step.is_some_and(|it| it.spec.saves)
     }
 
-    pub(crate) fn run(&self, key: task_key::TaskKey) -> Option<&job::TaskRun> {
+    pub(crate) fn task_run(&self, key: task_key::TaskKey) -> Option<&job::TaskRun> {
         self.jobs.get(&key.graph)?.task(key)?.run.as_ref()
     }
 }
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -48,7 +48,7 @@
         let mut overdue = Vec::new();
         for (id, worker) in &self.workers {
             for key in &worker.runs {
-                let Some(run) = self.run(*key) else { continue };
+                let Some(run) = self.task_run(*key) else { continue };
                 let is_open = !run.is_confirmed && !run.is_reported_overdue;
                 if is_open && now >= run.since + longest {
                     overdue.push(OverdueStart { worker: id.clone(), task: *key, phase: run.phase });
@@ -67,7 +67,7 @@
     }
 
     fn tell_overdue(&self, start: &OverdueStart, now: Duration) {
-        let run = self.run(start.task);
+        let run = self.task_run(start.task);
         let worker = self.workers.get(&start.worker);
         tracing::warn!(
             job = format_args!("{:016x}", start.task.graph),
@@ -76,7 +76,7 @@
             worker = start.worker,
             belief = start.phase.name(),
             age_ms = run.map(|it| now.saturating_sub(it.since).as_millis() as u64),
-            worker_answers = worker.is_some_and(|it| it.answers()),
+            worker_answers = worker.is_some_and(|it| it.is_responsive()),
             "start is unsettled for longer than it can be"
         );
     }
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -50,10 +50,10 @@
         let record = self.workers.get_mut(worker)?;
         // To a worker that does not answer no new deadline is sent: it would move the moment
         // on from which its tasks have surely lapsed.
-        let answers = record.answers();
+        let answers = record.is_responsive();
         let deadline_ms = if answers { record.clock.deadline_in(now, lease) } else { None };
         let ack = record.next_ack(now);
-        let has_runs = !record.runs.is_empty() || !record.strays.is_empty();
+        let has_runs = !record.runs.is_empty() || !record.unwanted_runs.is_empty();
         let wait = match (answers, has_runs) {
             // Ends that are not durable yet are listed again at once.
             _ if !record.unsaved_ends.is_empty() => Duration::ZERO,
@@ -62,9 +62,9 @@
             (true, true) => busy_wait,
             (true, false) => IDLE_WAIT,
         };
-        record.trust.poll_sent(wait, ack);
+        record.incarnation_trust.poll_sent(wait, ack);
         Some(order::PollRequest {
-            address: record.listing.address.clone(),
+            address: record.entry.address.clone(),
             generation: record.generation,
             deadline_ms,
             last_seen: ack.last_seen(),
@@ -115,8 +115,8 @@
         record.incarnation = listed.incarnation.or(record.incarnation);
         record.n_missed = 0;
         record.has_lapsed = false;
-        record.trust.poll_answered(sent_at, now);
-        record.oldest_listed = listed.ended.first().map(|it| it.number);
+        record.incarnation_trust.poll_answered(sent_at, now);
+        record.lowest_listed_end = listed.ended.first().map(|it| it.number);
         let is_first = !record.fenced;
         record.fenced = true;
         self.withdraw_silence_note(worker);
@@ -153,15 +153,15 @@
 
     fn take_end_in_order(&mut self, worker: &ids::WorkerId, end: order::ListedEnd, now: Duration) {
         let Some(record) = self.workers.get_mut(worker) else { return };
-        if end.number <= record.seen {
+        if end.number <= record.highest_seen_end {
             return;
         }
-        record.seen = end.number;
+        record.highest_seen_end = end.number;
         let number = end.number;
         let mark = self.take_end(worker, end, now);
         if let Some(record) = self.workers.get_mut(worker) {
-            record.unsaved_ends.push_back(worker::UnsavedEnd { number, mark });
-            record.settle_ends(&self.unsaved);
+            record.unsaved_ends.push_back(worker::UnsavedEnd { number, change: mark });
+            record.advance_acknowledged(&self.unsaved);
         }
     }
 
@@ -220,7 +220,7 @@
             self.note_run_start(key, now);
         }
         if self.withdraw_loss(key, attempt) {
-            self.touch(key);
+            self.mark_task_changed(key);
         }
     }
 
@@ -262,7 +262,7 @@
             record.used = record.used.plus(room);
             // Where others run already, none joins them.
             if needs_isolation {
-                record.apart_runs.insert(listed.task);
+                record.isolated_runs.insert(listed.task);
             }
         }
     }
@@ -271,9 +271,9 @@
         let job = self.jobs.get(&run.task.graph);
         let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
-        let room = room.unwrap_or(record.listing.capacity);
-        let fresh = worker::StrayRun { attempt: run.attempt, room, asked_at: None };
-        let stray = record.strays.entry(run.task).or_insert(fresh);
+        let room = room.unwrap_or(record.entry.capacity);
+        let fresh = worker::UnwantedRun { attempt: run.attempt, room, asked_at: None };
+        let stray = record.unwanted_runs.entry(run.task).or_insert(fresh);
         stray.attempt = stray.attempt.max(run.attempt);
         if stray.asked_at.is_some_and(|it| now < it + STRAY_AGAIN) {
             return;
@@ -298,7 +298,7 @@
         at: ListedAt,
     ) {
         let Some(record) = self.workers.get_mut(worker) else { return };
-        record.strays.retain(|key, _| running.contains_key(key));
+        record.unwanted_runs.retain(|key, _| running.contains_key(key));
         let missing = record.runs.iter().filter(|it| !running.contains_key(it));
         for key in missing.copied().collect::<Vec<_>>() {
             self.take_missing_run(key, at);
--- a/crates/graph/src/pool_usage.rs
+++ b/crates/graph/src/pool_usage.rs
@@ -13,9 +13,9 @@
         let mut amounts = BTreeMap::<&ids::UpstreamName, PoolAmounts>::new();
         for worker in self.workers.values().filter(|it| it.listed) {
             amounts
-                .entry(&worker.listing.upstream)
+                .entry(&worker.entry.upstream)
                 .or_default()
-                .add(worker.listing.capacity, worker.in_use());
+                .add(worker.entry.capacity, worker.in_use());
         }
         let underused = amounts.into_iter().filter(|(_, it)| it.is_underused());
         underused.map(|(upstream, _)| upstream.clone()).collect()
@@ -24,9 +24,9 @@
     /// Whether less than half of the workers of an upstream is in use now, within a turn too.
     pub(crate) fn is_underused(&self, upstream: &str) -> bool {
         let mut amounts = PoolAmounts::default();
-        let of_upstream = self.workers.values().filter(|it| it.listing.upstream == upstream);
+        let of_upstream = self.workers.values().filter(|it| it.entry.upstream == upstream);
         for worker in of_upstream.filter(|it| it.listed) {
-            amounts.add(worker.listing.capacity, worker.in_use());
+            amounts.add(worker.entry.capacity, worker.in_use());
         }
         amounts.is_underused()
     }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -132,7 +132,7 @@
         for (index, room) in plan.candidates.into_iter().zip(kept) {
             candidates[index].claims.push((unit, room));
             if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
-                record.claims.push(worker::RoomClaim { unit, room, until });
+                record.claims.push(worker::ResourceClaim { unit, room, until });
             }
         }
     }
@@ -164,7 +164,7 @@
             let stopping = runs
                 .into_iter()
                 .flatten()
-                .filter(|key| self.run(**key).is_some_and(|it| it.phase.is_stopping()));
+                .filter(|key| self.task_run(**key).is_some_and(|it| it.phase.is_stopping()));
             stopping.fold(resources::Resources::default(), |sum, key| sum.plus(self.room_of(*key)))
         };
         candidates.iter().map(on_berth).collect()
@@ -202,7 +202,7 @@
 
     /// Work that stopping a run throws away; nothing where it is stopping already.
     fn stop_cost(&self, key: task_key::TaskKey, now: Duration) -> Option<u64> {
-        let run = self.run(key)?;
+        let run = self.task_run(key)?;
         if run.phase.is_stopping() || matches!(run.phase, job::RunPhase::Unclear { .. }) {
             return None;
         }
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -26,12 +26,12 @@
     pub fn forget_job(&mut self, graph: ids::GraphId) {
         self.active.remove(&graph);
         let Some(job) = self.jobs.remove(&graph) else { return };
-        self.touch_all(graph, progress::n_chunks(&job));
+        self.mark_job_changed(graph, progress::n_chunks(&job));
     }
 
     /// Removes what is left of a job whose acceptance a dead scheduler has removed already.
     pub fn forget_chunk(&mut self, graph: ids::GraphId, chunk: u32) {
-        self.unsaved.touch(save_queue::SaveKey::Progress { graph, chunk });
+        self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
     }
 
     fn is_saved(&self, graph: ids::GraphId, n_chunks: u32) -> bool {
--- a/crates/graph/src/roster.rs
+++ b/crates/graph/src/roster.rs
@@ -10,7 +10,7 @@
 
 /// Workers of one page. An entry takes about 60 bytes, and 450 with the longest names, so that a page
 /// stays below 29 KB where the platform takes 64. Each change writes one page.
-pub const PAGE_WORKERS: usize = 64;
+pub const WORKERS_PER_PAGE: usize = 64;
 
 /// Which workers stand on which page, and which of them the store has.
 #[derive(Clone, Debug, Default)]
@@ -41,13 +41,13 @@
     }
 
     /// The workers on a page.
-    pub fn on_page(&self, page: u32) -> impl Iterator<Item = &ids::WorkerId> {
+    pub fn workers_on_page(&self, page: u32) -> impl Iterator<Item = &ids::WorkerId> {
         self.pages.get(&page).into_iter().flatten()
     }
 
     /// Gives a worker a place. Tells which page has to be written.
     pub fn add(&mut self, worker: &ids::WorkerId) -> u32 {
-        let open = self.pages.iter().find(|(_, it)| it.len() < PAGE_WORKERS);
+        let open = self.pages.iter().find(|(_, it)| it.len() < WORKERS_PER_PAGE);
         let page = open.map(|(page, _)| *page).unwrap_or_else(|| self.first_unused());
         self.pages.entry(page).or_default().insert(worker.clone());
         self.page_of.insert(worker.clone(), page);
@@ -56,7 +56,7 @@
 
     /// Notes that what its page says of a worker is out of date. Tells which page has to be written,
     /// where the worker has a place.
-    pub fn refresh(&mut self, worker: &ids::WorkerId) -> Option<u32> {
+    pub fn mark_stale(&mut self, worker: &ids::WorkerId) -> Option<u32> {
         let page = self.page_of.get(worker).copied()?;
         if let Some(saved) = self.saved.get_mut(&page) {
             saved.remove(worker);
@@ -66,12 +66,16 @@
 
     /// Notes whether all that may run on a worker is on record. Tells which page has to be written, where
     /// that has changed. Until a page without the note is saved the worker gets no tasks.
-    pub fn put_on_record(&mut self, worker: &ids::WorkerId, is_on_record: bool) -> Option<u32> {
-        if self.on_record.contains(worker) == is_on_record {
+    pub fn set_starts_saved(
+        &mut self,
+        worker: &ids::WorkerId,
+        are_starts_saved: bool,
+    ) -> Option<u32> {
+        if self.on_record.contains(worker) == are_starts_saved {
             return None;
         }
-        let page = self.refresh(worker)?;
-        if is_on_record {
+        let page = self.mark_stale(worker)?;
+        if are_starts_saved {
             self.on_record.insert(worker.clone());
         } else {
             self.on_record.remove(worker);
@@ -80,7 +84,7 @@
     }
 
     /// Whether all that may run on a worker is on record.
-    pub fn is_on_record(&self, worker: &ids::WorkerId) -> bool {
+    pub fn are_starts_saved(&self, worker: &ids::WorkerId) -> bool {
         self.on_record.contains(worker)
     }
 
@@ -97,31 +101,36 @@
     /// Takes in a worker as the store has it on a page. Tells which pages have to be written, the one
     /// with its new place first, where that page is full already: an earlier release kept one row for
     /// all workers.
-    pub fn inherit(&mut self, worker: &ids::WorkerId, is_on_record: bool, page: u32) -> Vec<u32> {
+    pub fn load_worker(
+        &mut self,
+        worker: &ids::WorkerId,
+        are_starts_saved: bool,
+        page: u32,
+    ) -> Vec<u32> {
         if self.page_of.contains_key(worker) {
             // Named twice: once in its old place, once in the one that it was being moved to.
-            if !is_on_record {
+            if !are_starts_saved {
                 self.on_record.remove(worker);
             }
             return vec![page];
         }
-        if is_on_record {
+        if are_starts_saved {
             self.on_record.insert(worker.clone());
         }
         let workers = self.pages.entry(page).or_default();
-        if workers.len() >= PAGE_WORKERS {
+        if workers.len() >= WORKERS_PER_PAGE {
             return vec![self.add(worker), page];
         }
         workers.insert(worker.clone());
         self.page_of.insert(worker.clone(), page);
-        if !is_on_record {
+        if !are_starts_saved {
             self.saved.entry(page).or_default().insert(worker.clone());
         }
         Vec::new()
     }
 
     /// The page is on its way to the store. Until the answer the store may have either content.
-    pub fn sent(&mut self, page: u32) {
+    pub fn page_sent(&mut self, page: u32) {
         let workers = self.pages.entry(page).or_default();
         if let Some(saved) = self.saved.get_mut(&page) {
             saved.retain(|it| workers.contains(it));
@@ -129,7 +138,7 @@
     }
 
     /// The store has the page with these workers.
-    pub fn saved(&mut self, page: u32, workers: impl Iterator<Item = ids::WorkerId>) {
+    pub fn page_saved(&mut self, page: u32, workers: impl Iterator<Item = ids::WorkerId>) {
         let workers = workers.filter(|it| !self.on_record.contains(it)).collect::<BTreeSet<_>>();
         if workers.is_empty() {
             self.saved.remove(&page);
--- a/crates/graph/src/save_queue.rs
+++ b/crates/graph/src/save_queue.rs
@@ -28,7 +28,7 @@
 
 /// A change of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SaveMark {
+pub struct RowChange {
     /// The row.
     pub row: SaveKey,
     /// Number of the change.
@@ -55,18 +55,18 @@
 
 impl SaveQueue {
     /// Notes that a row has to be written anew.
-    pub fn touch(&mut self, row: SaveKey) -> SaveMark {
+    pub fn mark_changed(&mut self, row: SaveKey) -> RowChange {
         self.newest += 1;
         let change = self.newest;
         if !self.due.contains_key(&row) && !self.set_apart.contains_key(&row) {
             self.due.insert(row, change);
             self.order.insert((change, row));
         }
-        SaveMark { row, change }
+        RowChange { row, change }
     }
 
     /// Takes the row that has waited longest. It is in flight until its outcome is known.
-    pub fn take(&mut self) -> Option<SaveKey> {
+    pub fn take_oldest(&mut self) -> Option<SaveKey> {
         let (change, row) = self.order.pop_first()?;
         self.due.remove(&row);
         self.in_flight.insert(row, change);
@@ -75,7 +75,7 @@
 
     /// Takes a row that the store has refused, once it is to be offered again: by itself, so that
     /// it holds up no other.
-    pub fn take_refused(&mut self, now: Duration) -> Option<SaveKey> {
+    pub fn take_refused_due(&mut self, now: Duration) -> Option<SaveKey> {
         let refused = self.set_apart.iter().find(|(_, it)| now >= it.again_at);
         let (row, change) = refused.map(|(row, it)| (*row, it.change))?;
         self.set_apart.remove(&row);
@@ -84,12 +84,12 @@
     }
 
     /// A row in flight is durable.
-    pub fn saved(&mut self, row: SaveKey) {
+    pub fn row_saved(&mut self, row: SaveKey) {
         self.in_flight.remove(&row);
     }
 
     /// The store refuses a row in flight, and would again.
-    pub fn refused(&mut self, row: SaveKey, now: Duration) {
+    pub fn row_refused(&mut self, row: SaveKey, now: Duration) {
         let Some(change) = self.in_flight.remove(&row) else { return };
         if let Some(later) = self.due.remove(&row) {
             self.order.remove(&(later, row));
@@ -98,7 +98,7 @@
     }
 
     /// Whether a change has reached the store.
-    pub fn is_durable(&self, mark: SaveMark) -> bool {
+    pub fn is_durable(&self, mark: RowChange) -> bool {
         let lacks = |first: Option<&u64>| first.is_some_and(|it| *it <= mark.change);
         let refused = self.set_apart.get(&mark.row).map(|it| &it.change);
         !lacks(self.due.get(&mark.row)) && !lacks(self.in_flight.get(&mark.row)) && !lacks(refused)
@@ -106,16 +106,16 @@
 
     /// Whether the store has the row as it is.
     pub fn is_saved(&self, row: SaveKey) -> bool {
-        self.is_durable(SaveMark { row, change: u64::MAX })
+        self.is_durable(RowChange { row, change: u64::MAX })
     }
 
     /// Whether the store lacks a change of any such row.
-    pub fn lacks_any(&self, is_such: impl Fn(SaveKey) -> bool) -> bool {
-        self.rows().any(is_such)
+    pub fn has_unsaved(&self, is_such: impl Fn(SaveKey) -> bool) -> bool {
+        self.unsaved_rows().any(is_such)
     }
 
     /// The rows of which the store lacks a change, some of them twice.
-    pub fn rows(&self) -> impl Iterator<Item = SaveKey> {
+    pub fn unsaved_rows(&self) -> impl Iterator<Item = SaveKey> {
         let rows = self.due.keys().chain(self.in_flight.keys()).chain(self.set_apart.keys());
         rows.copied()
     }
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -34,7 +34,7 @@
     /// A page of the roster.
     Roster(model::RosterRow),
     /// The row is to be removed.
-    Gone,
+    Removed,
 }
 
 impl core::PoolCore {
@@ -42,28 +42,28 @@
     /// which tells whether another fits in behind it; a row that was refused before goes by itself.
     /// Nothing where nothing has changed. A batch is to be saved, or refused, before the next one is
     /// taken.
-    pub fn take_batch(
+    pub fn take_save_batch(
         &mut self,
         now: Duration,
         mut add: impl FnMut(&SaveRow) -> bool,
     ) -> Option<SaveBatch> {
-        self.review_roster();
+        self.update_roster();
         self.note_silent_workers(now);
-        let refused = self.unsaved.take_refused(now);
+        let refused = self.unsaved.take_refused_due(now);
         let is_alone = refused.is_some();
         let mut batch = SaveBatch::default();
-        let mut next = refused.or_else(|| self.unsaved.take());
+        let mut next = refused.or_else(|| self.unsaved.take_oldest());
         while let Some(key) = next {
             let row = self.row_to_save(key);
             let has_room = add(&row);
             batch.rows.push(row);
-            next = if has_room && !is_alone { self.unsaved.take() } else { None };
+            next = if has_room && !is_alone { self.unsaved.take_oldest() } else { None };
         }
         (!batch.rows.is_empty()).then_some(batch)
     }
 
     /// Whether there is something to save.
-    pub fn has_changes(&self) -> bool {
+    pub fn has_rows_to_save(&self) -> bool {
         self.unsaved.has_due()
     }
 
@@ -75,12 +75,12 @@
     /// The rows are durable: callers may be told, and workers' ends acknowledged.
     pub fn batch_saved(&mut self, batch: SaveBatch) {
         for row in batch.rows {
-            self.unsaved.saved(row.key);
+            self.unsaved.row_saved(row.key);
             self.row_saved(row);
         }
         self.note_roster_saved();
         for worker in self.workers.values_mut() {
-            worker.settle_ends(&self.unsaved);
+            worker.advance_acknowledged(&self.unsaved);
         }
     }
 
@@ -88,7 +88,7 @@
     /// after a while; until then the ends that it tells of stay with their workers, where a successor
     /// finds them.
     pub fn row_refused(&mut self, key: save_queue::SaveKey, now: Duration) {
-        self.unsaved.refused(key, now);
+        self.unsaved.row_refused(key, now);
     }
 
     fn row_to_save(&mut self, key: save_queue::SaveKey) -> SaveRow {
@@ -96,7 +96,7 @@
             save_queue::SaveKey::Progress { graph, chunk } => {
                 let job = self.jobs.get(&graph);
                 let row = job.and_then(|it| progress::chunk_row(it, chunk));
-                row.map_or(SaveContent::Gone, SaveContent::Progress)
+                row.map_or(SaveContent::Removed, SaveContent::Progress)
             }
             save_queue::SaveKey::Roster { page } => self.roster_page(page),
         };
@@ -104,19 +104,19 @@
     }
 
     fn roster_page(&mut self, page: u32) -> SaveContent {
-        self.roster.sent(page);
-        let named = self.roster.on_page(page).map(|worker| {
-            let listing = self.workers.get(worker).map(|it| &it.listing);
+        self.roster.page_sent(page);
+        let named = self.roster.workers_on_page(page).map(|worker| {
+            let listing = self.workers.get(worker).map(|it| &it.entry);
             model::RosterEntry {
                 worker: worker.clone(),
                 address: listing.map(|it| it.address.clone()).unwrap_or_default(),
                 upstream: listing.map(|it| it.upstream.clone()).unwrap_or_default(),
-                on_record: self.roster.is_on_record(worker),
+                on_record: self.roster.are_starts_saved(worker),
             }
         });
         let workers = named.collect::<Vec<_>>();
         if workers.is_empty() {
-            return SaveContent::Gone;
+            return SaveContent::Removed;
         }
         SaveContent::Roster(model::RosterRow { workers })
     }
@@ -134,10 +134,10 @@
                         return false;
                     }
                     let record = self.workers.get(&entry.worker);
-                    record.is_none_or(|it| it.listing.is_found_at(&entry.address, &entry.upstream))
+                    record.is_none_or(|it| it.entry.has_endpoint(&entry.address, &entry.upstream))
                 };
                 let found = workers.into_iter().filter(is_found).map(|it| it.worker);
-                self.roster.saved(page, found);
+                self.roster.page_saved(page, found);
             }
             (
                 save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK },
@@ -155,7 +155,10 @@
 
     /// Notes that the row with a task has changed in a way that a successor has to know, and that of
     /// the job's state where that has.
-    pub(crate) fn touch(&mut self, key: task_key::TaskKey) -> Option<save_queue::SaveMark> {
+    pub(crate) fn mark_task_changed(
+        &mut self,
+        key: task_key::TaskKey,
+    ) -> Option<save_queue::RowChange> {
         self.update_active(key.graph);
         let job = self.jobs.get(&key.graph)?;
         let graph = key.graph;
@@ -164,48 +167,50 @@
         let chunks = if is_gang { progress::chunks_of_step(job, key)? } else { own..=own };
         if job.state != job.durable_state {
             self.unsaved
-                .touch(save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK });
+                .mark_changed(save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK });
         }
         for chunk in chunks.filter(|it| *it != own) {
-            self.unsaved.touch(save_queue::SaveKey::Progress { graph, chunk });
+            self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
         }
-        Some(self.unsaved.touch(save_queue::SaveKey::Progress { graph, chunk: own }))
+        Some(self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk: own }))
     }
 
     /// Notes that all rows of a job have to be written anew, or removed.
-    pub(crate) fn touch_all(&mut self, graph: ids::GraphId, n_chunks: u32) {
+    pub(crate) fn mark_job_changed(&mut self, graph: ids::GraphId, n_chunks: u32) {
         for chunk in 0..n_chunks {
-            self.unsaved.touch(save_queue::SaveKey::Progress { graph, chunk });
+            self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
         }
     }
 
     /// Has the roster's page with a worker written anew, as the worker answers elsewhere: a successor
     /// would look for it where it was.
-    pub(crate) fn refresh_roster(&mut self, worker: &ids::WorkerId) {
-        if let Some(page) = self.roster.refresh(worker) {
-            self.unsaved.touch(save_queue::SaveKey::Roster { page });
+    pub(crate) fn mark_roster_stale(&mut self, worker: &ids::WorkerId) {
+        if let Some(page) = self.roster.mark_stale(worker) {
+            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
         }
     }
 
     /// Brings the roster up to date. A successor waits for each worker that it names, so that none may
     /// stay that has left, or whose lease has lapsed: for that the successor would wait for as long as a
     /// lease lasts.
-    pub(crate) fn review_roster(&mut self) {
+    pub(crate) fn update_roster(&mut self) {
         let stays = |id: &ids::WorkerId| {
-            self.workers.get(id).is_some_and(worker::WorkerRecord::is_for_roster)
+            self.workers.get(id).is_some_and(worker::WorkerRecord::belongs_in_roster)
         };
         let gone = self.roster.workers().filter(|it| !stays(it)).cloned().collect::<Vec<_>>();
-        let fresh =
-            self.workers.iter().filter(|(id, it)| it.is_for_roster() && !self.roster.contains(id));
+        let fresh = self
+            .workers
+            .iter()
+            .filter(|(id, it)| it.belongs_in_roster() && !self.roster.contains(id));
         let fresh = fresh.map(|(id, _)| id.clone()).collect::<Vec<_>>();
         for worker in gone {
             if let Some(page) = self.roster.remove(&worker) {
-                self.unsaved.touch(save_queue::SaveKey::Roster { page });
+                self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
             }
         }
         for worker in fresh {
             let page = self.roster.add(&worker);
-            self.unsaved.touch(save_queue::SaveKey::Roster { page });
+            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
         }
     }
 }
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -54,7 +54,7 @@
                 task = %key,
                 "urgent task is moved off a slow worker"
             );
-            let worker = self.run(key).map(|it| it.worker.clone());
+            let worker = self.task_run(key).map(|it| it.worker.clone());
             if let Some(record) = worker.and_then(|it| self.workers.get_mut(&it)) {
                 record.slow_until = record.slow_until.max(now + SLOW_PAUSE);
             }
@@ -64,7 +64,7 @@
 
     fn should_move(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(job) = self.jobs.get(&key.graph) else { return false };
-        let Some(run) = self.run(key) else { return false };
+        let Some(run) = self.task_run(key) else { return false };
         let is_running = matches!(run.phase, job::RunPhase::Running { .. });
         if job.priority != preemption::URGENT_PRIORITY || !is_running || run.attempt >= MOST_MOVES {
             return false;
@@ -77,7 +77,7 @@
     }
 
     fn pace_of(&self, key: task_key::TaskKey) -> pace::PaceVerdict {
-        let Some(run) = self.run(key) else { return pace::PaceVerdict::Unknown };
+        let Some(run) = self.task_run(key) else { return pace::PaceVerdict::Unknown };
         if !matches!(run.phase, job::RunPhase::Running { .. }) {
             return pace::PaceVerdict::Unknown;
         }
@@ -103,7 +103,7 @@
 
     /// How many times as long a run takes where it is.
     pub(crate) fn remote_run_time_factor(&self, key: task_key::TaskKey) -> f64 {
-        let is_remote = self.run(key).is_some_and(|it| it.is_remote);
+        let is_remote = self.task_run(key).is_some_and(|it| it.is_remote);
         if is_remote { self.timing.remote_factor } else { 1.0 }
     }
 
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -28,7 +28,7 @@
         let mut hanging = Vec::new();
         for (id, worker) in &self.workers {
             for key in &worker.runs {
-                let Some(run) = self.run(*key) else { continue };
+                let Some(run) = self.task_run(*key) else { continue };
                 // A member of a gang that has done its work waits for the others.
                 let is_running =
                     matches!(run.phase, job::RunPhase::Running { .. }) && run.percent < 100;
@@ -62,7 +62,7 @@
     /// How long a run may show no progress.
     fn hang_patience(&self, key: task_key::TaskKey, run: &job::TaskRun) -> Duration {
         let worked = run.percent_changed_at.saturating_sub(run.since);
-        let is_cheap = self.saves(key) || worked <= HANGS_AFTER;
+        let is_cheap = self.saves_checkpoints(key) || worked <= HANGS_AFTER;
         let least = if is_cheap { HANGS_AFTER } else { HANGS_LONG_AFTER };
         let seen = run.pace.latest().filter(|it| *it > 0.0);
         let pace = seen.or_else(|| self.class_pace(key)).unwrap_or_else(|| self.declared_pace(key));
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -41,7 +41,7 @@
         if open.peek().is_none() {
             return SettledJobs::All;
         }
-        let is_recorded = open.all(|(id, _)| core.roster.is_on_record(id));
+        let is_recorded = open.all(|(id, _)| core.roster.are_starts_saved(id));
         if is_recorded { SettledJobs::AllButSavedStarts } else { SettledJobs::NoneInherited }
     }
 
@@ -67,7 +67,9 @@
     /// that is durable.
     pub(crate) fn note_silent_workers(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(id, it)| {
-            it.n_missed > 0 && now >= it.missed_at + NOTED_AFTER && !self.roster.is_on_record(id)
+            it.n_missed > 0
+                && now >= it.silent_since + NOTED_AFTER
+                && !self.roster.are_starts_saved(id)
         });
         let silent = silent.filter(|(_, it)| self.is_recorded(it, now));
         let silent = silent.map(|(id, _)| id.clone()).collect::<Vec<_>>();
@@ -96,7 +98,7 @@
     /// Takes note that rows were saved: once the roster is, no note of an earlier scheduler is left.
     pub(crate) fn note_roster_saved(&mut self) {
         let is_roster = |it: save_queue::SaveKey| matches!(it, save_queue::SaveKey::Roster { .. });
-        self.keeps_silence_notes |= !self.unsaved.lacks_any(is_roster);
+        self.keeps_silence_notes |= !self.unsaved.has_unsaved(is_roster);
     }
 
     /// A worker has answered: it may get tasks once the note of its silence is gone.
@@ -104,9 +106,9 @@
         self.put_on_roster(worker, false);
     }
 
-    fn put_on_roster(&mut self, worker: &ids::WorkerId, is_on_record: bool) {
-        if let Some(page) = self.roster.put_on_record(worker, is_on_record) {
-            self.unsaved.touch(save_queue::SaveKey::Roster { page });
+    fn put_on_roster(&mut self, worker: &ids::WorkerId, are_starts_saved: bool) {
+        if let Some(page) = self.roster.set_starts_saved(worker, are_starts_saved) {
+            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
         }
     }
 
@@ -114,7 +116,9 @@
     fn is_recorded(&self, worker: &worker::WorkerRecord, now: Duration) -> bool {
         // What was started there before this tenure is known once it has answered, or is over.
         let is_known = worker.fenced || now >= self.settles_at;
-        is_known && worker.strays.is_empty() && worker.runs.iter().all(|it| self.is_durable(*it))
+        is_known
+            && worker.unwanted_runs.is_empty()
+            && worker.runs.iter().all(|it| self.is_durable(*it))
     }
 
     fn is_durable(&self, key: task_key::TaskKey) -> bool {
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -17,7 +17,7 @@
         worker: &ids::WorkerId,
         end: order::ListedEnd,
         now: Duration,
-    ) -> Option<save_queue::SaveMark> {
+    ) -> Option<save_queue::RowChange> {
         let key = end.task;
         let job = self.jobs.get_mut(&key.graph)?;
         let class = job.class.clone();
@@ -61,7 +61,7 @@
                 self.spread_checkpoint(key);
                 // Acknowledged before, the end would be missing to a successor, which would take the
                 // start that is on record for lost.
-                if is_settled { self.touch(key) } else { None }
+                if is_settled { self.mark_task_changed(key) } else { None }
             }
         }
     }
@@ -71,7 +71,7 @@
         worker: &ids::WorkerId,
         key: task_key::TaskKey,
         now: Duration,
-    ) -> Option<save_queue::SaveMark> {
+    ) -> Option<save_queue::RowChange> {
         if let Some(record) = self.workers.get_mut(worker) {
             record.health.task_succeeded();
         }
@@ -100,7 +100,7 @@
         if twin.is_some_and(|it| it.run.is_some()) {
             self.stop_run(key, now);
         }
-        self.touch(key)
+        self.mark_task_changed(key)
     }
 
     fn task_failed(
@@ -109,7 +109,7 @@
         key: task_key::TaskKey,
         attempt: u32,
         now: Duration,
-    ) -> Option<save_queue::SaveMark> {
+    ) -> Option<save_queue::RowChange> {
         let is_spare = self.can_exclude(worker, |it| it.health.is_paused(now));
         if let Some(record) = self.workers.get_mut(worker)
             && record.health.task_failed(key.graph, is_spare, now)
@@ -141,7 +141,7 @@
         }
         // The failures of a gang are told of with its first task.
         let told_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
-        self.touch(told_with)
+        self.mark_task_changed(told_with)
     }
 
     /// All members of a gang resume from the same checkpoint; that of any member will do.
--- a/crates/graph/src/unsaved_suspicions.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -20,7 +20,7 @@
 impl core::PoolCore {
     /// What is held against tasks and was not saved.
     pub fn unsaved_suspicions(&self) -> Vec<model::UnsavedSuspicions> {
-        let chunks = self.unsaved.rows().filter_map(|it| match it {
+        let chunks = self.unsaved.unsaved_rows().filter_map(|it| match it {
             save_queue::SaveKey::Progress { graph, chunk } => Some((graph, chunk)),
             save_queue::SaveKey::Roster { .. } => None,
         });
@@ -36,7 +36,7 @@
 
     /// Takes in what an earlier scheduler held against tasks and had not saved. Not of an attempt that is known to
     /// be over: its worker may have told how it ended.
-    pub fn learn_suspicions(&mut self, told: model::UnsavedSuspicions, now: Duration) {
+    pub fn merge_suspicions(&mut self, told: model::UnsavedSuspicions, now: Duration) {
         let graph = told.graph;
         for (index, step) in (told.first_step..).zip(told.steps) {
             let Some(job) = self.jobs.get(&graph).filter(|it| !it.has_ended()) else { return };
@@ -78,7 +78,7 @@
         if *trial < Some(attempt) {
             tracing::info!(task = %key, attempt, "start is told by a former scheduler");
             *trial = Some(attempt);
-            self.touch(key);
+            self.mark_task_changed(key);
         }
     }
 }
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -399,7 +399,7 @@
     /// How many workers of an upstream are no place, why, and for how long at most none of them was heard.
     fn barred(&self, upstream: &str, now: Duration) -> String {
         let mut barred = BTreeMap::<exclusion_reason::ExclusionReason, (usize, Duration)>::new();
-        let of_upstream = self.workers.iter().filter(|(_, it)| it.listing.upstream == upstream);
+        let of_upstream = self.workers.iter().filter(|(_, it)| it.entry.upstream == upstream);
         for (id, worker) in of_upstream {
             let Some(bar) = self.exclusion_reason(id, worker, now) else { continue };
             let (n_workers, age) = barred.entry(bar).or_default();
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -21,7 +21,7 @@
 
 /// What the platform's list says of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WorkerListing {
+pub struct WorkerEntry {
     /// Its control address.
     pub address: ids::PeerAddress,
     /// Whose tasks it runs.
@@ -42,15 +42,15 @@
     pub sequence: Option<u64>,
 }
 
-impl WorkerListing {
+impl WorkerEntry {
     /// Whether the same life has written `later` behind this: the store may carry writes out late.
-    pub fn is_overtaken_by(&self, later: &WorkerListing) -> bool {
+    pub fn is_superseded_by(&self, later: &WorkerEntry) -> bool {
         let is_same_life = self.incarnation.is_some() && self.incarnation == later.incarnation;
         is_same_life && self.sequence.zip(later.sequence).is_some_and(|(it, later)| it < later)
     }
 
     /// Whether the worker is found at that address, for that upstream: all that the roster tells of it.
-    pub fn is_found_at(&self, address: &str, upstream: &str) -> bool {
+    pub fn has_endpoint(&self, address: &str, upstream: &str) -> bool {
         self.address == address && self.upstream == upstream
     }
 }
@@ -59,17 +59,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkerRecord {
     /// What the list said last.
-    pub listing: WorkerListing,
+    pub entry: WorkerEntry,
     /// The same as placing needs it.
     pub place: Arc<candidate::WorkerProfile>,
     /// The life that its entry told of last.
-    pub told_life: Option<ids::Incarnation>,
+    pub entry_incarnation: Option<ids::Incarnation>,
     /// Whether the list has it now.
     pub listed: bool,
     /// What its entry says is from then or later, as far as that is known under this tenure.
-    pub told_at: Option<Duration>,
+    pub entry_current_at: Option<Duration>,
     /// The list told of its entry anew behind then.
-    pub entry_at: Option<Duration>,
+    pub entry_read_at: Option<Duration>,
     /// When the list first said that it leaves, as the time until which it stays at least.
     pub leaves_at: Option<Duration>,
     /// Whether it has answered under this tenure, so that orders of earlier ones are refused.
@@ -82,7 +82,7 @@
     /// Number of that life; rises with each that is found. Orders name it.
     pub generation: u32,
     /// When that life was found.
-    pub life_since: Duration,
+    pub incarnation_since: Duration,
     /// Its clock and lease.
     pub clock: lease_clock::LeaseClock,
     /// When it last answered anything.
@@ -91,15 +91,15 @@
     /// whether the worker has started again.
     pub n_missed: u32,
     /// When time was last taken note of before the first of them.
-    pub missed_at: Duration,
+    pub silent_since: Duration,
     /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
     pub has_lapsed: bool,
     /// What its looks tell of which life it is in.
-    pub trust: ack_window::AckWindow,
+    pub incarnation_trust: ack_window::AckWindow,
     /// Lowest end that its last answer has listed.
-    pub oldest_listed: Option<u64>,
+    pub lowest_listed_end: Option<u64>,
     /// Highest end that was taken in.
-    pub seen: u64,
+    pub highest_seen_end: u64,
     /// Ends that wait to be durable before they may be acknowledged.
     pub unsaved_ends: VecDeque<UnsavedEnd>,
     /// Highest end that may be acknowledged.
@@ -107,26 +107,26 @@
     /// Tasks whose room counts here.
     pub runs: BTreeSet<task_key::TaskKey>,
     /// Those of them that have it for themselves, as they may crash it.
-    pub apart_runs: BTreeSet<task_key::TaskKey>,
+    pub isolated_runs: BTreeSet<task_key::TaskKey>,
     /// Room of these tasks.
     pub used: resources::Resources,
     /// Runs that should not be there, by attempt, with the time of the last stop.
-    pub strays: BTreeMap<task_key::TaskKey, StrayRun>,
+    pub unwanted_runs: BTreeMap<task_key::TaskKey, UnwantedRun>,
     /// How it has been doing.
     pub health: health::WorkerHealth,
     /// Its tasks are far slower than they should be; nothing is started before this.
     pub slow_until: Duration,
     /// Nothing is started before this: it said that it has no room, or is unwell.
-    pub pauses_until: Duration,
+    pub paused_until: Duration,
     /// Room that is being cleared for units.
-    pub claims: Vec<RoomClaim>,
+    pub claims: Vec<ResourceClaim>,
     /// What ran there when its life was taken to be over, for when it is surer whether it is.
     pub lost_runs: Vec<losses::LostRun>,
 }
 
 /// Room that is being cleared for a unit and that nothing else may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoomClaim {
+pub struct ResourceClaim {
     /// The unit.
     pub unit: task_key::UnitKey,
     /// How much.
@@ -141,12 +141,12 @@
     /// Its number at the worker.
     pub number: u64,
     /// The change that has to be durable first; nothing where a successor need not know of it.
-    pub mark: Option<save_queue::SaveMark>,
+    pub change: Option<save_queue::RowChange>,
 }
 
 /// A run that nobody wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StrayRun {
+pub struct UnwantedRun {
     /// Its attempt.
     pub attempt: u32,
     /// What it takes: all that the worker offers where its job is not known any more.
@@ -157,30 +157,30 @@
 
 impl WorkerRecord {
     /// A worker of which nothing is known.
-    pub fn of_generation(generation: u32) -> WorkerRecord {
+    pub fn with_generation(generation: u32) -> WorkerRecord {
         WorkerRecord { generation, ..WorkerRecord::default() }
     }
 
     /// What is in use, by tasks that should be there and by those that are being stopped because they
     /// should not.
     pub fn in_use(&self) -> resources::Resources {
-        self.strays.values().fold(self.used, |sum, it| sum.plus(it.room))
+        self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.room))
     }
 
     /// What is free. A worker that refuses nothing would be filled beyond its room beside runs that are
     /// being stopped.
     pub fn free(&self) -> resources::Resources {
-        self.listing.capacity.minus(self.in_use())
+        self.entry.capacity.minus(self.in_use())
     }
 
     /// Whether its room may have shrunk unheard, so that it counts by now: its entry has not been written,
     /// or not been read, for so long.
-    pub fn is_news_old(&self, timing: &timing::PoolTiming, now: Duration) -> bool {
-        self.told_at.is_none_or(|it| now + NEWS_MARGIN >= it + timing.max_entry_age)
+    pub fn is_entry_stale(&self, timing: &timing::PoolTiming, now: Duration) -> bool {
+        self.entry_current_at.is_none_or(|it| now + NEWS_MARGIN >= it + timing.max_entry_age)
     }
 
     /// Whether it has answered under this tenure, and each call since.
-    pub fn answers(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         self.fenced && self.n_missed == 0
     }
 
@@ -189,11 +189,11 @@
     /// same numbers, unseen; one notices by tasks that are done, by the worker's word, and start once
     /// more. So no acknowledgement is repeated without need, either.
     pub fn next_ack(&self, now: Duration) -> ack_window::EndAck {
-        let is_owed = self.oldest_listed.is_some_and(|it| it <= self.acknowledged);
+        let is_owed = self.lowest_listed_end.is_some_and(|it| it <= self.acknowledged);
         if !is_owed {
             return ack_window::EndAck::Nothing;
         }
-        if self.answers() && self.trust.is_open(now) {
+        if self.is_responsive() && self.incarnation_trust.is_open(now) {
             ack_window::EndAck::UpTo(self.acknowledged)
         } else {
             ack_window::EndAck::VerifyFirst
@@ -202,19 +202,19 @@
 
     /// Whether it leaves and nothing is on it any more; nothing new will be.
     pub fn has_left(&self) -> bool {
-        let is_empty = self.runs.is_empty() && self.strays.is_empty();
+        let is_empty = self.runs.is_empty() && self.unwanted_runs.is_empty();
         self.leaves_at.is_some() && self.fenced && is_empty
     }
 
     /// Whether a successor has to expect tasks on it.
-    pub fn is_for_roster(&self) -> bool {
+    pub fn belongs_in_roster(&self) -> bool {
         !self.has_left() && !self.has_lapsed
     }
 
     /// Moves on the end that may be acknowledged, as far as what the ends changed is durable.
-    pub fn settle_ends(&mut self, unsaved: &save_queue::SaveQueue) {
+    pub fn advance_acknowledged(&mut self, unsaved: &save_queue::SaveQueue) {
         while let Some(end) = self.unsaved_ends.front().copied() {
-            if end.mark.is_some_and(|it| !unsaved.is_durable(it)) {
+            if end.change.is_some_and(|it| !unsaved.is_durable(it)) {
                 break;
             }
             self.acknowledged = end.number;
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -43,7 +43,7 @@
             return AnswerIncarnation::Known;
         }
         // Not by which number is higher: the clock of the day may be set back between two lives.
-        if sent_at < self.life_since {
+        if sent_at < self.incarnation_since {
             AnswerIncarnation::Earlier
         } else {
             AnswerIncarnation::Later
@@ -54,7 +54,7 @@
     /// so that until its own entry is read no task is known to fit there. An entry that tells no life,
     /// of a worker that does, is not the worker's own.
     pub(crate) fn is_listed_incarnation(&self) -> bool {
-        self.incarnation.is_none() || self.listing.incarnation == self.incarnation
+        self.incarnation.is_none() || self.entry.incarnation == self.incarnation
     }
 
     /// The record of a later life, of which nothing is known but the list's entry. The runs stay until
@@ -65,21 +65,21 @@
         incarnation: Option<ids::Incarnation>,
         now: Duration,
     ) -> Self {
-        let is_of_entry = self.listing.incarnation == incarnation;
+        let is_of_entry = self.entry.incarnation == incarnation;
         worker::WorkerRecord {
-            listing: std::mem::take(&mut self.listing),
+            entry: std::mem::take(&mut self.entry),
             place: std::mem::take(&mut self.place),
-            told_life: self.told_life,
+            entry_incarnation: self.entry_incarnation,
             listed: self.listed,
-            told_at: self.told_at,
-            entry_at: self.entry_at,
+            entry_current_at: self.entry_current_at,
+            entry_read_at: self.entry_read_at,
             leaves_at: self.leaves_at.filter(|_| is_of_entry),
             incarnation,
-            life_since: now,
+            incarnation_since: now,
             runs: std::mem::take(&mut self.runs),
-            apart_runs: std::mem::take(&mut self.apart_runs),
+            isolated_runs: std::mem::take(&mut self.isolated_runs),
             used: self.used,
-            ..worker::WorkerRecord::of_generation(generation)
+            ..worker::WorkerRecord::with_generation(generation)
         }
     }
 }
--- a/crates/graph/tests/pool/beliefs.rs
+++ b/crates/graph/tests/pool/beliefs.rs
@@ -49,8 +49,7 @@
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = support::starts(&bench.turn()).remove(0);
-    let moved =
-        worker::WorkerListing { address: "127.0.0.1:9000".to_owned(), ..support::listing(0) };
+    let moved = worker::WorkerEntry { address: "127.0.0.1:9000".to_owned(), ..support::listing(0) };
     bench.core.update_worker(start.worker.clone(), moved, bench.now);
     bench.core.start_answered(&start, order::StartAnswer::Replaced, bench.now);
     let again = pass_idle(&mut bench, 1_000, true);
@@ -238,7 +237,7 @@
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
     bench.pass(1_000);
     let born = bench.now;
-    let listing = worker::WorkerListing { incarnation: Some(7), ..support::listing(0) };
+    let listing = worker::WorkerEntry { incarnation: Some(7), ..support::listing(0) };
     bench.core.update_worker(start.worker.clone(), listing, bench.now);
     let mut again = Vec::new();
     for _ in 0..SURELY_OVER_MS / LOOK_MS {
--- a/crates/graph/tests/pool/entries.rs
+++ b/crates/graph/tests/pool/entries.rs
@@ -51,7 +51,7 @@
 #[test]
 fn an_entry_that_was_overtaken_is_no_news() {
     let mut bench = unguarded_bench();
-    let entry = |sequence, accelerators| worker::WorkerListing {
+    let entry = |sequence, accelerators| worker::WorkerEntry {
         incarnation: Some(1),
         sequence: Some(sequence),
         capacity: resources::Resources { accelerators, ..support::CAPACITY },
@@ -61,7 +61,7 @@
     assert!(bench.core.update_worker(id.clone(), entry(7, 0), bench.now));
     assert!(!bench.core.update_worker(id.clone(), entry(6, 8), bench.now));
     assert_eq!(bench.core.summary().accelerators, 0);
-    let reborn = worker::WorkerListing { incarnation: Some(2), ..entry(1, 4) };
+    let reborn = worker::WorkerEntry { incarnation: Some(2), ..entry(1, 4) };
     assert!(bench.core.update_worker(id, reborn, bench.now));
     assert_eq!(bench.core.summary().accelerators, 4);
 }
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -28,14 +28,14 @@
     }
 }
 
-fn entry(index: usize, incarnation: ids::Incarnation) -> worker::WorkerListing {
-    worker::WorkerListing { incarnation: Some(incarnation), ..support::listing(index) }
+fn entry(index: usize, incarnation: ids::Incarnation) -> worker::WorkerEntry {
+    worker::WorkerEntry { incarnation: Some(incarnation), ..support::listing(index) }
 }
 
 /// The same of a worker that leaves.
-fn leaving(incarnation: ids::Incarnation, seconds: u64) -> worker::WorkerListing {
+fn leaving(incarnation: ids::Incarnation, seconds: u64) -> worker::WorkerEntry {
     let leaves_in = Some(Duration::from_secs(seconds));
-    worker::WorkerListing { leaves_in, ..entry(0, incarnation) }
+    worker::WorkerEntry { leaves_in, ..entry(0, incarnation) }
 }
 
 /// One worker in its first life, whose clock shows 1,000 s.
@@ -385,7 +385,7 @@
     let start = support::starts(&bench.turn()).remove(0);
     let silent = support::index_of(&start.worker);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
-    let told = worker::WorkerListing { incarnation: told, ..entry(silent, FIRST) };
+    let told = worker::WorkerEntry { incarnation: told, ..entry(silent, FIRST) };
     bench.core.update_worker(start.worker.clone(), told, bench.now);
     let other = support::worker_id(1 - silent);
     for millis in [2_500, 4_500, 5_500, 500] {
@@ -507,7 +507,7 @@
 #[test]
 fn a_worker_that_has_moved_is_named_in_the_roster_first() {
     let mut bench = bench_after_restart(Some(SECOND));
-    let moved = worker::WorkerListing { address: "127.0.0.1:9999".to_owned(), ..entry(0, SECOND) };
+    let moved = worker::WorkerEntry { address: "127.0.0.1:9999".to_owned(), ..entry(0, SECOND) };
     bench.core.update_worker(support::worker_id(0), moved, bench.now);
     bench.admit(2, support::job(1, support::tasks(1)));
     assert_eq!(support::starts(&bench.turn()), []);
--- a/crates/graph/tests/pool/rosters.rs
+++ b/crates/graph/tests/pool/rosters.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_worker_that_is_back_while_the_roster_is_written_waits_for_the_next_one() {
     let mut bench = with_a_forgotten_worker();
-    let batch = bench.take_batch().expect("a roster to write");
+    let batch = bench.take_save_batch().expect("a roster to write");
     bring_back(&mut bench);
     bench.admit(1, support::job(1, support::tasks(16)));
     assert_eq!(n_starts(&mut bench), 8);
@@ -66,7 +66,7 @@
     bench.pass(800);
     bench.turn();
     bench.pass(800);
-    let noting = bench.take_batch().expect("a note");
+    let noting = bench.take_save_batch().expect("a note");
     bench.lists(0, &[], &[]);
     bench.admit(1, support::job(1, support::tasks(1)));
     assert_eq!(n_starts(&mut bench), 0);
@@ -132,7 +132,7 @@
     bench.pass(20_000);
     bench.lists(0, &[], &[]);
     bench.turn();
-    let batch = bench.take_batch().expect("a roster to write");
+    let batch = bench.take_save_batch().expect("a roster to write");
     let rosters = batch.rows.iter().filter_map(|it| match &it.content {
         saving::SaveContent::Roster(roster) => Some(&roster.workers),
         _ => None,
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -59,15 +59,15 @@
 
     /// Saves everything that has changed.
     pub(crate) fn save(&mut self) {
-        while let Some(batch) = self.take_batch() {
+        while let Some(batch) = self.take_save_batch() {
             self.keep(&batch);
             self.core.batch_saved(batch);
         }
     }
 
     /// What is to be written next, without a limit.
-    pub(crate) fn take_batch(&mut self) -> Option<saving::SaveBatch> {
-        self.core.take_batch(self.now, |_| true)
+    pub(crate) fn take_save_batch(&mut self) -> Option<saving::SaveBatch> {
+        self.core.take_save_batch(self.now, |_| true)
     }
 
     /// Keeps what a batch tells of jobs.
@@ -176,9 +176,9 @@
     format!("dc{}", index / RACK)
 }
 
-pub(crate) fn listing(index: usize) -> worker::WorkerListing {
+pub(crate) fn listing(index: usize) -> worker::WorkerEntry {
     let rack = format!("r{}", index / RACK);
-    worker::WorkerListing {
+    worker::WorkerEntry {
         address: format!("127.0.0.1:{}", 8_000 + index),
         upstream: "analysis".to_owned(),
         capacity: CAPACITY,
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -177,7 +177,7 @@
     let start = bench.turn_and_start().remove(0);
     let index = support::index_of(&start.worker);
     let leaves_in = Some(Duration::from_secs(60));
-    let leaving = worker::WorkerListing { leaves_in, ..support::listing(index) };
+    let leaving = worker::WorkerEntry { leaves_in, ..support::listing(index) };
     bench.core.update_worker(start.worker.clone(), leaving, bench.now);
     bench.pass(500);
     bench.core.worker_replaced(&start.worker, &start.address, bench.now);
--- a/crates/graph/tests/pool/waits.rs
+++ b/crates/graph/tests/pool/waits.rs
@@ -41,7 +41,7 @@
         let mut play = WaitPlay::new();
         let capacity = resources::Resources { accelerators: 0, ..support::CAPACITY };
         for index in 0..N_WORKERS {
-            let listing = worker::WorkerListing { capacity, ..support::listing(index) };
+            let listing = worker::WorkerEntry { capacity, ..support::listing(index) };
             play.bench.core.update_worker(support::worker_id(index), listing, play.bench.now);
         }
         play
--- a/crates/pool/src/document.rs
+++ b/crates/pool/src/document.rs
@@ -57,7 +57,7 @@
     fn document(&self, source: &[u8]) -> anyhow::Result<PoolDocument>;
 
     /// Reads the row of a worker. Whoever has written it, what it names is used.
-    fn worker(&self, value: &[u8]) -> Result<worker::WorkerListing, worker_entry::EntryFault>;
+    fn worker(&self, value: &[u8]) -> Result<worker::WorkerEntry, worker_entry::EntryFault>;
 }
 
 /// The document in force. It only ever moves to a higher version, at this one place, whoever
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -58,7 +58,7 @@
             let over_at = now.saturating_sub(Duration::from_millis(over_for_ms));
             note_over(&state, &leader, former, over_at);
             let mut core = leader.core();
-            answer.unsaved.into_iter().for_each(|it| core.learn_suspicions(it, now));
+            answer.unsaved.into_iter().for_each(|it| core.merge_suspicions(it, now));
         }
         time::sleep(AGAIN).await;
     }
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -133,7 +133,7 @@
     metrics::counter!("almondpass_pool_worker_restarts_total").increment(core.take_n_restarts());
     meter_losses(&core.take_loss_counts());
     meter_overdue(&core.take_overdue_phases());
-    let (is_fenced_off, has_changes) = (core.is_fenced_off(), core.has_changes());
+    let (is_fenced_off, has_changes) = (core.is_fenced_off(), core.has_rows_to_save());
     drop(core);
     if is_fenced_off {
         tracing::warn!(epoch = leader.epoch, "a later scheduler is at work");
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -129,8 +129,8 @@
 /// entry anew every few seconds, so that one whose upstream is added is found soon.
 fn check_upstream<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    listing: worker::WorkerListing,
-) -> Result<worker::WorkerListing, worker_entry::EntryFault> {
+    listing: worker::WorkerEntry,
+) -> Result<worker::WorkerEntry, worker_entry::EntryFault> {
     let document = state.document.current();
     if document.is_none_or(|it| it.upstreams.contains(&listing.upstream)) {
         return Ok(listing);
--- a/crates/pool/src/worker_entry.rs
+++ b/crates/pool/src/worker_entry.rs
@@ -55,7 +55,7 @@
 
 impl FaultyEntries {
     /// Takes in how an entry was read: counts faults, and logs them when they change.
-    pub fn observe(&mut self, worker: &str, read: &Result<worker::WorkerListing, EntryFault>) {
+    pub fn observe(&mut self, worker: &str, read: &Result<worker::WorkerEntry, EntryFault>) {
         let Err(fault) = read else {
             if self.faults.remove(worker).is_some() {
                 tracing::info!(worker, "entry of a worker is sound again");
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -140,7 +140,7 @@
         let now = self.state.adapters.clock().now();
         let mut writes = Vec::new();
         let mut n_bytes = 0;
-        let batch = self.leader.core().take_batch(now, |row| {
+        let batch = self.leader.core().take_save_batch(now, |row| {
             let write = row_write(row);
             n_bytes += encoded_size(&write);
             writes.push(write);
@@ -283,7 +283,7 @@
     match &row.content {
         saving::SaveContent::Progress(content) => encode_write(key, content),
         saving::SaveContent::Roster(content) => encode_write(key, content),
-        saving::SaveContent::Gone => removal_write(key),
+        saving::SaveContent::Removed => removal_write(key),
     }
 }
 
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -188,7 +188,7 @@
         })
     }
 
-    fn worker(&self, value: &[u8]) -> Result<worker::WorkerListing, worker_entry::EntryFault> {
+    fn worker(&self, value: &[u8]) -> Result<worker::WorkerEntry, worker_entry::EntryFault> {
         let form = |fault: std::str::Utf8Error| worker_entry::EntryFault::Form(fault.to_string());
         let text = std::str::from_utf8(value).map_err(form)?;
         let staying = text.trim_end_matches('-');
@@ -197,7 +197,7 @@
         let (staying, address) = staying.split_once('#').unwrap_or((staying, "worker"));
         let (rack, incarnation) = staying.split_once('@').unwrap_or((staying, ""));
         let rack = rack.to_owned();
-        Ok(worker::WorkerListing {
+        Ok(worker::WorkerEntry {
             address: address.to_owned(),
             upstream: UPSTREAM.to_owned(),
             capacity: capacity_for(accelerators.parse().unwrap_or_default()),
--- a/crates/pool/tests/row_sizes.rs
+++ b/crates/pool/tests/row_sizes.rs
@@ -29,7 +29,7 @@
 /// Everything that the core wants to save, by row.
 fn save_all(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveKey, saving::SaveContent> {
     let mut saved = BTreeMap::new();
-    while let Some(batch) = core.take_batch(Duration::ZERO, |_| true) {
+    while let Some(batch) = core.take_save_batch(Duration::ZERO, |_| true) {
         saved.extend(batch.rows.iter().map(|it| (it.key, it.content.clone())));
         core.batch_saved(batch);
     }
@@ -40,7 +40,7 @@
     let encoded = match content {
         saving::SaveContent::Progress(row) => codec::encode(row),
         saving::SaveContent::Roster(row) => codec::encode(row),
-        saving::SaveContent::Gone => return 0,
+        saving::SaveContent::Removed => return 0,
     };
     encoded.expect("a message").len()
 }
@@ -66,10 +66,10 @@
 fn pages_of_the_roster_fit_with_5_000_workers_of_the_longest_names() {
     let mut core = empty_core();
     for index in 0..5_000 {
-        let listing = worker::WorkerListing {
+        let listing = worker::WorkerEntry {
             address: "255.255.255.255:65535".to_owned(),
             upstream: "u".repeat(NAME_BYTES),
-            ..worker::WorkerListing::default()
+            ..worker::WorkerEntry::default()
         };
         core.update_worker(worker_named(index), listing, Duration::ZERO);
     }
@@ -83,10 +83,10 @@
 fn one_worker_more_writes_one_page() {
     let mut core = empty_core();
     for index in 0..500 {
-        core.update_worker(worker_named(index), worker::WorkerListing::default(), Duration::ZERO);
+        core.update_worker(worker_named(index), worker::WorkerEntry::default(), Duration::ZERO);
     }
     save_all(&mut core);
-    core.update_worker(worker_named(500), worker::WorkerListing::default(), Duration::ZERO);
+    core.update_worker(worker_named(500), worker::WorkerEntry::default(), Duration::ZERO);
     assert_eq!(save_all(&mut core).len(), 1);
 }
 
