--- a/crates/graph/src/candidate.rs
+++ b/crates/graph/src/candidate.rs
@@ -38,7 +38,7 @@
     /// Tasks there, those included that should not be.
     pub n_runs: usize,
     /// Failed lately; used last.
-    pub suspect: bool,
+    pub failed_lately: bool,
     /// Whether a task has it for itself, as it may crash it: nothing else starts there.
     pub is_exclusive: bool,
     /// Room that is being cleared for units.
@@ -92,7 +92,7 @@
     /// Most tasks of the step on one worker; 0 for no limit.
     pub per_worker: u32,
     /// Tasks of the step on each berth already; empty where there is no limit.
-    pub present: Vec<u32>,
+    pub n_present: Vec<u32>,
     /// Workers to avoid, as tasks of the unit failed there.
     pub avoids: Vec<&'a str>,
     /// Workers that it has to leave empty.
@@ -108,13 +108,13 @@
     /// Whether it needs workers of its own.
     pub is_isolated: bool,
     /// Whether it may have them now.
-    pub may_be_apart: bool,
+    pub may_be_isolated: bool,
 }
 
 impl PlacementRequest<'_> {
     /// How many of its tasks fit on that berth as it is, as far as the berth may be used at all.
     pub fn count_now(&self, index: usize, candidate: &WorkerCandidate) -> u32 {
-        if self.is_isolated && !(self.may_be_apart && candidate.is_empty()) {
+        if self.is_isolated && !(self.may_be_isolated && candidate.is_empty()) {
             return 0;
         }
         self.count_on(index, candidate, candidate.free)
@@ -144,7 +144,7 @@
         if self.per_worker == 0 {
             return fitting;
         }
-        let present = self.present.get(index).copied().unwrap_or_default();
+        let present = self.n_present.get(index).copied().unwrap_or_default();
         fitting.min(self.per_worker.saturating_sub(present))
     }
 
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -70,7 +70,7 @@
         let rack = free_by_rack[it.rack];
         // What may crash its worker runs where it puts least at risk.
         let n_at_risk = if request.may_crash_worker { it.n_runs } else { 0 };
-        (is_remote, n_at_risk, it.suspect, left.accelerators, rack, left.cpu_milli)
+        (is_remote, n_at_risk, it.failed_lately, left.accelerators, rack, left.cpu_milli)
     });
     best.map(|(index, _)| index)
 }
@@ -136,7 +136,7 @@
         let rack = &mut racks[it.rack];
         rack.count += count;
         rack.accelerators += it.free.accelerators;
-        rack.suspects += u32::from(it.suspect && *count > 0);
+        rack.suspects += u32::from(it.failed_lately && *count > 0);
     }
     let holds = racks.iter().enumerate().filter(|(number, it)| {
         it.count >= request.n_tasks && request.rack_number.is_none_or(|rack| rack == *number)
@@ -163,7 +163,7 @@
     order.sort_by_key(|index| {
         let it = &candidates[*index];
         let n_at_risk = if request.may_crash_worker { it.n_runs } else { 0 };
-        (n_at_risk, it.suspect, it.free.accelerators, *index)
+        (n_at_risk, it.failed_lately, it.free.accelerators, *index)
     });
     let mut chosen = Vec::with_capacity(request.n_tasks as usize);
     for index in order {
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -37,7 +37,7 @@
             && tasks.iter().all(|it| self.isolation_wait(it, now) < isolation::ISOLATION_TIMEOUT);
         let may_stand = may_crash_worker || waited >= STANDING_PATIENCE;
         let stands = may_stand && self.stands_beside_room(job);
-        let may_be_apart =
+        let may_be_isolated =
             may_crash_worker && (stands || isolation::may_run_isolated(tasks, candidates));
         let takes_any = waited >= STANDING_PATIENCE && stands;
         let mut request = candidate::PlacementRequest {
@@ -49,7 +49,7 @@
             rack_number: step.spec.rack.as_deref().map(|it| rack_number(it, candidates)),
             label: step.spec.label.as_deref(),
             per_worker: step.spec.per_worker,
-            present: present(step, candidates),
+            n_present: n_present(step, candidates),
             avoids: tasks.iter().filter_map(|it| it.avoids.as_deref()).collect(),
             // What may crash its worker takes an empty one, before it takes others with it.
             keeps_empty: if may_crash_worker || takes_any {
@@ -61,11 +61,11 @@
             takes_reserved: stands || waited >= self.slack(job),
             may_crash_worker,
             is_isolated: is_suspect && is_patient,
-            may_be_apart,
+            may_be_isolated,
         };
         if request.is_isolated {
             request.avoids.extend(isolation::workers_to_avoid(tasks, candidates));
-        } else if may_be_apart && is_patient {
+        } else if may_be_isolated && is_patient {
             request = isolation::isolated_if_free(request, tasks, candidates);
         }
         request.allows_remote = takes_any
@@ -123,16 +123,16 @@
 }
 
 /// Tasks of a step on each berth, where the step limits them.
-fn present(step: &job::StepRecord, candidates: &[candidate::WorkerCandidate]) -> Vec<u32> {
+fn n_present(step: &job::StepRecord, candidates: &[candidate::WorkerCandidate]) -> Vec<u32> {
     if step.spec.per_worker == 0 {
         return Vec::new();
     }
     let workers = step.tasks.iter().filter_map(|it| it.run.as_ref()).map(|it| &it.worker);
-    let mut present = vec![0; candidates.len()];
+    let mut n_present = vec![0; candidates.len()];
     for worker in workers {
         if let Some(index) = candidates.iter().position(|it| it.place.worker == *worker) {
-            present[index] += 1;
+            n_present[index] += 1;
         }
     }
-    present
+    n_present
 }
