--- a/crates/graph/src/ack_window.rs
+++ b/crates/graph/src/ack_window.rs
@@ -25,7 +25,7 @@
 
 impl EndAck {
     /// The highest end that the worker may forget; 0 for none.
-    pub fn last_seen(self) -> u64 {
+    pub fn last_acknowledged(self) -> u64 {
         match self {
             EndAck::UpTo(number) => number,
             EndAck::Nothing | EndAck::VerifyFirst => 0,
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -169,7 +169,7 @@
             used: it.in_use(),
             free: it.free(),
             n_runs: it.runs.len() + it.unwanted_runs.len(),
-            failed_lately: it.health.is_suspect(),
+            failed_lately: it.health.has_recent_failures(),
             is_exclusive: !it.isolated_runs.is_empty(),
             claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
             reserved: Vec::new(),
--- a/crates/graph/src/health.rs
+++ b/crates/graph/src/health.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether it has failed and not yet ended a task well since; it is used last.
-    pub fn is_suspect(&self) -> bool {
+    pub fn has_recent_failures(&self) -> bool {
         self.failures > 0
     }
 
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -67,7 +67,7 @@
             address: record.entry.address.clone(),
             generation: record.generation,
             deadline_ms,
-            last_seen: ack.last_seen(),
+            last_seen: ack.last_acknowledged(),
             wait,
         })
     }
