--- a/crates/graph/tests/pool/evacuations.rs
+++ b/crates/graph/tests/pool/evacuations.rs
@@ -18,7 +18,7 @@
     let mut bench = support::PoolBench::new(2 * WORKERS);
     evacuate(&mut bench, &[0]);
     bench.admit(1, support::job(0, support::whole_workers(16)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     assert_eq!(starts.len(), WORKERS);
     assert!(starts.iter().all(|it| support::index_of(&it.worker) >= WORKERS), "{starts:?}");
 }
@@ -29,10 +29,10 @@
     let mut bench = support::PoolBench::new(WORKERS);
     evacuate(&mut bench, &[0]);
     bench.admit(1, support::job(0, support::gang(support::whole_workers(8))));
-    assert_eq!(bench.turn(), []);
-    bench.pass(500);
+    assert_eq!(bench.run_round(), []);
+    bench.advance(500);
     evacuate(&mut bench, &[]);
-    assert_eq!(support::starts(&bench.turn()).len(), WORKERS);
+    assert_eq!(support::starts(&bench.run_round()).len(), WORKERS);
 }
 
 /// Work is stopped for room that nobody may use.
@@ -40,11 +40,11 @@
 fn nobody_is_stopped_in_an_evacuated_data_center() {
     let mut bench = support::PoolBench::new(WORKERS);
     bench.admit(1, support::job(2, support::tasks(64)));
-    assert!(!bench.turn_and_start().is_empty());
+    assert!(!bench.run_round_and_start().is_empty());
     evacuate(&mut bench, &[0]);
-    bench.pass(200);
+    bench.advance(200);
     bench.admit(2, support::job(0, support::whole_workers(2)));
-    assert_eq!(bench.turn(), []);
+    assert_eq!(bench.run_round(), []);
 }
 
 /// Work waits for a place near its data where nothing may start.
@@ -55,7 +55,7 @@
     let mut step = support::tasks(1);
     step.rack = Some("r0".to_owned());
     bench.admit(1, support::job(1, step));
-    let starts = support::starts(&bench.turn());
+    let starts = support::starts(&bench.run_round());
     assert_eq!(starts.len(), 1);
     assert!(support::index_of(&starts[0].worker) >= WORKERS, "{starts:?}");
 }
@@ -66,9 +66,9 @@
     let mut bench = support::PoolBench::new(2 * WORKERS);
     evacuate(&mut bench, &[WORKERS]);
     bench.admit(1, support::job(0, support::gang(support::whole_workers(9))));
-    assert_eq!(bench.turn(), []);
+    assert_eq!(bench.run_round(), []);
     bench.admit(2, support::job(0, support::gang(support::whole_workers(8))));
-    let starts = support::starts(&bench.turn());
+    let starts = support::starts(&bench.run_round());
     assert_eq!(starts.len(), WORKERS);
     assert!(starts.iter().all(|it| it.task.graph == 2), "{starts:?}");
 }
--- a/crates/graph/tests/pool/failures.rs
+++ b/crates/graph/tests/pool/failures.rs
@@ -15,19 +15,19 @@
 fn failures_count_in_whatever_order_they_are_listed() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let first = bench.turn_and_start().remove(0);
+    let first = bench.run_round_and_start().remove(0);
     let cut_off = support::index_of(&first.worker);
     let other = 1 - cut_off;
     bench.core.poll_missed(&first.worker);
-    bench.pass(8_000);
-    bench.lists(other, &[], &[]);
-    let second = bench.turn_and_start().remove(0);
-    bench.lists(other, &[], &[support::ended(1, &second, order::EndKind::Failed)]);
+    bench.advance(8_000);
+    bench.answer_poll(other, &[], &[]);
+    let second = bench.run_round_and_start().remove(0);
+    bench.answer_poll(other, &[], &[support::listed_end(1, &second, order::EndKind::Failed)]);
     bench.core.take_orders();
 
-    bench.lists(cut_off, &[], &[support::ended(1, &first, order::EndKind::Failed)]);
+    bench.answer_poll(cut_off, &[], &[support::listed_end(1, &first, order::EndKind::Failed)]);
 
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
     bench.save();
     let shown = bench.core.state_of(1).map(|it| (it.state, it.account, it.failure));
     let cause = Some(model::FailureCause::Attempts);
@@ -40,13 +40,13 @@
 fn a_failure_that_is_listed_to_two_schedulers_counts_once() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let first = bench.turn_and_start().remove(0);
-    let failed = support::ended(1, &first, order::EndKind::Failed);
+    let first = bench.run_round_and_start().remove(0);
+    let failed = support::listed_end(1, &first, order::EndKind::Failed);
     let worker = support::index_of(&first.worker);
-    bench.lists(worker, &[], std::slice::from_ref(&failed));
+    bench.answer_poll(worker, &[], std::slice::from_ref(&failed));
     bench.save();
 
-    let mut next = support::PoolBench::unanswered(2, Duration::ZERO);
+    let mut next = support::PoolBench::with_unanswered_workers(2, Duration::ZERO);
     next.core.admit(
         almondpass_graph::intake::AdmittedJob {
             graph: 1,
@@ -58,8 +58,8 @@
         },
         next.now,
     );
-    next.lists(worker, &[], &[failed]);
-    next.lists(1 - worker, &[], &[]);
+    next.answer_poll(worker, &[], &[failed]);
+    next.answer_poll(1 - worker, &[], &[]);
 
-    assert_eq!(support::starts(&next.turn()).len(), 1);
+    assert_eq!(support::starts(&next.run_round()).len(), 1);
 }
--- a/crates/graph/tests/pool/load.rs
+++ b/crates/graph/tests/pool/load.rs
@@ -146,7 +146,7 @@
         for worker in 0..self.n_ends.len() {
             self.list(worker);
         }
-        let orders = self.bench.turn();
+        let orders = self.bench.run_round();
         for stop in support::stops(&orders) {
             self.stop(&stop);
         }
@@ -184,7 +184,7 @@
     }
 
     fn start(&mut self, start: order::StartOrder) {
-        self.bench.started(&start);
+        self.bench.confirm_start(&start);
         let now = self.bench.now;
         let ends_at = now + self.jobs[&start.task.graph].took;
         let key = (support::index_of(&start.worker), start.task);
@@ -219,17 +219,17 @@
             let took = self.jobs[&it.start.task.graph].took;
             (100.0 * now.saturating_sub(it.since).div_duration_f64(took)) as u32
         };
-        let running = going_on.iter().map(|(_, it)| support::running(&it.start, percent(it)));
+        let running = going_on.iter().map(|(_, it)| support::listed_run(&it.start, percent(it)));
         let running = running.collect::<Vec<_>>();
         let first = self.n_ends[worker] + 1;
         let ended = over.iter().zip(first..);
-        let ended = ended.map(|((_, it), number)| support::ended(number, &it.start, it.how));
+        let ended = ended.map(|((_, it), number)| support::listed_end(number, &it.start, it.how));
         let ended = ended.collect::<Vec<_>>();
         self.n_ends[worker] += ended.len() as u64;
         for key in over.iter().map(|(key, _)| **key).collect::<Vec<_>>() {
             self.runs.remove(&key);
         }
-        self.bench.lists(worker, &running, &ended);
+        self.bench.answer_poll(worker, &running, &ended);
     }
 
     fn count_completed(&mut self) {
--- a/crates/graph/tests/pool/objectives.rs
+++ b/crates/graph/tests/pool/objectives.rs
@@ -102,10 +102,10 @@
         ..catalog::PoolCatalog::default()
     }));
     bench.admit(1, support::job(1, support::whole_workers(1)));
-    bench.pass(30_000);
-    bench.lists(0, &[], &[]);
+    bench.advance(30_000);
+    bench.answer_poll(0, &[], &[]);
     bench.admit(2, support::job(1, support::whole_workers(1)));
-    let starts = support::starts(&bench.turn());
+    let starts = support::starts(&bench.run_round());
     assert_eq!(starts.len(), 1);
     starts[0].task.graph
 }
--- a/crates/graph/tests/pool/oddities.rs
+++ b/crates/graph/tests/pool/random_events.rs
@@ -31,7 +31,8 @@
 
 impl OddWorld {
     fn new(seed: u64) -> OddWorld {
-        let mut bench = support::PoolBench::unanswered(N_WORKERS, Duration::from_secs(1_005));
+        let mut bench =
+            support::PoolBench::with_unanswered_workers(N_WORKERS, Duration::from_secs(1_005));
         for graph in 0..N_JOBS / 4 {
             bench.inherit(graph, support::job(graph as u32 % 3, support::tasks(3)), None);
         }
@@ -126,7 +127,7 @@
             self.bench.core.unlist_worker(&support::worker_id(index), now);
             return;
         }
-        let mut listing = support::listing(index);
+        let mut listing = support::worker_entry(index);
         let leaves_in = [0, 2_000, u64::MAX][self.rng.random_range(0..3)];
         listing.leaves_in = self.rng.random_bool(0.2).then(|| Duration::from_millis(leaves_in));
         listing.incarnation = self.rng.random_bool(0.5).then(|| self.rng.random_range(0..3));
@@ -136,14 +137,14 @@
 
     fn pass_time(&mut self) {
         let millis = [10, 400, 1_500, 8_000, 400_000][self.rng.random_range(0..5)];
-        self.bench.pass(millis);
+        self.bench.advance(millis);
         let wall = self.rng.random_range(0..u64::MAX);
         self.bench.core.set_wall_time(Duration::from_millis(wall));
     }
 
     fn turn(&mut self) {
-        self.bench.pass(50);
-        let orders = self.bench.turn();
+        self.bench.advance(50);
+        let orders = self.bench.run_round();
         self.orders.extend(orders);
         if self.rng.random_bool(0.7) {
             self.bench.save();
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -29,7 +29,7 @@
 }
 
 fn entry(index: usize, incarnation: ids::Incarnation) -> worker::WorkerEntry {
-    worker::WorkerEntry { incarnation: Some(incarnation), ..support::listing(index) }
+    worker::WorkerEntry { incarnation: Some(incarnation), ..support::worker_entry(index) }
 }
 
 /// The same of a worker that leaves.
@@ -40,7 +40,7 @@
 
 /// One worker in its first life, whose clock shows 1,000 s.
 fn bench_of_one() -> support::PoolBench {
-    let mut bench = support::PoolBench::unanswered(1, Duration::ZERO);
+    let mut bench = support::PoolBench::with_unanswered_workers(1, Duration::ZERO);
     bench.core.update_worker(support::worker_id(0), entry(0, FIRST), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
     bench.save();
@@ -51,8 +51,8 @@
 fn bench_with_end() -> (support::PoolBench, order::ListedEnd) {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
-    let end = support::ended(1, &start, order::EndKind::Done);
+    let start = bench.run_round_and_start().remove(0);
+    let end = support::listed_end(1, &start, order::EndKind::Done);
     assert_eq!(last_seen(&mut bench), 0);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], std::slice::from_ref(&end));
     bench.save();
@@ -85,11 +85,11 @@
 fn bench_after_restart(second: Option<ids::Incarnation>) -> support::PoolBench {
     let (mut bench, _) = bench_with_end();
     assert_eq!(last_seen(&mut bench), 1);
-    bench.pass(600);
+    bench.advance(600);
     bench.core.poll_missed(&support::worker_id(0));
-    bench.pass(250);
+    bench.advance(250);
     let began = bench.now;
-    bench.pass(100);
+    bench.advance(100);
     answers(&mut bench, second, began, &[], &[]);
     bench
 }
@@ -121,7 +121,7 @@
 #[test]
 fn no_end_is_acknowledged_long_after_the_last_look() {
     let (mut bench, end) = bench_with_end();
-    bench.pass(40_000);
+    bench.advance(40_000);
     assert_eq!(last_seen(&mut bench), 0);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[end]);
     assert_eq!(last_seen(&mut bench), 1);
@@ -137,7 +137,7 @@
     for _ in 0..4 {
         // The worker has not had the acknowledgement, and lists the end again.
         answers(&mut bench, Some(FIRST), Duration::ZERO, &[], std::slice::from_ref(&end));
-        bench.pass(700);
+        bench.advance(700);
         seen.push(last_seen(&mut bench));
     }
     assert_eq!(seen, [0, 1, 0, 1]);
@@ -151,10 +151,10 @@
     }
     assert_eq!(last_seen(&mut bench), 0);
     bench.admit(2, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     assert!(start.deadline_ms < 10_000, "a deadline by the former clock: {}", start.deadline_ms);
-    bench.pass(500);
-    let end = support::ended(1, &start, order::EndKind::Done);
+    bench.advance(500);
+    let end = support::listed_end(1, &start, order::EndKind::Done);
     let began = bench.now - Duration::from_millis(600);
     answers(&mut bench, second, began, &[], &[end]);
     bench.save();
@@ -181,16 +181,16 @@
 fn a_start_answered_by_a_later_life_does_not_hide_it() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
-    bench.pass(10);
+    let start = support::starts(&bench.run_round()).remove(0);
+    bench.advance(10);
     answers(&mut bench, None, Duration::ZERO, &[], &[]);
-    bench.pass(600);
+    bench.advance(600);
     let began = bench.now;
-    bench.pass(200);
+    bench.advance(200);
     let answer = order::StartAnswer::Started { clock_ms: 200 };
     bench.core.start_answered(&start, answer, bench.now);
-    bench.pass(200);
-    answers(&mut bench, None, began, &[support::running(&start, 10)], &[]);
+    bench.advance(200);
+    answers(&mut bench, None, began, &[support::listed_run(&start, 10)], &[]);
     assert_eq!(bench.core.take_n_restarts(), 1);
 }
 
@@ -199,22 +199,22 @@
 fn a_later_life_gets_no_tasks_before_its_entry_is_read() {
     let mut bench = bench_after_restart(Some(SECOND));
     bench.admit(2, support::job(1, support::whole_workers(1)));
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
     bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
-    assert_eq!(support::starts(&bench.turn()).len(), 1);
+    assert_eq!(support::starts(&bench.run_round()).len(), 1);
 }
 
 /// An entry that does not say of which life it is, of a worker that does, was written by another.
 #[test]
 fn an_entry_that_tells_no_life_names_no_worker_that_tells_its() {
     let mut bench = bench_of_one();
-    bench.core.update_worker(support::worker_id(0), support::listing(0), bench.now);
+    bench.core.update_worker(support::worker_id(0), support::worker_entry(0), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
     bench.admit(1, support::job(1, support::tasks(1)));
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
     bench.core.update_worker(support::worker_id(0), entry(0, FIRST), bench.now);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
-    assert_eq!(support::starts(&bench.turn()).len(), 1);
+    assert_eq!(support::starts(&bench.run_round()).len(), 1);
 }
 
 /// Where the list tells first of a later life, the worker has to answer before it gets tasks.
@@ -223,11 +223,11 @@
     let mut bench = bench_of_one();
     bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let orders = bench.turn();
+    let orders = bench.run_round();
     assert_eq!(support::starts(&orders), []);
     assert!(orders.iter().any(|it| matches!(it, order::PoolOrder::Poll { .. })));
     answers_fresh(&mut bench);
-    assert_eq!(support::starts(&bench.turn()).len(), 1);
+    assert_eq!(support::starts(&bench.run_round()).len(), 1);
 }
 
 /// Many starts without answer ask for a look each, as each has to be settled; what else has no answer
@@ -236,7 +236,7 @@
 fn calls_without_answer_ask_for_one_look() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(4)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     for _ in 0..3 {
         for start in &starts {
             let stop = order::StopOrder {
@@ -259,12 +259,12 @@
     let mut bench = bench_of_one();
     bench.core.update_worker(support::worker_id(0), leaving(FIRST, 2), bench.now);
     bench.save();
-    bench.pass(3_000);
+    bench.advance(3_000);
     answers_fresh(&mut bench);
     bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.save();
     bench.admit(1, support::job(1, support::tasks(1)));
-    assert_eq!(support::starts(&bench.turn()).len(), 1);
+    assert_eq!(support::starts(&bench.run_round()).len(), 1);
 }
 
 /// Answers overtake each other: one of the former life says nothing about the later one.
@@ -273,15 +273,15 @@
     let mut bench = bench_after_restart(Some(SECOND));
     bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
     bench.admit(2, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
-    bench.pass(10);
+    let start = bench.run_round_and_start().remove(0);
+    bench.advance(10);
     let late = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
     let sent_at = bench.now - Duration::from_secs(1);
     bench.core.poll_answered(&support::worker_id(0), late, sent_at, bench.now);
-    assert_eq!(support::starts(&bench.turn()), []);
-    bench.pass(10);
+    assert_eq!(support::starts(&bench.run_round()), []);
+    bench.advance(10);
     let began = bench.now - Duration::from_millis(120);
-    answers(&mut bench, Some(SECOND), began, &[support::running(&start, 1)], &[]);
+    answers(&mut bench, Some(SECOND), began, &[support::listed_run(&start, 1)], &[]);
     assert!(bench.core.is_busy());
     assert_eq!(bench.core.take_n_restarts(), 1);
 }
@@ -292,15 +292,15 @@
 fn a_later_life_that_leaves_stays_for_its_own_time() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     let began = bench.now;
     bench.core.update_worker(support::worker_id(0), leaving(FIRST, 1), bench.now);
-    bench.pass(900);
-    bench.started(&start);
+    bench.advance(900);
+    bench.confirm_start(&start);
     bench.core.update_worker(support::worker_id(0), leaving(SECOND, 60), bench.now);
-    answers(&mut bench, Some(SECOND), began, &[support::running(&start, 10)], &[]);
-    bench.pass(50);
-    assert_eq!(support::stops(&bench.turn()), []);
+    answers(&mut bench, Some(SECOND), began, &[support::listed_run(&start, 10)], &[]);
+    bench.advance(50);
+    assert_eq!(support::stops(&bench.run_round()), []);
 }
 
 /// A life that was not known yet may have been given a deadline by the clock of the former one, which
@@ -309,18 +309,18 @@
 fn a_run_found_in_a_later_life_may_go_on_for_the_longest_lease() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     let index = support::index_of(&start.worker);
-    bench.pass(1_000);
-    let mut listed = says(&bench, None, Duration::ZERO, &[support::running(&start, 1)], &[]);
+    bench.advance(1_000);
+    let mut listed = says(&bench, None, Duration::ZERO, &[support::listed_run(&start, 1)], &[]);
     listed.clock_ms = 100;
     bench.core.poll_answered(&start.worker, listed, bench.now, bench.now);
     bench.core.poll_missed(&start.worker);
     // 10 s on a clock that is 2% slow.
     for (millis, n_starts) in [(6_700, 0), (3_400, 0), (200, 1)] {
-        bench.pass(millis);
-        bench.lists(1 - index, &[], &[]);
-        assert_eq!(support::starts(&bench.turn()).len(), n_starts, "at {:?}", bench.now);
+        bench.advance(millis);
+        bench.answer_poll(1 - index, &[], &[]);
+        assert_eq!(support::starts(&bench.run_round()).len(), n_starts, "at {:?}", bench.now);
     }
 }
 
@@ -331,19 +331,19 @@
 fn a_run_found_in_a_later_life_shows_its_pace() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     let began = bench.now;
-    bench.started(&start);
+    bench.confirm_start(&start);
     for second in 1..=20 {
-        bench.pass(1_000);
-        let run = support::running(&start, second);
+        bench.advance(1_000);
+        let run = support::listed_run(&start, second);
         answers(&mut bench, Some(SECOND), began, &[run], &[]);
-        assert_eq!(support::stops(&bench.turn()), []);
+        assert_eq!(support::stops(&bench.run_round()), []);
     }
     // Four fifths are left, at a hundredth a second.
     bench.core.update_worker(support::worker_id(0), leaving(SECOND, 8), bench.now);
-    bench.pass(50);
-    assert_eq!(support::stops(&bench.turn()).len(), 1);
+    bench.advance(50);
+    assert_eq!(support::stops(&bench.run_round()).len(), 1);
 }
 
 /// Symptom: a task ran on two workers at a time. Sequence: a start waits for its turn to be sent; its
@@ -354,15 +354,15 @@
 fn a_start_that_the_known_life_has_not_confirmed_may_run_for_the_longest_lease() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
     bench.core.poll_missed(&start.worker);
     let other = 1 - support::index_of(&start.worker);
     // It may leave for 2.5 s; the lease is 10 s then, on a clock that is 2% slow.
     for (millis, n_starts) in [(6_700, 0), (5_900, 0), (200, 1)] {
-        bench.pass(millis);
-        bench.lists(other, &[], &[]);
-        assert_eq!(support::starts(&bench.turn()).len(), n_starts, "at {:?}", bench.now);
+        bench.advance(millis);
+        bench.answer_poll(other, &[], &[]);
+        assert_eq!(support::starts(&bench.run_round()).len(), n_starts, "at {:?}", bench.now);
     }
 }
 
@@ -374,7 +374,7 @@
 
 /// The same where the entry tells no life, or that one.
 fn starts_again_behind_entry(told: Option<ids::Incarnation>, is_list_read: bool) -> Option<u128> {
-    let mut bench = support::PoolBench::unanswered(2, Duration::ZERO);
+    let mut bench = support::PoolBench::with_unanswered_workers(2, Duration::ZERO);
     for index in 0..2 {
         bench.core.update_worker(support::worker_id(index), entry(index, FIRST), bench.now);
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
@@ -382,20 +382,20 @@
     }
     bench.save();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     let silent = support::index_of(&start.worker);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
     let told = worker::WorkerEntry { incarnation: told, ..entry(silent, FIRST) };
     bench.core.update_worker(start.worker.clone(), told, bench.now);
     let other = support::worker_id(1 - silent);
     for millis in [2_500, 4_500, 5_500, 500] {
-        bench.pass(millis);
+        bench.advance(millis);
         if is_list_read {
             bench.core.note_list_read(bench.now);
         }
         let listed = says(&bench, Some(FIRST), Duration::ZERO, &[], &[]);
         bench.core.poll_answered(&other, listed, bench.now, bench.now);
-        if !support::starts(&bench.turn()).is_empty() {
+        if !support::starts(&bench.run_round()).is_empty() {
             return Some((bench.now - start.ordered_at).as_millis());
         }
     }
@@ -433,10 +433,10 @@
 fn a_start_that_has_waited_for_too_long_is_outdated() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let order = order::PoolOrder::Start(support::starts(&bench.turn()).remove(0));
-    bench.pass(1_200);
+    let order = order::PoolOrder::Start(support::starts(&bench.run_round()).remove(0));
+    bench.advance(1_200);
     assert!(!bench.core.is_outdated(&order, bench.now));
-    bench.pass(100);
+    bench.advance(100);
     assert!(bench.core.is_outdated(&order, bench.now));
 }
 
@@ -445,9 +445,9 @@
 fn a_start_whose_answer_was_overtaken_is_seen() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
-    bench.pass(20);
-    answers(&mut bench, Some(FIRST), Duration::ZERO, &[support::running(&start, 0)], &[]);
+    let start = support::starts(&bench.run_round()).remove(0);
+    bench.advance(20);
+    answers(&mut bench, Some(FIRST), Duration::ZERO, &[support::listed_run(&start, 0)], &[]);
     bench.core.take_orders();
     let clock_ms = bench.now.as_millis() as u64 - 10;
     bench.core.start_answered(&start, order::StartAnswer::Started { clock_ms }, bench.now);
@@ -460,10 +460,10 @@
 fn orders_for_the_former_life_are_outdated() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     let order = order::PoolOrder::Start(start);
     assert!(!bench.core.is_outdated(&order, bench.now));
-    bench.pass(100);
+    bench.advance(100);
     answers_fresh(&mut bench);
     assert!(bench.core.is_outdated(&order, bench.now));
 }
@@ -474,32 +474,32 @@
 fn a_stop_answered_by_the_former_life_settles_nothing() {
     let mut bench = bench_of_one();
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
-    bench.pass(10);
+    bench.advance(10);
     answers(&mut bench, Some(FIRST), Duration::ZERO, &[], &[]);
-    let stop = support::stops(&bench.turn()).remove(0);
-    bench.pass(10);
+    let stop = support::stops(&bench.run_round()).remove(0);
+    bench.advance(10);
     answers_fresh(&mut bench);
-    let again = support::stops(&bench.turn());
+    let again = support::stops(&bench.run_round());
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].generation, stop.generation);
     bench.core.update_worker(support::worker_id(0), entry(0, SECOND), bench.now);
 
     bench.core.stop_answered(&stop, true, bench.now);
-    bench.pass(10);
+    bench.advance(10);
     let began = bench.now - Duration::from_millis(10);
     answers(&mut bench, Some(SECOND), began, &[], &[]);
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
 
     bench.core.stop_answered(&again[0], true, bench.now);
-    bench.pass(10);
+    bench.advance(10);
     let began = bench.now - Duration::from_millis(20);
     answers(&mut bench, Some(SECOND), began, &[], &[]);
     // The worker was lost under the task, so that its next start is on record first.
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
     bench.save();
-    assert_eq!(support::starts(&bench.turn())[0].attempt, 2);
+    assert_eq!(support::starts(&bench.run_round())[0].attempt, 2);
 }
 
 /// A successor looks for a worker where the roster says. One that has started again at another address
@@ -510,11 +510,11 @@
     let moved = worker::WorkerEntry { address: "127.0.0.1:9999".to_owned(), ..entry(0, SECOND) };
     bench.core.update_worker(support::worker_id(0), moved, bench.now);
     bench.admit(2, support::job(1, support::tasks(1)));
-    assert_eq!(support::starts(&bench.turn()), []);
+    assert_eq!(support::starts(&bench.run_round()), []);
     bench.save();
-    assert_eq!(support::starts(&bench.turn())[0].address, "127.0.0.1:9999");
+    assert_eq!(support::starts(&bench.run_round())[0].address, "127.0.0.1:9999");
     // Whoever answers at the former address says nothing about it.
-    let former = support::listing(0).address;
+    let former = support::worker_entry(0).address;
     bench.core.worker_replaced(&support::worker_id(0), &former, bench.now);
     assert!(bench.core.worker_ids().any(|it| *it == support::worker_id(0)));
 }
--- a/crates/graph/tests/pool/schedules.rs
+++ b/crates/graph/tests/pool/schedules.rs
@@ -33,7 +33,7 @@
 }
 
 fn end(bench: &mut support::PoolBench, number: u64, start: &order::StartOrder) {
-    bench.lists(0, &[], &[support::ended(number, start, order::EndKind::Done)]);
+    bench.answer_poll(0, &[], &[support::listed_end(number, start, order::EndKind::Done)]);
     bench.save();
 }
 
@@ -42,14 +42,14 @@
     let mut bench = support::PoolBench::new(1);
     set_wall(&mut bench, -1);
     bench.admit(1, timed(vec![support::tasks(1)]));
-    assert_eq!(bench.turn_and_start(), []);
+    assert_eq!(bench.run_round_and_start(), []);
     set_wall(&mut bench, 0);
-    assert_eq!(names(&bench.turn_and_start()), ["0000000000000001.0.0.0"]);
+    assert_eq!(names(&bench.run_round_and_start()), ["0000000000000001.0.0.0"]);
     set_wall(&mut bench, 1_999);
-    assert_eq!(bench.turn_and_start(), []);
+    assert_eq!(bench.run_round_and_start(), []);
     // The first run goes on, and the second begins all the same.
     set_wall(&mut bench, 2_000);
-    assert_eq!(names(&bench.turn_and_start()), ["0000000000000001.1.0.0"]);
+    assert_eq!(names(&bench.run_round_and_start()), ["0000000000000001.1.0.0"]);
 }
 
 /// Runs that were due while nobody scheduled start at once, the earliest first.
@@ -59,7 +59,7 @@
     set_wall(&mut bench, 10_000);
     bench.admit(1, timed(vec![support::tasks(1)]));
     let expected = ["0000000000000001.0.0.0", "0000000000000001.1.0.0", "0000000000000001.2.0.0"];
-    assert_eq!(names(&bench.turn_and_start()), expected);
+    assert_eq!(names(&bench.run_round_and_start()), expected);
 }
 
 /// A step waits for the steps of its own run alone.
@@ -69,11 +69,11 @@
     set_wall(&mut bench, 2_000);
     let second = model::GraphStep { after: vec![0], ..support::tasks(1) };
     bench.admit(1, timed(vec![support::tasks(1), second]));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     assert_eq!(names(&starts), ["0000000000000001.0.0.0", "0000000000000001.1.0.0"]);
-    let still = [support::running(&starts[0], 50)];
-    bench.lists(0, &still, &[support::ended(1, &starts[1], order::EndKind::Done)]);
-    assert_eq!(names(&bench.turn_and_start()), ["0000000000000001.1.1.0"]);
+    let still = [support::listed_run(&starts[0], 50)];
+    bench.answer_poll(0, &still, &[support::listed_end(1, &starts[1], order::EndKind::Done)]);
+    assert_eq!(names(&bench.run_round_and_start()), ["0000000000000001.1.1.0"]);
 }
 
 /// The job is complete with its last run, also where another scheduler has seen the first ones.
@@ -83,7 +83,7 @@
     bench.admit(1, timed(vec![support::tasks(1)]));
     for run in 0..2 {
         set_wall(&mut bench, run * 2_000);
-        let start = bench.turn_and_start().remove(0);
+        let start = bench.run_round_and_start().remove(0);
         end(&mut bench, run as u64 + 1, &start);
         let state = bench.core.state_of(1).map(|it| it.state);
         assert_eq!(state, Some(model::GraphState::Running));
@@ -92,7 +92,7 @@
     let mut successor = support::PoolBench::new(1);
     set_wall(&mut successor, 4_000);
     successor.inherit(1, timed(vec![support::tasks(1)]), progress);
-    let start = successor.turn_and_start().remove(0);
+    let start = successor.run_round_and_start().remove(0);
     assert_eq!(start.task.to_string(), "0000000000000001.2.0.0");
     end(&mut successor, 1, &start);
     assert_eq!(successor.core.state_of(1).map(|it| it.state), Some(model::GraphState::Completed));
--- a/crates/graph/tests/pool/slowness.rs
+++ b/crates/graph/tests/pool/slowness.rs
@@ -14,17 +14,17 @@
 fn a_member_that_waits_for_its_gang_does_not_hang() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::gang(support::whole_workers(2))));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     for step in 0..8 {
-        bench.pass(1_000);
-        let slow = support::running(&starts[1], 5 * step + 5);
-        bench.lists(
+        bench.advance(1_000);
+        let slow = support::listed_run(&starts[1], 5 * step + 5);
+        bench.answer_poll(
             support::index_of(&starts[0].worker),
-            &[support::running(&starts[0], 100)],
+            &[support::listed_run(&starts[0], 100)],
             &[],
         );
-        bench.lists(support::index_of(&starts[1].worker), &[slow], &[]);
-        assert_eq!(support::stops(&bench.turn()), []);
+        bench.answer_poll(support::index_of(&starts[1].worker), &[slow], &[]);
+        assert_eq!(support::stops(&bench.run_round()), []);
     }
 }
 
@@ -32,13 +32,13 @@
 fn a_task_that_stands_still_is_stopped() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     let worker = support::index_of(&start.worker);
     let mut n_stops = 0;
     for _ in 0..4 {
-        bench.pass(1_000);
-        bench.lists(worker, &[support::running(&start, 7)], &[]);
-        n_stops += support::stops(&bench.turn()).len();
+        bench.advance(1_000);
+        bench.answer_poll(worker, &[support::listed_run(&start, 7)], &[]);
+        n_stops += support::stops(&bench.run_round()).len();
     }
     assert_eq!(n_stops, 1);
 }
@@ -62,27 +62,27 @@
     let mut bench = support::PoolBench::new(1);
     let step = model::GraphStep { estimate_ms, ..support::tasks(1) };
     bench.admit(1, support::job(1, step));
-    let mut run = bench.turn_and_start().remove(0);
+    let mut run = bench.run_round_and_start().remove(0);
     let mut began = bench.now;
     let mut n_ends = 0;
     for _ in 0..900 {
-        bench.pass(1_000);
+        bench.advance(1_000);
         let percent = (bench.now - began).as_millis() as u32 / 6_000;
         if percent >= 100 {
             return;
         }
-        bench.lists(0, &[support::running(&run, percent)], &[]);
-        let orders = bench.turn();
+        bench.answer_poll(0, &[support::listed_run(&run, percent)], &[]);
+        let orders = bench.run_round();
         if support::stops(&orders).is_empty() {
             continue;
         }
         assert!(estimate_ms < 100_000, "stopped at {percent} percent");
         n_ends += 1;
-        bench.lists(0, &[], &[support::ended(n_ends, &run, order::EndKind::Stopped)]);
+        bench.answer_poll(0, &[], &[support::listed_end(n_ends, &run, order::EndKind::Stopped)]);
         for _ in 0..30 {
-            bench.pass(1_000);
-            bench.lists(0, &[], &[]);
-            if let Some(start) = bench.turn_and_start().into_iter().next() {
+            bench.advance(1_000);
+            bench.answer_poll(0, &[], &[]);
+            if let Some(start) = bench.run_round_and_start().into_iter().next() {
                 (run, began) = (start, bench.now);
                 break;
             }
@@ -97,7 +97,7 @@
 /// time of their class seemed a tenth of what it is.
 #[test]
 fn runs_found_at_a_takeover_do_not_tell_how_long_their_class_takes() {
-    let mut bench = support::PoolBench::unanswered(2, Duration::ZERO);
+    let mut bench = support::PoolBench::with_unanswered_workers(2, Duration::ZERO);
     bench.inherit(1, support::job(1, support::tasks(8)), None);
     let found = |task| order::StartOrder {
         worker: support::worker_id(0),
@@ -110,12 +110,12 @@
         deadline_ms: 0,
         checkpoint: None,
     };
-    let runs = (0..8).map(|it| support::running(&found(it), 90)).collect::<Vec<_>>();
-    bench.lists(0, &runs, &[]);
-    bench.pass(100);
+    let runs = (0..8).map(|it| support::listed_run(&found(it), 90)).collect::<Vec<_>>();
+    bench.answer_poll(0, &runs, &[]);
+    bench.advance(100);
     let ends = (1..=8).zip(0..8);
-    let ends = ends.map(|(it, task)| support::ended(it, &found(task), order::EndKind::Done));
-    bench.lists(0, &[], &ends.collect::<Vec<_>>());
+    let ends = ends.map(|(it, task)| support::listed_end(it, &found(task), order::EndKind::Done));
+    bench.answer_poll(0, &[], &ends.collect::<Vec<_>>());
     assert_eq!(bench.core.usual_run_time("class-1"), None);
 }
 
@@ -125,27 +125,27 @@
 fn an_answer_that_is_taken_in_late_makes_no_worker_slow() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(0, support::whole_workers(4)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     let asked = bench.now;
     for millis in [500, 1_000] {
         bench.now = asked + Duration::from_millis(millis);
         for start in &starts[1..] {
             let percent = millis as u32 / 25;
-            let run = support::running(start, percent);
-            bench.lists(support::index_of(&start.worker), &[run], &[]);
+            let run = support::listed_run(start, percent);
+            bench.answer_poll(support::index_of(&start.worker), &[run], &[]);
         }
     }
     // What the first worker said half a second after the start comes with what the others say now.
     let listed = order::PollReply {
         incarnation: None,
         clock_ms: (asked + Duration::from_millis(500)).as_millis() as u64,
-        running: vec![support::running(&starts[0], 20)],
+        running: vec![support::listed_run(&starts[0], 20)],
         ended: Vec::new(),
         complete: true,
     };
     bench.now = asked + Duration::from_millis(1_700);
     bench.core.poll_answered(&starts[0].worker, listed, asked, bench.now);
-    assert_eq!(support::stops(&bench.turn()), []);
+    assert_eq!(support::stops(&bench.run_round()), []);
 }
 
 /// Symptom: urgent gangs were stopped on sound workers. Sequence: the last member of a gang starts
@@ -155,22 +155,22 @@
 fn a_gang_that_began_late_makes_no_worker_slow() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(0, support::gang(support::whole_workers(4))));
-    let starts = support::starts(&bench.turn());
+    let starts = support::starts(&bench.run_round());
     let asked = bench.now;
     for start in &starts[1..] {
-        bench.started(start);
+        bench.confirm_start(start);
     }
-    bench.pass(800);
-    bench.started(&starts[0]);
+    bench.advance(800);
+    bench.confirm_start(&starts[0]);
     // It works from then on, for 2.5 s in all.
     let looks = [(0, 1_300, 20), (1, 1_400, 24), (2, 1_400, 24), (3, 1_400, 24)];
     for (member, millis, percent) in looks {
         bench.now = asked + Duration::from_millis(millis);
         let start = &starts[member];
-        let run = support::running(start, percent);
-        bench.lists(support::index_of(&start.worker), &[run], &[]);
+        let run = support::listed_run(start, percent);
+        bench.answer_poll(support::index_of(&start.worker), &[run], &[]);
     }
-    assert_eq!(support::stops(&bench.turn()), []);
+    assert_eq!(support::stops(&bench.run_round()), []);
 }
 
 /// Readings of a run in milliseconds and percent, and what they say of its worker.
--- a/crates/graph/tests/pool/beliefs.rs
+++ b/crates/graph/tests/pool/stuck_states.rs
@@ -19,11 +19,11 @@
 ) -> Vec<order::StartOrder> {
     let mut started = Vec::new();
     for _ in 0..millis / LOOK_MS {
-        bench.pass(LOOK_MS);
+        bench.advance(LOOK_MS);
         for worker in 0..bench.core.summary().n_workers {
-            bench.lists(worker, &[], &[]);
+            bench.answer_poll(worker, &[], &[]);
         }
-        let orders = bench.turn();
+        let orders = bench.run_round();
         for stop in support::stops(&orders) {
             bench.core.stop_answered(&stop, answers_stops, bench.now);
         }
@@ -38,7 +38,7 @@
 fn a_start_that_is_never_answered_is_settled() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
-    assert_eq!(support::starts(&bench.turn()).len(), 1);
+    assert_eq!(support::starts(&bench.run_round()).len(), 1);
     let again = pass_idle(&mut bench, PATIENCE_MS, true);
     assert_eq!(again.iter().map(|it| it.attempt).collect::<Vec<_>>(), [2]);
 }
@@ -48,8 +48,9 @@
 fn a_start_refused_at_a_former_address_is_settled() {
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
-    let moved = worker::WorkerEntry { address: "127.0.0.1:9000".to_owned(), ..support::listing(0) };
+    let start = support::starts(&bench.run_round()).remove(0);
+    let moved =
+        worker::WorkerEntry { address: "127.0.0.1:9000".to_owned(), ..support::worker_entry(0) };
     bench.core.update_worker(start.worker.clone(), moved, bench.now);
     bench.core.start_answered(&start, order::StartAnswer::Replaced, bench.now);
     let again = pass_idle(&mut bench, 1_000, true);
@@ -61,7 +62,7 @@
 fn a_start_without_answer_is_over_behind_its_deadline() {
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
     let early = pass_idle(&mut bench, 2_500, false);
     assert_eq!(early, []);
@@ -74,8 +75,8 @@
 fn a_task_starts_again_where_it_failed_if_there_is_no_other_place() {
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
-    bench.lists(0, &[], &[support::ended(1, &start, order::EndKind::Failed)]);
+    let start = bench.run_round_and_start().remove(0);
+    bench.answer_poll(0, &[], &[support::listed_end(1, &start, order::EndKind::Failed)]);
     let again = pass_idle(&mut bench, PATIENCE_MS, true);
     assert_eq!(again.iter().map(|it| it.attempt).collect::<Vec<_>>(), [2]);
 }
@@ -87,15 +88,15 @@
     let mut n_ends = [0; 4];
     for graph in 1..=130 {
         bench.admit(graph, support::job(1, support::tasks(1)));
-        bench.pass(LOOK_MS);
+        bench.advance(LOOK_MS);
         for worker in 0..4 {
-            bench.lists(worker, &[], &[]);
+            bench.answer_poll(worker, &[], &[]);
         }
-        for start in bench.turn_and_start() {
+        for start in bench.run_round_and_start() {
             let worker = support::index_of(&start.worker);
             n_ends[worker] += 1;
-            let end = support::ended(n_ends[worker], &start, order::EndKind::Failed);
-            bench.lists(worker, &[], &[end]);
+            let end = support::listed_end(n_ends[worker], &start, order::EndKind::Failed);
+            bench.answer_poll(worker, &[], &[end]);
         }
         bench.save();
     }
@@ -111,11 +112,15 @@
     let mut n_ends = [0; 4];
     for graph in 1..=10 {
         bench.admit(graph, support::job(1, support::tasks(1)));
-        let start = bench.turn_and_start().remove(0);
-        bench.pass(500);
+        let start = bench.run_round_and_start().remove(0);
+        bench.advance(500);
         let worker = support::index_of(&start.worker);
         n_ends[worker] += 1;
-        bench.lists(worker, &[], &[support::ended(n_ends[worker], &start, order::EndKind::Done)]);
+        bench.answer_poll(
+            worker,
+            &[],
+            &[support::listed_end(n_ends[worker], &start, order::EndKind::Done)],
+        );
         bench.save();
     }
     let most = model::GraphStep { accelerators: 5, ..support::tasks(1) };
@@ -124,11 +129,11 @@
     }
     let mut long = Vec::new();
     for _ in 0..20 {
-        bench.pass(LOOK_MS);
+        bench.advance(LOOK_MS);
         for worker in 0..4 {
-            bench.lists(worker, &runs_on(&long, worker, 0), &[]);
+            bench.answer_poll(worker, &runs_on(&long, worker, 0), &[]);
         }
-        long.extend(bench.turn_and_start());
+        long.extend(bench.run_round_and_start());
     }
     assert_eq!(long.len(), 4);
     let mut started = Vec::new();
@@ -136,18 +141,18 @@
         if tick == 40 {
             bench.admit(100, support::job(1, support::tasks(1)));
         }
-        bench.pass(LOOK_MS);
+        bench.advance(LOOK_MS);
         for worker in 0..4 {
-            bench.lists(worker, &runs_on(&long, worker, tick / 2), &[]);
+            bench.answer_poll(worker, &runs_on(&long, worker, tick / 2), &[]);
         }
-        started.extend(bench.turn_and_start());
+        started.extend(bench.run_round_and_start());
     }
     assert!(started.iter().any(|it| it.task.graph == 100), "found only {started:?}");
 }
 
 fn runs_on(starts: &[order::StartOrder], worker: usize, percent: u32) -> Vec<order::ListedRun> {
     let there = starts.iter().filter(|it| support::index_of(&it.worker) == worker);
-    there.map(|it| support::running(it, percent)).collect()
+    there.map(|it| support::listed_run(it, percent)).collect()
 }
 
 /// Whatever workers answer, the scheduler goes on.
@@ -157,10 +162,10 @@
     for (first, then) in clocks.iter().flat_map(|one| clocks.map(|other| (*one, other))) {
         let mut bench = support::PoolBench::new(1);
         bench.admit(1, support::job(0, support::tasks(2)));
-        let starts = bench.turn_and_start();
+        let starts = bench.run_round_and_start();
         for (clock_ms, percent) in [(first, 0), (then, 1), (then, u32::MAX), (first, 99)] {
-            bench.pass(1_500);
-            let running = starts.iter().map(|it| support::running(it, percent));
+            bench.advance(1_500);
+            let running = starts.iter().map(|it| support::listed_run(it, percent));
             let listed = order::PollReply {
                 clock_ms,
                 running: running.collect(),
@@ -169,9 +174,9 @@
             };
             bench.core.next_poll(&support::worker_id(0), bench.now);
             bench.core.poll_answered(&support::worker_id(0), listed, bench.now, bench.now);
-            bench.turn();
-            bench.pass(40_000);
-            bench.turn();
+            bench.run_round();
+            bench.advance(40_000);
+            bench.run_round();
         }
     }
 }
@@ -181,11 +186,11 @@
 fn beside_a_busy_worker() -> (support::PoolBench, usize, order::StartOrder) {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::whole_workers(1)));
-    let other = bench.turn_and_start().remove(0);
+    let other = bench.run_round_and_start().remove(0);
     bench.admit(2, support::job(1, support::whole_workers(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     let worker = support::index_of(&start.worker);
-    bench.lists(worker, &[], &[support::ended(1, &start, order::EndKind::Failed)]);
+    bench.answer_poll(worker, &[], &[support::listed_end(1, &start, order::EndKind::Failed)]);
     bench.save();
     (bench, worker, other)
 }
@@ -199,11 +204,11 @@
 ) -> Vec<order::StartOrder> {
     let mut started = Vec::new();
     for _ in 0..seconds {
-        bench.pass(1_000);
-        bench.lists(worker, &[], &[]);
+        bench.advance(1_000);
+        bench.answer_poll(worker, &[], &[]);
         let percent = bench.now.saturating_sub(other.ordered_at).as_secs() as u32;
-        bench.lists(1 - worker, &[support::running(other, percent)], &[]);
-        started.extend(bench.turn_and_start());
+        bench.answer_poll(1 - worker, &[support::listed_run(other, percent)], &[]);
+        started.extend(bench.run_round_and_start());
     }
     started
 }
@@ -213,8 +218,8 @@
 fn a_task_waits_for_another_worker_than_the_one_on_which_it_failed() {
     let (mut bench, worker, other) = beside_a_busy_worker();
     assert_eq!(pass_beside(&mut bench, worker, &other, 4), []);
-    bench.lists(1 - worker, &[], &[support::ended(1, &other, order::EndKind::Done)]);
-    let again = bench.turn_and_start();
+    bench.answer_poll(1 - worker, &[], &[support::listed_end(1, &other, order::EndKind::Done)]);
+    let again = bench.run_round_and_start();
     assert_eq!(again.iter().map(|it| &it.worker).collect::<Vec<_>>(), [&other.worker]);
 }
 
@@ -233,15 +238,15 @@
     const SURELY_OVER_MS: u64 = 20_000;
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = support::starts(&bench.turn()).remove(0);
+    let start = support::starts(&bench.run_round()).remove(0);
     bench.core.start_answered(&start, order::StartAnswer::Unknown, bench.now);
-    bench.pass(1_000);
+    bench.advance(1_000);
     let born = bench.now;
-    let listing = worker::WorkerEntry { incarnation: Some(7), ..support::listing(0) };
+    let listing = worker::WorkerEntry { incarnation: Some(7), ..support::worker_entry(0) };
     bench.core.update_worker(start.worker.clone(), listing, bench.now);
     let mut again = Vec::new();
     for _ in 0..SURELY_OVER_MS / LOOK_MS {
-        bench.pass(LOOK_MS);
+        bench.advance(LOOK_MS);
         let listed = order::PollReply {
             incarnation: Some(7),
             clock_ms: (bench.now - born).as_millis() as u64,
@@ -250,7 +255,7 @@
             complete: true,
         };
         bench.core.poll_answered(&start.worker, listed, bench.now, bench.now);
-        let orders = bench.turn();
+        let orders = bench.run_round();
         for stop in support::stops(&orders) {
             bench.core.stop_answered(&stop, false, bench.now);
         }
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -27,15 +27,15 @@
 impl PoolBench {
     /// `n_workers` workers in racks of eight, all of which have answered.
     pub(crate) fn new(n_workers: usize) -> PoolBench {
-        let mut bench = PoolBench::unanswered(n_workers, Duration::ZERO);
+        let mut bench = PoolBench::with_unanswered_workers(n_workers, Duration::ZERO);
         for index in 0..n_workers {
-            bench.lists(index, &[], &[]);
+            bench.answer_poll(index, &[], &[]);
         }
         bench
     }
 
     /// Workers that have not answered yet; what an earlier scheduler ordered ends by `settles_at`.
-    pub(crate) fn unanswered(n_workers: usize, settles_at: Duration) -> PoolBench {
+    pub(crate) fn with_unanswered_workers(n_workers: usize, settles_at: Duration) -> PoolBench {
         let start = core::PoolStart {
             timing: timing::PoolTiming::default(),
             catalog: Arc::default(),
@@ -47,20 +47,20 @@
             saved: BTreeMap::new(),
         };
         for index in 0..n_workers {
-            bench.core.update_worker(worker_id(index), listing(index), bench.now);
+            bench.core.update_worker(worker_id(index), worker_entry(index), bench.now);
         }
         bench.save();
         bench
     }
 
-    pub(crate) fn pass(&mut self, millis: u64) {
+    pub(crate) fn advance(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
     }
 
     /// Saves everything that has changed.
     pub(crate) fn save(&mut self) {
         while let Some(batch) = self.take_save_batch() {
-            self.keep(&batch);
+            self.record_progress(&batch);
             self.core.batch_saved(batch);
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// Keeps what a batch tells of jobs.
-    pub(crate) fn keep(&mut self, batch: &saving::SaveBatch) {
+    pub(crate) fn record_progress(&mut self, batch: &saving::SaveBatch) {
         for row in &batch.rows {
             let save_queue::SaveKey::Progress { graph, chunk } = row.key else { continue };
             let saving::SaveContent::Progress(content) = &row.content else { continue };
@@ -109,38 +109,38 @@
         self.core.admit(admitted, self.now);
     }
 
-    pub(crate) fn turn(&mut self) -> Vec<order::PoolOrder> {
+    pub(crate) fn run_round(&mut self) -> Vec<order::PoolOrder> {
         self.core.run_round(self.now);
         self.core.take_orders()
     }
 
     /// Turns, and lets every start succeed.
-    pub(crate) fn turn_and_start(&mut self) -> Vec<order::StartOrder> {
-        let starts = starts(&self.turn());
+    pub(crate) fn run_round_and_start(&mut self) -> Vec<order::StartOrder> {
+        let starts = starts(&self.run_round());
         for start in &starts {
-            self.started(start);
+            self.confirm_start(start);
         }
         starts
     }
 
-    pub(crate) fn started(&mut self, start: &order::StartOrder) {
+    pub(crate) fn confirm_start(&mut self, start: &order::StartOrder) {
         let clock_ms = self.clock_ms();
         let answer = order::StartAnswer::Started { clock_ms };
         self.core.start_answered(start, answer, self.now);
     }
 
     /// A worker answers a look sent a moment ago.
-    pub(crate) fn lists(
+    pub(crate) fn answer_poll(
         &mut self,
         worker: usize,
         running: &[order::ListedRun],
         ended: &[order::ListedEnd],
     ) {
-        self.lists_to(worker, running, ended, self.now);
+        self.answer_poll_sent_at(worker, running, ended, self.now);
     }
 
     /// A worker answers a look sent at `sent_at`.
-    pub(crate) fn lists_to(
+    pub(crate) fn answer_poll_sent_at(
         &mut self,
         worker: usize,
         running: &[order::ListedRun],
@@ -176,7 +176,7 @@
     format!("dc{}", index / RACK)
 }
 
-pub(crate) fn listing(index: usize) -> worker::WorkerEntry {
+pub(crate) fn worker_entry(index: usize) -> worker::WorkerEntry {
     let rack = format!("r{}", index / RACK);
     worker::WorkerEntry {
         address: format!("127.0.0.1:{}", 8_000 + index),
@@ -249,12 +249,12 @@
 }
 
 /// A run as a worker lists it.
-pub(crate) fn running(start: &order::StartOrder, percent: u32) -> order::ListedRun {
+pub(crate) fn listed_run(start: &order::StartOrder, percent: u32) -> order::ListedRun {
     order::ListedRun { task: start.task, attempt: start.attempt, checkpoint: None, percent }
 }
 
 /// An end as a worker lists it.
-pub(crate) fn ended(
+pub(crate) fn listed_end(
     number: u64,
     start: &order::StartOrder,
     how: order::EndKind,
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -14,11 +14,11 @@
 
 /// Another worker answers at the address of a worker, and the list has it.
 fn replace(bench: &mut support::PoolBench, index: usize) {
-    let address = support::listing(index).address;
+    let address = support::worker_entry(index).address;
     bench.core.worker_replaced(&support::worker_id(index), &address, bench.now);
-    bench.core.update_worker(support::worker_id(index), support::listing(index), bench.now);
+    bench.core.update_worker(support::worker_id(index), support::worker_entry(index), bench.now);
     bench.save();
-    bench.lists(index, &[], &[]);
+    bench.answer_poll(index, &[], &[]);
 }
 
 fn n_suspects(bench: &support::PoolBench) -> usize {
@@ -27,19 +27,19 @@
 
 /// Turns, saves and turns again, as a suspect starts once that is on record. All starts succeed.
 fn turn_on_record(bench: &mut support::PoolBench) -> Vec<order::StartOrder> {
-    let mut starts = bench.turn_and_start();
+    let mut starts = bench.run_round_and_start();
     bench.save();
-    starts.extend(bench.turn_and_start());
+    starts.extend(bench.run_round_and_start());
     starts
 }
 
 /// Lets the workers of a pool answer that run what was started, and pass for a while.
 fn pass_with(bench: &mut support::PoolBench, starts: &[order::StartOrder], n_workers: usize) {
-    bench.pass(100);
+    bench.advance(100);
     for index in 0..n_workers {
         let here = starts.iter().filter(|it| support::index_of(&it.worker) == index);
-        let running = here.map(|it| support::running(it, 1)).collect::<Vec<_>>();
-        bench.lists(index, &running, &[]);
+        let running = here.map(|it| support::listed_run(it, 1)).collect::<Vec<_>>();
+        bench.answer_poll(index, &running, &[]);
     }
 }
 
@@ -51,7 +51,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..2 {
         let start = turn_on_record(&mut bench).remove(0);
-        bench.pass(3_000);
+        bench.advance(3_000);
         replace(&mut bench, support::index_of(&start.worker));
     }
     bench.save();
@@ -69,7 +69,7 @@
     for ran_ms in [4_000, 300, 500, 200] {
         let starts = turn_on_record(&mut bench);
         pass_with(&mut bench, &starts, 16);
-        bench.pass(ran_ms);
+        bench.advance(ran_ms);
         if ran_ms > 1_000 {
             pass_with(&mut bench, &starts, 16);
         }
@@ -82,12 +82,12 @@
 /// Idle workers of a pool of four are lost one after the other, for 21 s.
 fn lose_others(bench: &mut support::PoolBench) {
     for other in 0..8 {
-        bench.pass(2_600);
-        (0..4).for_each(|it| bench.lists(it, &[], &[]));
+        bench.advance(2_600);
+        (0..4).for_each(|it| bench.answer_poll(it, &[], &[]));
         replace(bench, other % 4);
     }
-    bench.pass(2_600);
-    (0..4).for_each(|it| bench.lists(it, &[], &[]));
+    bench.advance(2_600);
+    (0..4).for_each(|it| bench.answer_poll(it, &[], &[]));
 }
 
 /// Losses right behind each start of a task are put down to the many workers that are lost all the while.
@@ -98,7 +98,7 @@
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..5 {
         let Some(start) = turn_on_record(&mut bench).pop() else { break };
-        bench.pass(150);
+        bench.advance(150);
         replace(&mut bench, support::index_of(&start.worker));
         lose_others(&mut bench);
     }
@@ -113,9 +113,9 @@
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     bench.admit(2, support::job(1, support::tasks(1)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     assert_eq!(starts[0].worker, starts[1].worker);
-    bench.pass(3_000);
+    bench.advance(3_000);
     replace(&mut bench, support::index_of(&starts[0].worker));
     assert_eq!(n_suspects(&bench), 2);
 
@@ -126,10 +126,10 @@
         if let Some(second) = of(2) {
             assert_ne!(first.worker, second.worker);
             pass_with(&mut bench, &starts, 16);
-            let end = support::ended(1, &second, order::EndKind::Done);
-            bench.lists(support::index_of(&second.worker), &[], &[end]);
+            let end = support::listed_end(1, &second, order::EndKind::Done);
+            bench.answer_poll(support::index_of(&second.worker), &[], &[end]);
         }
-        bench.pass(3_000);
+        bench.advance(3_000);
         replace(&mut bench, support::index_of(&first.worker));
     }
     bench.save();
@@ -143,16 +143,16 @@
 fn a_worker_that_lives_on_is_held_against_nobody() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     let index = support::index_of(&start.worker);
     bench.core.poll_missed(&start.worker);
-    bench.pass(7_000);
-    bench.turn();
+    bench.advance(7_000);
+    bench.run_round();
     bench.core.unlist_worker(&start.worker, bench.now);
     assert_eq!(n_suspects(&bench), 1);
 
-    bench.core.update_worker(support::worker_id(index), support::listing(index), bench.now);
-    bench.lists(index, &[], &[support::ended(1, &start, order::EndKind::Lapsed)]);
+    bench.core.update_worker(support::worker_id(index), support::worker_entry(index), bench.now);
+    bench.answer_poll(index, &[], &[support::listed_end(1, &start, order::EndKind::Lapsed)]);
     assert_eq!(n_suspects(&bench), 0);
 }
 
@@ -161,10 +161,10 @@
 fn a_silent_worker_that_is_listed_puts_nobody_under_suspicion() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     bench.core.poll_missed(&start.worker);
-    bench.pass(7_000);
-    bench.turn();
+    bench.advance(7_000);
+    bench.run_round();
     assert_eq!(n_suspects(&bench), 0);
     assert!(bench.core.summary().n_waiting + bench.core.summary().n_running > 0);
 }
@@ -174,12 +174,12 @@
 fn a_worker_that_was_leaving_is_held_against_nobody() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
+    let start = bench.run_round_and_start().remove(0);
     let index = support::index_of(&start.worker);
     let leaves_in = Some(Duration::from_secs(60));
-    let leaving = worker::WorkerEntry { leaves_in, ..support::listing(index) };
+    let leaving = worker::WorkerEntry { leaves_in, ..support::worker_entry(index) };
     bench.core.update_worker(start.worker.clone(), leaving, bench.now);
-    bench.pass(500);
+    bench.advance(500);
     bench.core.worker_replaced(&start.worker, &start.address, bench.now);
     assert_eq!(n_suspects(&bench), 0);
 }
@@ -192,7 +192,7 @@
     for graph in 1..=16 {
         bench.admit(graph, support::job(0, support::whole_workers(1)));
     }
-    let mut starts = bench.turn_and_start();
+    let mut starts = bench.run_round_and_start();
     assert_eq!(starts.len(), 16);
     for _ in 0..8 {
         pass_with(&mut bench, &starts, 16);
@@ -200,7 +200,7 @@
         for start in &struck {
             bench.core.poll_missed(&start.worker);
         }
-        bench.pass(600);
+        bench.advance(600);
         for start in &struck {
             replace(&mut bench, support::index_of(&start.worker));
         }
@@ -220,10 +220,10 @@
 fn a_suspect_runs_apart() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let first = bench.turn_and_start().remove(0);
+    let first = bench.run_round_and_start().remove(0);
     bench.admit(2, support::job(1, support::tasks(1)));
-    let other = bench.turn_and_start().remove(0);
-    bench.pass(1_000);
+    let other = bench.run_round_and_start().remove(0);
+    bench.advance(1_000);
     replace(&mut bench, support::index_of(&first.worker));
     let starts = turn_on_record(&mut bench);
     let suspect = starts.iter().find(|it| it.task == first_task(1)).expect("a start").clone();
@@ -232,7 +232,7 @@
     assert_eq!(first.worker, other.worker);
     // Eight workers' worth of small tasks finds room on the others only.
     bench.admit(3, support::job(0, support::tasks(64)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     assert!(!starts.is_empty());
     assert!(starts.iter().all(|it| it.worker != suspect.worker));
 }
@@ -243,8 +243,8 @@
 fn a_suspect_does_not_wait_without_end() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(24)));
-    let starts = bench.turn_and_start();
-    bench.pass(500);
+    let starts = bench.run_round_and_start();
+    bench.advance(500);
     let lost = support::index_of(&starts[0].worker);
     replace(&mut bench, lost);
     let running = starts.into_iter().filter(|it| support::index_of(&it.worker) != lost);
@@ -265,8 +265,8 @@
     let mut bench = support::PoolBench::new(8);
     bench.admit(1, support::job(1, support::tasks(7)));
     bench.admit(2, support::job(1, support::tasks(1)));
-    let lost = support::index_of(&bench.turn_and_start()[0].worker);
-    bench.pass(1_000);
+    let lost = support::index_of(&bench.run_round_and_start()[0].worker);
+    bench.advance(1_000);
     replace(&mut bench, lost);
     let mut starts = turn_on_record(&mut bench);
     for _ in 0..10 {
@@ -282,15 +282,15 @@
 fn suspects_wait_to_run_apart_behind_an_outage() {
     let mut bench = support::PoolBench::new(3);
     bench.admit(1, support::job(1, support::tasks(5)));
-    let starts = bench.turn_and_start();
+    let starts = bench.run_round_and_start();
     let lost = support::index_of(&starts[0].worker);
     bench.admit(2, support::job(1, support::tasks(8)));
-    let mut running = bench.turn_and_start();
+    let mut running = bench.run_round_and_start();
     running.retain(|it| support::index_of(&it.worker) != lost);
     replace(&mut bench, lost);
     let mut n_starts = Vec::new();
     for millis in [5_000, 500, 500, 500, 500, 500] {
-        bench.pass(millis);
+        bench.advance(millis);
         pass_with(&mut bench, &running, 3);
         let starts = turn_on_record(&mut bench);
         n_starts.push(starts.iter().filter(|it| it.task.graph == 1).count());
@@ -305,8 +305,8 @@
 fn a_successor_goes_on_counting() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
-    bench.pass(3_000);
+    let start = bench.run_round_and_start().remove(0);
+    bench.advance(3_000);
     replace(&mut bench, support::index_of(&start.worker));
     bench.save();
 
@@ -314,7 +314,7 @@
     next.inherit(1, support::job(1, support::tasks(1)), bench.saved.remove(&1));
     assert_eq!(n_suspects(&next), 1);
     let start = turn_on_record(&mut next).remove(0);
-    next.pass(3_000);
+    next.advance(3_000);
     replace(&mut next, support::index_of(&start.worker));
     next.save();
     assert_eq!(next.core.state_of(1).map(|it| it.state), Some(model::GraphState::Failed));
@@ -327,8 +327,8 @@
 fn a_start_on_record_that_nobody_lists_is_counted() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
-    let start = bench.turn_and_start().remove(0);
-    bench.pass(3_000);
+    let start = bench.run_round_and_start().remove(0);
+    bench.advance(3_000);
     replace(&mut bench, support::index_of(&start.worker));
     let second = turn_on_record(&mut bench).remove(0);
     let saved = bench.saved.remove(&1).expect("a start on record");
@@ -340,17 +340,17 @@
 
     let mut next = support::PoolBench::new(16);
     next.inherit(1, support::job(1, support::tasks(1)), Some(saved.clone()));
-    next.turn();
+    next.run_round();
     assert_eq!(n_losses(&mut next), 2);
 
-    let mut next = support::PoolBench::unanswered(16, Duration::from_secs(2_000));
+    let mut next = support::PoolBench::with_unanswered_workers(16, Duration::from_secs(2_000));
     next.inherit(1, support::job(1, support::tasks(1)), Some(saved));
     let index = support::index_of(&second.worker);
-    next.lists(index, &[support::running(&second, 5)], &[]);
+    next.answer_poll(index, &[support::listed_run(&second, 5)], &[]);
     for other in (0..16).filter(|it| *it != index) {
-        next.lists(other, &[], &[]);
+        next.answer_poll(other, &[], &[]);
     }
-    let end = support::ended(1, &second, order::EndKind::Stopped);
-    next.lists(index, &[], &[end]);
+    let end = support::listed_end(1, &second, order::EndKind::Stopped);
+    next.answer_poll(index, &[], &[end]);
     assert_eq!(n_losses(&mut next), 1);
 }
--- a/crates/graph/tests/pool/waits.rs
+++ b/crates/graph/tests/pool/waits.rs
@@ -41,7 +41,7 @@
         let mut play = WaitPlay::new();
         let capacity = resources::Resources { accelerators: 0, ..support::CAPACITY };
         for index in 0..N_WORKERS {
-            let listing = worker::WorkerEntry { capacity, ..support::listing(index) };
+            let listing = worker::WorkerEntry { capacity, ..support::worker_entry(index) };
             play.bench.core.update_worker(support::worker_id(index), listing, play.bench.now);
         }
         play
@@ -51,7 +51,7 @@
     fn start(&mut self, graph: u64, row: model::GraphRow) {
         let n_tasks = row.graph.steps.iter().map(|it| it.tasks).sum::<u32>();
         self.bench.admit(graph, row);
-        let starts = self.bench.turn_and_start();
+        let starts = self.bench.run_round_and_start();
         assert_eq!(starts.len(), n_tasks as usize);
         self.running.extend(starts);
     }
@@ -64,7 +64,7 @@
         for start in ended {
             let worker = support::index_of(&start.worker);
             self.ends[worker] += 1;
-            let end = support::ended(self.ends[worker], &start, order::EndKind::Done);
+            let end = support::listed_end(self.ends[worker], &start, order::EndKind::Done);
             self.look(worker, &[end]);
         }
         self.bench.save();
@@ -72,8 +72,8 @@
 
     fn look(&mut self, worker: usize, ended: &[order::ListedEnd]) {
         let on_it = self.running.iter().filter(|it| support::index_of(&it.worker) == worker);
-        let running = on_it.map(|it| support::running(it, self.percent(it))).collect::<Vec<_>>();
-        self.bench.lists(worker, &running, ended);
+        let running = on_it.map(|it| support::listed_run(it, self.percent(it))).collect::<Vec<_>>();
+        self.bench.answer_poll(worker, &running, ended);
     }
 
     /// How far a task is, one percent a second: one that stands still would be taken to hang.
@@ -85,13 +85,13 @@
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis / TICK_MS {
             self.tick();
-            let starts = self.bench.turn_and_start();
+            let starts = self.bench.run_round_and_start();
             self.running.extend(starts);
         }
     }
 
     fn tick(&mut self) {
-        self.bench.pass(TICK_MS);
+        self.bench.advance(TICK_MS);
         self.bench.core.set_wall_time(self.bench.now);
         for worker in (0..N_WORKERS).filter(|it| !self.silent.contains(it)).collect::<Vec<_>>() {
             self.look(worker, &[]);
@@ -103,7 +103,7 @@
         let mut starts = Vec::new();
         for _ in 0..STARTS_WITHIN_MS / TICK_MS {
             self.tick();
-            starts = support::starts(&self.bench.turn());
+            starts = support::starts(&self.bench.run_round());
             if !starts.is_empty() {
                 break;
             }
@@ -128,7 +128,7 @@
     const LAST: u64 = 99;
     assert!(2 * play.n_in_use() < N_WORKERS);
     play.bench.admit(LAST, row);
-    let starts = play.bench.turn_and_start();
+    let starts = play.bench.run_round_and_start();
     play.running.extend(starts);
     play.pass(STARTS_WITHIN_MS);
     assert!(play.runs(LAST), "{} of {N_WORKERS} workers are in use", play.n_in_use());
@@ -235,9 +235,9 @@
 /// A pool after a takeover, one worker of which does not answer.
 fn unreached() -> support::PoolBench {
     let settles_at = Duration::from_secs(1_040);
-    let mut bench = support::PoolBench::unanswered(4, settles_at);
+    let mut bench = support::PoolBench::with_unanswered_workers(4, settles_at);
     for index in 0..4 {
-        let listing = support::listing(index);
+        let listing = support::worker_entry(index);
         let entry = model::RosterEntry {
             worker: support::worker_id(index),
             address: listing.address,
@@ -253,12 +253,12 @@
 
 fn pass_unreached(bench: &mut support::PoolBench, seconds: u64) {
     for _ in 0..seconds * 10 {
-        bench.pass(100);
+        bench.advance(100);
         bench.core.set_wall_time(bench.now);
         for worker in 0..3 {
-            bench.lists(worker, &[], &[]);
+            bench.answer_poll(worker, &[], &[]);
         }
-        bench.turn_and_start();
+        bench.run_round_and_start();
     }
 }
 
@@ -329,10 +329,10 @@
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..50 {
-        bench.pass(TICK_MS);
+        bench.advance(TICK_MS);
         bench.core.set_wall_time(bench.now);
-        (0..4).for_each(|it| bench.lists(it, &[], &[]));
-        for start in support::starts(&bench.turn()) {
+        (0..4).for_each(|it| bench.answer_poll(it, &[], &[]));
+        for start in support::starts(&bench.run_round()) {
             let refused = order::StartAnswer::Refused(order::StartRefusal::Room);
             bench.core.start_answered(&start, refused, bench.now);
         }
--- a/crates/graph/tests/pool/entries.rs
+++ b/crates/graph/tests/pool/worker_entries.rs
@@ -13,7 +13,7 @@
 fn unguarded_bench() -> support::PoolBench {
     let mut bench = support::PoolBench::new(1);
     bench.core.set_catalog(Arc::new(catalog::PoolCatalog {
-        without_admission_check: [support::listing(0).upstream].into(),
+        without_admission_check: [support::worker_entry(0).upstream].into(),
         ..catalog::PoolCatalog::default()
     }));
     bench.core.note_list_read(bench.now);
@@ -24,9 +24,9 @@
 /// The list tells of the entry anew, behind as many heartbeats, and the worker answers.
 fn tells(bench: &mut support::PoolBench, n_heartbeats: u64) {
     for _ in 0..n_heartbeats {
-        bench.pass(HEARTBEAT_MS);
+        bench.advance(HEARTBEAT_MS);
         bench.core.note_list_read(bench.now);
-        bench.lists(0, &[], &[]);
+        bench.answer_poll(0, &[], &[]);
     }
     bench.core.note_entry_read(&support::worker_id(0));
 }
@@ -34,7 +34,7 @@
 /// How many of the tasks of a job start now.
 fn n_starts(bench: &mut support::PoolBench) -> usize {
     bench.admit(1, support::job(1, support::tasks(1)));
-    support::starts(&bench.turn()).len()
+    support::starts(&bench.run_round()).len()
 }
 
 /// Tasks start beyond a room that has shrunk meanwhile: the store has carried the write of an entry out late.
@@ -55,7 +55,7 @@
         incarnation: Some(1),
         sequence: Some(sequence),
         capacity: resources::Resources { accelerators, ..support::CAPACITY },
-        ..support::listing(0)
+        ..support::worker_entry(0)
     };
     let id = support::worker_id(0);
     assert!(bench.core.update_worker(id.clone(), entry(7, 0), bench.now));
@@ -71,7 +71,7 @@
 fn an_entry_that_comes_in_time_tells_of_room() {
     let mut bench = unguarded_bench();
     tells(&mut bench, 1);
-    bench.pass(HEARTBEAT_MS);
-    bench.lists(0, &[], &[]);
+    bench.advance(HEARTBEAT_MS);
+    bench.answer_poll(0, &[], &[]);
     assert_eq!(n_starts(&mut bench), 1);
 }
