--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -230,7 +230,7 @@
     pub(crate) fn note_contact(&mut self, worker: &ids::WorkerId, clock_ms: u64, now: Duration) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.clock.observe(now, clock_ms);
-            record.answered_at = now;
+            record.last_contact_at = now;
         }
     }
 
--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -64,7 +64,7 @@
         if !worker.listed {
             return Some(ExclusionReason::Unlisted);
         }
-        if !worker.is_responsive() || now >= worker.answered_at + ANSWERED_WITHIN {
+        if !worker.is_responsive() || now >= worker.last_contact_at + ANSWERED_WITHIN {
             return Some(ExclusionReason::Silent);
         }
         if now < worker.paused_until {
--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -172,7 +172,7 @@
     /// the roster.
     pub fn inherit_worker(&mut self, entry: model::RosterEntry, page: u32) {
         for page in self.roster.load_worker(&entry.worker, entry.on_record, page) {
-            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
         let record = self.record_or_new(&entry.worker);
         record.inherited = true;
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -134,7 +134,7 @@
         if record.leaves_at.is_some() {
             return;
         }
-        let last_contact_at = record.answered_at;
+        let last_contact_at = record.last_contact_at;
         if !is_explained(&runs) {
             let tasks = runs.iter().map(|it| it.task).collect();
             self.loss_history.record(last_contact_at, tasks, now);
@@ -249,14 +249,14 @@
     /// that a suspect explains.
     fn scene_of(&self, worker: &ids::WorkerId, now: Duration) -> LossScene<'_> {
         let record = self.workers.get(worker);
-        let last_contact_at = record.map_or(now, |it| it.answered_at);
+        let last_contact_at = record.map_or(now, |it| it.last_contact_at);
         let silent_since =
             record.filter(|it| it.n_missed > 0).map(|it| it.silent_since + MISS_SLACK);
         let lost_by = silent_since.map_or(now, |it| it.min(now));
         let silent = self.workers.iter().filter(|(id, it)| {
             *id != worker
                 && it.n_missed > 0
-                && loss_history::may_share_cause(it.answered_at, last_contact_at)
+                && loss_history::may_share_cause(it.last_contact_at, last_contact_at)
                 && !self.has_suspect_alone(it.runs.iter().copied())
         });
         LossScene { last_contact_at, lost_by, silent: silent.map(|(_, it)| &it.runs).collect() }
@@ -420,7 +420,7 @@
         let named = named.map(|it| format!("{}#{} {} ms", it.task, it.attempt, it.ran.as_millis()));
         let tasks = named.collect::<Vec<_>>().join(", ");
         let record = self.workers.get(worker);
-        let silent_ms = record.map(|it| now.saturating_sub(it.answered_at).as_millis() as u64);
+        let silent_ms = record.map(|it| now.saturating_sub(it.last_contact_at).as_millis() as u64);
         tracing::info!(
             worker,
             sign = sign.name(),
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -31,11 +31,12 @@
 
     /// Removes what is left of a job whose acceptance a dead scheduler has removed already.
     pub fn forget_chunk(&mut self, graph: ids::GraphId, chunk: u32) {
-        self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
+        self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
     }
 
     fn is_saved(&self, graph: ids::GraphId, n_chunks: u32) -> bool {
-        let mut chunks = (0..n_chunks).map(|chunk| save_queue::SaveKey::Progress { graph, chunk });
+        let mut chunks =
+            (0..n_chunks).map(|chunk| save_queue::SaveRowKey::Progress { graph, chunk });
         chunks.all(|it| self.unsaved.is_saved(it))
     }
 }
--- a/crates/graph/src/save_queue.rs
+++ b/crates/graph/src/save_queue.rs
@@ -11,7 +11,7 @@
 
 /// A row that the scheduler writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum SaveKey {
+pub enum SaveRowKey {
     /// What became of a chunk of a job's tasks.
     Progress {
         /// The job.
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RowChange {
     /// The row.
-    pub row: SaveKey,
+    pub row: SaveRowKey,
     /// Number of the change.
     pub change: u64,
 }
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct SaveQueue {
     newest: u64,
-    due: BTreeMap<SaveKey, u64>,
+    due: BTreeMap<SaveRowKey, u64>,
     /// The rows of `due` in the order of their first changes, so that none waits without end.
-    order: BTreeSet<(u64, SaveKey)>,
-    in_flight: BTreeMap<SaveKey, u64>,
-    set_apart: BTreeMap<SaveKey, RefusedRow>,
+    order: BTreeSet<(u64, SaveRowKey)>,
+    in_flight: BTreeMap<SaveRowKey, u64>,
+    set_apart: BTreeMap<SaveRowKey, RefusedRow>,
 }
 
 /// A row that the store refuses.
@@ -55,7 +55,7 @@
 
 impl SaveQueue {
     /// Notes that a row has to be written anew.
-    pub fn mark_changed(&mut self, row: SaveKey) -> RowChange {
+    pub fn mark_changed(&mut self, row: SaveRowKey) -> RowChange {
         self.newest += 1;
         let change = self.newest;
         if !self.due.contains_key(&row) && !self.set_apart.contains_key(&row) {
@@ -66,7 +66,7 @@
     }
 
     /// Takes the row that has waited longest. It is in flight until its outcome is known.
-    pub fn take_oldest(&mut self) -> Option<SaveKey> {
+    pub fn take_oldest(&mut self) -> Option<SaveRowKey> {
         let (change, row) = self.order.pop_first()?;
         self.due.remove(&row);
         self.in_flight.insert(row, change);
@@ -75,7 +75,7 @@
 
     /// Takes a row that the store has refused, once it is to be offered again: by itself, so that
     /// it holds up no other.
-    pub fn take_refused_due(&mut self, now: Duration) -> Option<SaveKey> {
+    pub fn take_refused_due(&mut self, now: Duration) -> Option<SaveRowKey> {
         let refused = self.set_apart.iter().find(|(_, it)| now >= it.again_at);
         let (row, change) = refused.map(|(row, it)| (*row, it.change))?;
         self.set_apart.remove(&row);
@@ -84,12 +84,12 @@
     }
 
     /// A row in flight is durable.
-    pub fn row_saved(&mut self, row: SaveKey) {
+    pub fn row_saved(&mut self, row: SaveRowKey) {
         self.in_flight.remove(&row);
     }
 
     /// The store refuses a row in flight, and would again.
-    pub fn row_refused(&mut self, row: SaveKey, now: Duration) {
+    pub fn row_refused(&mut self, row: SaveRowKey, now: Duration) {
         let Some(change) = self.in_flight.remove(&row) else { return };
         if let Some(later) = self.due.remove(&row) {
             self.order.remove(&(later, row));
@@ -105,17 +105,17 @@
     }
 
     /// Whether the store has the row as it is.
-    pub fn is_saved(&self, row: SaveKey) -> bool {
+    pub fn is_saved(&self, row: SaveRowKey) -> bool {
         self.is_durable(RowChange { row, change: u64::MAX })
     }
 
     /// Whether the store lacks a change of any such row.
-    pub fn has_unsaved(&self, is_such: impl Fn(SaveKey) -> bool) -> bool {
+    pub fn has_unsaved(&self, is_such: impl Fn(SaveRowKey) -> bool) -> bool {
         self.unsaved_rows().any(is_such)
     }
 
     /// The rows of which the store lacks a change, some of them twice.
-    pub fn unsaved_rows(&self) -> impl Iterator<Item = SaveKey> {
+    pub fn unsaved_rows(&self) -> impl Iterator<Item = SaveRowKey> {
         let rows = self.due.keys().chain(self.in_flight.keys()).chain(self.set_apart.keys());
         rows.copied()
     }
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SaveRow {
     /// Which row.
-    pub key: save_queue::SaveKey,
+    pub key: save_queue::SaveRowKey,
     /// What it is to hold.
     pub content: SaveContent,
 }
@@ -87,18 +87,18 @@
     /// The store refuses the row, and would again however often it is written. It is offered again
     /// after a while; until then the ends that it tells of stay with their workers, where a successor
     /// finds them.
-    pub fn row_refused(&mut self, key: save_queue::SaveKey, now: Duration) {
+    pub fn row_refused(&mut self, key: save_queue::SaveRowKey, now: Duration) {
         self.unsaved.row_refused(key, now);
     }
 
-    fn row_to_save(&mut self, key: save_queue::SaveKey) -> SaveRow {
+    fn row_to_save(&mut self, key: save_queue::SaveRowKey) -> SaveRow {
         let content = match key {
-            save_queue::SaveKey::Progress { graph, chunk } => {
+            save_queue::SaveRowKey::Progress { graph, chunk } => {
                 let job = self.jobs.get(&graph);
                 let row = job.and_then(|it| progress::chunk_row(it, chunk));
                 row.map_or(SaveContent::Removed, SaveContent::Progress)
             }
-            save_queue::SaveKey::Roster { page } => self.roster_page(page),
+            save_queue::SaveRowKey::Roster { page } => self.roster_page(page),
         };
         SaveRow { key, content }
     }
@@ -123,7 +123,7 @@
 
     fn row_saved(&mut self, row: SaveRow) {
         match (row.key, row.content) {
-            (save_queue::SaveKey::Roster { page }, content) => {
+            (save_queue::SaveRowKey::Roster { page }, content) => {
                 let workers = match content {
                     SaveContent::Roster(roster) => roster.workers,
                     _ => Vec::new(),
@@ -140,7 +140,7 @@
                 self.roster.page_saved(page, found);
             }
             (
-                save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK },
+                save_queue::SaveRowKey::Progress { graph, chunk: progress::HEAD_CHUNK },
                 SaveContent::Progress(saved),
             ) => {
                 if let Some(job) = self.jobs.get_mut(&graph)
@@ -166,19 +166,21 @@
         let is_gang = job.step(key)?.spec.gang;
         let chunks = if is_gang { progress::chunks_of_step(job, key)? } else { own..=own };
         if job.state != job.durable_state {
-            self.unsaved
-                .mark_changed(save_queue::SaveKey::Progress { graph, chunk: progress::HEAD_CHUNK });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Progress {
+                graph,
+                chunk: progress::HEAD_CHUNK,
+            });
         }
         for chunk in chunks.filter(|it| *it != own) {
-            self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
         }
-        Some(self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk: own }))
+        Some(self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk: own }))
     }
 
     /// Notes that all rows of a job have to be written anew, or removed.
     pub(crate) fn mark_job_changed(&mut self, graph: ids::GraphId, n_chunks: u32) {
         for chunk in 0..n_chunks {
-            self.unsaved.mark_changed(save_queue::SaveKey::Progress { graph, chunk });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
         }
     }
 
@@ -186,7 +188,7 @@
     /// would look for it where it was.
     pub(crate) fn mark_roster_stale(&mut self, worker: &ids::WorkerId) {
         if let Some(page) = self.roster.mark_stale(worker) {
-            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
     }
 
@@ -205,12 +207,12 @@
         let fresh = fresh.map(|(id, _)| id.clone()).collect::<Vec<_>>();
         for worker in gone {
             if let Some(page) = self.roster.remove(&worker) {
-                self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
+                self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
             }
         }
         for worker in fresh {
             let page = self.roster.add(&worker);
-            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
     }
 }
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -33,7 +33,7 @@
                 let is_running =
                     matches!(run.phase, job::RunPhase::Running { .. }) && run.percent < 100;
                 // Counted up to the last answer: without answers no progress is seen either.
-                let stood = worker.answered_at.saturating_sub(run.percent_changed_at);
+                let stood = worker.last_contact_at.saturating_sub(run.percent_changed_at);
                 if is_running && stood >= HANGS_AFTER && stood >= self.hang_patience(*key, run) {
                     hanging.push((id.clone(), *key));
                 }
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -97,7 +97,8 @@
 
     /// Takes note that rows were saved: once the roster is, no note of an earlier scheduler is left.
     pub(crate) fn note_roster_saved(&mut self) {
-        let is_roster = |it: save_queue::SaveKey| matches!(it, save_queue::SaveKey::Roster { .. });
+        let is_roster =
+            |it: save_queue::SaveRowKey| matches!(it, save_queue::SaveRowKey::Roster { .. });
         self.keeps_silence_notes |= !self.unsaved.has_unsaved(is_roster);
     }
 
@@ -108,7 +109,7 @@
 
     fn put_on_roster(&mut self, worker: &ids::WorkerId, are_starts_saved: bool) {
         if let Some(page) = self.roster.set_starts_saved(worker, are_starts_saved) {
-            self.unsaved.mark_changed(save_queue::SaveKey::Roster { page });
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
     }
 
@@ -125,7 +126,7 @@
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let Some(task) = job.task(key) else { return false };
         let Some(chunk) = progress::chunk_of(job, key) else { return false };
-        let row = save_queue::SaveKey::Progress { graph: key.graph, chunk };
+        let row = save_queue::SaveRowKey::Progress { graph: key.graph, chunk };
         let attempt = task.run.as_ref().map(|it| it.attempt);
         attempt.is_some() && task.suspicion.saved_attempt == attempt && self.unsaved.is_saved(row)
     }
--- a/crates/graph/src/unsaved_suspicions.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -21,8 +21,8 @@
     /// What is held against tasks and was not saved.
     pub fn unsaved_suspicions(&self) -> Vec<model::UnsavedSuspicions> {
         let chunks = self.unsaved.unsaved_rows().filter_map(|it| match it {
-            save_queue::SaveKey::Progress { graph, chunk } => Some((graph, chunk)),
-            save_queue::SaveKey::Roster { .. } => None,
+            save_queue::SaveRowKey::Progress { graph, chunk } => Some((graph, chunk)),
+            save_queue::SaveRowKey::Roster { .. } => None,
         });
         let chunks = chunks.collect::<BTreeSet<_>>().into_iter();
         let told = chunks.filter_map(|(graph, chunk)| {
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -404,7 +404,7 @@
             let Some(bar) = self.exclusion_reason(id, worker, now) else { continue };
             let (n_workers, age) = barred.entry(bar).or_default();
             *n_workers += 1;
-            *age = (*age).max(now.saturating_sub(worker.answered_at));
+            *age = (*age).max(now.saturating_sub(worker.last_contact_at));
         }
         let named = barred.iter().map(|(bar, (n_workers, age))| {
             format!("{n_workers} {} (heard up to {} ms ago)", bar.name(), age.as_millis())
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -86,7 +86,7 @@
     /// Its clock and lease.
     pub clock: lease_clock::LeaseClock,
     /// When it last answered anything.
-    pub answered_at: Duration,
+    pub last_contact_at: Duration,
     /// Exchanges without an answer since it last answered a look. While there are any, nobody knows
     /// whether the worker has started again.
     pub n_missed: u32,
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -73,7 +73,7 @@
     /// Keeps what a batch tells of jobs.
     pub(crate) fn record_progress(&mut self, batch: &saving::SaveBatch) {
         for row in &batch.rows {
-            let save_queue::SaveKey::Progress { graph, chunk } = row.key else { continue };
+            let save_queue::SaveRowKey::Progress { graph, chunk } = row.key else { continue };
             let saving::SaveContent::Progress(content) = &row.content else { continue };
             self.saved.entry(graph).or_default().insert(chunk, content.clone());
         }
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -277,8 +277,8 @@
 /// The write of a row of the core.
 fn row_write(row: &saving::SaveRow) -> model::TableWrite {
     let key = match row.key {
-        save_queue::SaveKey::Progress { graph, chunk } => keys::progress(graph, chunk),
-        save_queue::SaveKey::Roster { page } => keys::roster(page),
+        save_queue::SaveRowKey::Progress { graph, chunk } => keys::progress(graph, chunk),
+        save_queue::SaveRowKey::Roster { page } => keys::roster(page),
     };
     match &row.content {
         saving::SaveContent::Progress(content) => encode_write(key, content),
--- a/crates/pool/tests/row_sizes.rs
+++ b/crates/pool/tests/row_sizes.rs
@@ -27,7 +27,7 @@
 }
 
 /// Everything that the core wants to save, by row.
-fn save_all(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveKey, saving::SaveContent> {
+fn save_all(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveRowKey, saving::SaveContent> {
     let mut saved = BTreeMap::new();
     while let Some(batch) = core.take_save_batch(Duration::ZERO, |_| true) {
         saved.extend(batch.rows.iter().map(|it| (it.key, it.content.clone())));
@@ -45,14 +45,14 @@
     encoded.expect("a message").len()
 }
 
-fn assert_all_fit(saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>) {
+fn assert_all_fit(saved: &BTreeMap<save_queue::SaveRowKey, saving::SaveContent>) {
     for (key, content) in saved {
         let n_bytes = n_bytes(content);
         assert!(n_bytes <= ROW_BYTES, "{key:?}: {n_bytes} bytes");
     }
 }
 
-fn workers_in(saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>) -> BTreeSet<String> {
+fn workers_in(saved: &BTreeMap<save_queue::SaveRowKey, saving::SaveContent>) -> BTreeSet<String> {
     let pages = saved.values().filter_map(|it| match it {
         saving::SaveContent::Roster(row) => Some(&row.workers),
         _ => None,
@@ -106,7 +106,7 @@
     let saved = save_all(&mut core);
     assert_all_fit(&saved);
     assert_eq!(workers_in(&saved).len(), 1_000);
-    assert!(saved.contains_key(&save_queue::SaveKey::Roster { page: 0 }));
+    assert!(saved.contains_key(&save_queue::SaveRowKey::Roster { page: 0 }));
     assert_eq!(save_all(&mut core).len(), 0);
 }
 
@@ -205,8 +205,10 @@
 
     let mut divided = progress::SavedChunks::default();
     for (key, content) in saved {
-        if let (save_queue::SaveKey::Progress { chunk, .. }, saving::SaveContent::Progress(row)) =
-            (key, content)
+        if let (
+            save_queue::SaveRowKey::Progress { chunk, .. },
+            saving::SaveContent::Progress(row),
+        ) = (key, content)
         {
             divided.insert(chunk, row);
         }
