--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -269,7 +269,7 @@
             is_confirmed_by_incarnation: false,
             is_remote,
             is_from_scratch: task.checkpoint.is_none(),
-            since: now,
+            tracked_since: now,
             percent: 0,
             percent_changed_at: now,
             pace: pace::RunPace::not_started(),
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -130,7 +130,7 @@
     /// Whether it was here from its beginning, so that its end tells how long its class takes.
     pub is_from_scratch: bool,
     /// When it was ordered, or found.
-    pub since: Duration,
+    pub tracked_since: Duration,
     /// Progress that the worker reported last, in percent.
     pub percent: u32,
     /// When the progress last changed.
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -223,8 +223,9 @@
             let job = self.jobs.get(&key.graph)?;
             let task = job.task(*key)?;
             let run = task.run.as_ref()?;
-            let latest_loss_offset =
-                job.has_comparable_run_time(*key).then(|| scene.lost_by.saturating_sub(run.since));
+            let latest_loss_offset = job
+                .has_comparable_run_time(*key)
+                .then(|| scene.lost_by.saturating_sub(run.tracked_since));
             let longest = latest_loss_offset.map(|it| task.suspicion.longest_run().max(it));
             let exposure = self.exposure(*key, now);
             let early = longest.map_or(exposure, |it| it.min(exposure));
@@ -232,7 +233,7 @@
                 task: *key,
                 unit: job.unit_of(*key)?,
                 attempt: run.attempt,
-                ran: now.saturating_sub(run.since),
+                ran: now.saturating_sub(run.tracked_since),
                 is_confirmed: run.is_confirmed,
                 is_suspect: task.suspicion.is_suspect(),
                 n_losses: task.suspicion.losses().len(),
@@ -285,7 +286,7 @@
     /// The share of its run time within which a task was struck.
     fn run_share_at_loss(&self, scene: &LossScene, key: task_key::TaskKey, now: Duration) -> f64 {
         let Some(run) = self.task_run(key) else { return 1.0 };
-        let ran = scene.lost_by.saturating_sub(run.since).as_secs_f64();
+        let ran = scene.lost_by.saturating_sub(run.tracked_since).as_secs_f64();
         let exposure = self.exposure(key, now).as_secs_f64();
         if exposure > 0.0 { (ran / exposure).min(1.0) } else { 1.0 }
     }
@@ -320,7 +321,7 @@
         let Some(run) = self.task_run(key) else { return usual };
         let pace = run.pace.latest().filter(|it| *it > 0.0);
         let whole = pace.map_or(Duration::ZERO, |it| Duration::from_secs_f64(100.0 / it));
-        whole.max(usual).max(now.saturating_sub(run.since))
+        whole.max(usual).max(now.saturating_sub(run.tracked_since))
     }
 
     /// Whether one unit runs alone, and is under suspicion.
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -85,7 +85,8 @@
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.task_run(key) else { return true };
         let longest = lease_clock::max_local_span(self.timing.longest_lease);
-        run.is_confirmed_by_incarnation || now >= run.since + self.timing.start_timeout + longest
+        run.is_confirmed_by_incarnation
+            || now >= run.tracked_since + self.timing.start_timeout + longest
     }
 
     /// Whether no life behind the known one of its worker can have taken a start: it would have told of itself
@@ -98,7 +99,8 @@
         };
         let is_told_life =
             worker.incarnation.is_some() && worker.entry_incarnation == worker.incarnation;
-        let told_by = run.since + self.timing.start_timeout + self.timing.heartbeat + ENTRY_MARGIN;
+        let told_by =
+            run.tracked_since + self.timing.start_timeout + self.timing.heartbeat + ENTRY_MARGIN;
         is_told_life && start.generation == worker.generation && self.list_read_at >= told_by
     }
 
@@ -186,7 +188,7 @@
     /// How much longer a run is expected to take.
     pub(crate) fn expected_time_left(&self, key: task_key::TaskKey, now: Duration) -> Duration {
         let Some(run) = self.task_run(key) else { return Duration::ZERO };
-        let ran = now.saturating_sub(run.since);
+        let ran = now.saturating_sub(run.tracked_since);
         if let Some(pace) = run.pace.latest().filter(|it| *it > 0.0) {
             let left = f64::from(100 - run.percent.min(100)) / pace;
             return Duration::from_secs_f64(left)
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -50,7 +50,7 @@
             for key in &worker.runs {
                 let Some(run) = self.task_run(*key) else { continue };
                 let is_open = !run.is_confirmed && !run.is_reported_overdue;
-                if is_open && now >= run.since + longest {
+                if is_open && now >= run.tracked_since + longest {
                     overdue.push(OverdueStart { worker: id.clone(), task: *key, phase: run.phase });
                 }
             }
@@ -75,7 +75,7 @@
             attempt = run.map(|it| it.attempt),
             worker = start.worker,
             belief = start.phase.name(),
-            age_ms = run.map(|it| now.saturating_sub(it.since).as_millis() as u64),
+            age_ms = run.map(|it| now.saturating_sub(it.tracked_since).as_millis() as u64),
             worker_answers = worker.is_some_and(|it| it.is_responsive()),
             "start is unsettled for longer than it can be"
         );
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -247,7 +247,7 @@
             is_confirmed_by_incarnation: true,
             is_remote: false,
             is_from_scratch: false,
-            since: now,
+            tracked_since: now,
             percent: listed.percent,
             percent_changed_at: now,
             pace: pace::RunPace::new(clock, listed.percent),
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -207,7 +207,7 @@
             return None;
         }
         let saves = self.jobs.get(&key.graph)?.step(key)?.spec.saves;
-        let ran = now.saturating_sub(run.since).as_millis() as u64;
+        let ran = now.saturating_sub(run.tracked_since).as_millis() as u64;
         // A stop saves a task that saves checkpoints.
         let lost = if saves { 0 } else { ran };
         let weight = self.room_of(key).weight() / 1_000;
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -69,7 +69,7 @@
         if job.priority != preemption::URGENT_PRIORITY || !is_running || run.attempt >= MOST_MOVES {
             return false;
         }
-        let is_young = now <= run.since + MOVES_WITHIN;
+        let is_young = now <= run.tracked_since + MOVES_WITHIN;
         let is_slow = self.pace_of(key) == pace::PaceVerdict::Slow;
         let mean = self.run_times.mean(&job.class);
         let anew = self.timing.stop_timeout + mean + mean / 4;
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -61,7 +61,7 @@
 
     /// How long a run may show no progress.
     fn hang_patience(&self, key: task_key::TaskKey, run: &job::TaskRun) -> Duration {
-        let worked = run.percent_changed_at.saturating_sub(run.since);
+        let worked = run.percent_changed_at.saturating_sub(run.tracked_since);
         let is_cheap = self.saves_checkpoints(key) || worked <= HANGS_AFTER;
         let least = if is_cheap { HANGS_AFTER } else { HANGS_LONG_AFTER };
         let seen = run.pace.latest().filter(|it| *it > 0.0);
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -24,7 +24,7 @@
         let task = job.task_mut(key)?;
         let known = task.run.as_ref();
         let known = known.filter(|it| it.worker == *worker && it.attempt == end.attempt);
-        let since = known.map(|it| it.since);
+        let since = known.map(|it| it.tracked_since);
         let tells = known.is_some_and(|it| it.is_from_scratch && !it.is_remote);
         task.attempt = task.attempt.max(end.attempt);
         task.ended_attempt = task.ended_attempt.max(end.attempt);
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -415,10 +415,10 @@
 
 /// The order that has been open for longest.
 fn open_order_reason(job: &job::JobRecord, now: Duration) -> WaitReason {
-    let oldest = job.runs().min_by_key(|it| it.since);
+    let oldest = job.runs().min_by_key(|it| it.tracked_since);
     let detail = oldest.map_or(String::new(), |it| {
         format!("attempt {} on {}: {:?}", it.attempt, it.worker, it.phase)
     });
-    let age = oldest.map_or(Duration::ZERO, |it| now.saturating_sub(it.since));
+    let age = oldest.map_or(Duration::ZERO, |it| now.saturating_sub(it.tracked_since));
     WaitReason { cause: WaitCause::OpenOrder, detail, age }
 }
