--- a/crates/graph/src/candidate.rs
+++ b/crates/graph/src/candidate.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerCandidate {
     /// The worker.
-    pub place: Arc<WorkerProfile>,
+    pub profile: Arc<WorkerProfile>,
     /// Number of its rack, from 0; racks are compared often.
     pub rack: usize,
     /// Number of the upstream whose tasks it runs, for the same reason.
@@ -122,7 +122,7 @@
 
     /// What has to be kept on a berth for one of its tasks: all of it where the unit runs apart.
     pub fn kept_resources(&self, candidate: &WorkerCandidate) -> resources::Resources {
-        if self.is_isolated { candidate.place.capacity } else { self.per_task }
+        if self.is_isolated { candidate.profile.capacity } else { self.per_task }
     }
 
     /// How many of its tasks fit in `free` of that berth, as far as the berth may be used at all.
@@ -150,8 +150,8 @@
 
     fn allows(&self, candidate: &WorkerCandidate) -> bool {
         candidate.upstream == self.upstream
-            && self.label.is_none_or(|it| candidate.place.labels.iter().any(|label| label == it))
-            && !self.avoids.contains(&candidate.place.worker.as_str())
+            && self.label.is_none_or(|it| candidate.profile.labels.iter().any(|label| label == it))
+            && !self.avoids.contains(&candidate.profile.worker.as_str())
     }
 }
 
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -163,7 +163,7 @@
         let mut racks = BTreeMap::<&str, usize>::new();
         let mut upstreams = BTreeMap::<&str, usize>::new();
         let candidates = usable.map(|(_, it)| candidate::WorkerCandidate {
-            place: Arc::clone(&it.place),
+            profile: Arc::clone(&it.place),
             rack: number_of(&it.place.rack, &mut racks),
             upstream: number_of(&it.place.upstream, &mut upstreams),
             used: it.in_use(),
@@ -208,7 +208,7 @@
         let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
         let is_remote = is_off || (request.same_rack && racks.len() > 1);
         let workers =
-            chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
+            chosen.iter().map(|it| candidates[*it].profile.worker.clone()).collect::<Vec<_>>();
         let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_remote };
         self.start_unit(unit, places, now);
         StartOutcome::Started
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -65,7 +65,7 @@
 ) -> BTreeSet<&'a str> {
     let lost_workers = tasks.iter().flat_map(|it| &it.lost_workers).map(String::as_str);
     let lost_workers = lost_workers.collect::<BTreeSet<_>>();
-    let has_others = candidates.iter().any(|it| !lost_workers.contains(it.place.worker.as_str()));
+    let has_others = candidates.iter().any(|it| !lost_workers.contains(it.profile.worker.as_str()));
     if has_others { lost_workers } else { BTreeSet::new() }
 }
 
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -44,7 +44,7 @@
     }
     let mut n_by_rack = vec![0; n_racks(candidates)];
     for (index, it) in candidates.iter().enumerate() {
-        n_by_rack[it.rack] += request.count_on(index, it, it.place.capacity);
+        n_by_rack[it.rack] += request.count_on(index, it, it.profile.capacity);
     }
     match request.rack_number {
         Some(rack) => n_by_rack.get(rack).is_some_and(|it| *it >= request.n_tasks),
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -103,7 +103,7 @@
             return 0;
         }
         // By the largest: the room of any one worker may have shrunk for a while.
-        let rooms = candidates.iter().map(|it| it.place.capacity);
+        let rooms = candidates.iter().map(|it| it.profile.capacity);
         let each = rooms.max_by_key(|it| it.accelerators).unwrap_or_default();
         let n = self.headroom.n_workers(each, candidates.len());
         if job.priority == preemption::URGENT_PRIORITY + 1 { n / 2 } else { 2 * n }
@@ -112,13 +112,13 @@
 
 /// Number of an upstream; one that no berth has where it has no workers.
 fn upstream_number(upstream: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
-    let known = candidates.iter().find(|it| it.place.upstream == upstream);
+    let known = candidates.iter().find(|it| it.profile.upstream == upstream);
     known.map_or(usize::MAX, |it| it.upstream)
 }
 
 /// Number of a rack; one that no berth has where the rack is not there.
 fn rack_number(rack: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
-    let known = candidates.iter().find(|it| it.place.rack == rack);
+    let known = candidates.iter().find(|it| it.profile.rack == rack);
     known.map_or(usize::MAX, |it| it.rack)
 }
 
@@ -130,7 +130,7 @@
     let workers = step.tasks.iter().filter_map(|it| it.run.as_ref()).map(|it| &it.worker);
     let mut n_present = vec![0; candidates.len()];
     for worker in workers {
-        if let Some(index) = candidates.iter().position(|it| it.place.worker == *worker) {
+        if let Some(index) = candidates.iter().position(|it| it.profile.worker == *worker) {
             n_present[index] += 1;
         }
     }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -131,7 +131,7 @@
         let until = now + self.timing.stop_timeout + CLAIM_SLACK;
         for (index, room) in plan.candidates.into_iter().zip(kept) {
             candidates[index].claims.push((unit, room));
-            if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
+            if let Some(record) = self.workers.get_mut(&candidates[index].profile.worker) {
                 record.claims.push(worker::ResourceClaim { unit, room, until });
             }
         }
@@ -160,7 +160,7 @@
     /// Room of tasks that are being stopped, by berth.
     fn freeing(&self, candidates: &[candidate::WorkerCandidate]) -> Vec<resources::Resources> {
         let on_berth = |it: &candidate::WorkerCandidate| {
-            let runs = self.workers.get(&it.place.worker).map(|it| &it.runs);
+            let runs = self.workers.get(&it.profile.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
                 .flatten()
@@ -179,7 +179,7 @@
     ) -> preemption_plan::VictimSet {
         let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::PreemptionVictim>::new();
         for (index, candidate) in candidates.iter().enumerate() {
-            let Some(record) = self.workers.get(&candidate.place.worker) else { continue };
+            let Some(record) = self.workers.get(&candidate.profile.worker) else { continue };
             for key in &record.runs {
                 let Some(job) = self.jobs.get(&key.graph) else { continue };
                 let is_urgent = job.priority == URGENT_PRIORITY;
--- a/crates/graph/src/preemption_plan.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -199,7 +199,7 @@
     fn option_on(&self, index: usize) -> Option<PlanOption> {
         let candidate = &self.candidates[index];
         // The limit per worker has to hold with the tasks of this plan, whose room is taken here.
-        let limit = self.request.count_on(index, candidate, candidate.place.capacity);
+        let limit = self.request.count_on(index, candidate, candidate.profile.capacity);
         if limit <= self.n_placed.get(&index).copied().unwrap_or_default() {
             return None;
         }
@@ -221,7 +221,7 @@
     /// Whether one more task fits on a berth with that much in use. One that runs apart needs it empty.
     fn fits(&self, index: usize, used: resources::Resources) -> bool {
         let candidate = &self.candidates[index];
-        let free = candidate.place.capacity.minus(used);
+        let free = candidate.profile.capacity.minus(used);
         let n_placed = self.n_placed.get(&index).copied().unwrap_or_default();
         let is_empty = n_placed > 0 || used == resources::Resources::default();
         let left = candidate.available_to(self.request.unit, free);
--- a/crates/graph/src/reservation.rs
+++ b/crates/graph/src/reservation.rs
@@ -44,7 +44,7 @@
 
     fn n_ever(&self, index: usize) -> u32 {
         let it = &self.candidates[index];
-        self.request.count_on(index, it, it.place.capacity)
+        self.request.count_on(index, it, it.profile.capacity)
     }
 
     /// The berths within which the unit has to lie.
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -300,7 +300,7 @@
         let outlook =
             wait.unit.and_then(|it| self.outlook(it, candidates, now)).unwrap_or_default();
         let reason = self.reason(wait, job, &outlook, now);
-        let n_workers = candidates.iter().filter(|it| it.place.upstream == job.upstream).count();
+        let n_workers = candidates.iter().filter(|it| it.profile.upstream == job.upstream).count();
         let message = if is_left { "job is left standing beside room" } else { "job waits" };
         macro_rules! tell {
             ($level:ident) => {
