--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -203,7 +203,7 @@
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
         record.n_missed += 1;
-        record.incarnation_trust.close();
+        record.ack_window.close();
         if record.n_missed > 1 {
             return false;
         }
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -171,7 +171,7 @@
             n_runs: it.runs.len() + it.unwanted_runs.len(),
             failed_lately: it.health.has_recent_failures(),
             is_exclusive: !it.isolated_runs.is_empty(),
-            claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
+            claims: it.claims.iter().map(|it| (it.unit, it.resources)).collect(),
             reserved: Vec::new(),
         });
         candidates.collect()
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -62,7 +62,7 @@
             (true, true) => busy_wait,
             (true, false) => IDLE_WAIT,
         };
-        record.incarnation_trust.poll_sent(wait, ack);
+        record.ack_window.poll_sent(wait, ack);
         Some(order::PollRequest {
             address: record.entry.address.clone(),
             generation: record.generation,
@@ -115,7 +115,7 @@
         record.incarnation = listed.incarnation.or(record.incarnation);
         record.n_missed = 0;
         record.has_lapsed = false;
-        record.incarnation_trust.poll_answered(sent_at, now);
+        record.ack_window.poll_answered(sent_at, now);
         record.lowest_listed_end = listed.ended.first().map(|it| it.number);
         let is_first = !record.fenced;
         record.fenced = true;
@@ -272,7 +272,7 @@
         let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
         let room = room.unwrap_or(record.entry.capacity);
-        let fresh = worker::UnwantedRun { attempt: run.attempt, room, asked_at: None };
+        let fresh = worker::UnwantedRun { attempt: run.attempt, resources: room, asked_at: None };
         let stray = record.unwanted_runs.entry(run.task).or_insert(fresh);
         stray.attempt = stray.attempt.max(run.attempt);
         if stray.asked_at.is_some_and(|it| now < it + STRAY_AGAIN) {
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -132,7 +132,7 @@
         for (index, room) in plan.candidates.into_iter().zip(kept) {
             candidates[index].claims.push((unit, room));
             if let Some(record) = self.workers.get_mut(&candidates[index].profile.worker) {
-                record.claims.push(worker::ResourceClaim { unit, room, until });
+                record.claims.push(worker::ResourceClaim { unit, resources: room, until });
             }
         }
     }
--- a/crates/graph/src/save_queue.rs
+++ b/crates/graph/src/save_queue.rs
@@ -32,7 +32,7 @@
     /// The row.
     pub row: SaveRowKey,
     /// Number of the change.
-    pub change: u64,
+    pub number: u64,
 }
 
 /// The rows that differ from what the store has, each with the first change that it lacks.
@@ -62,7 +62,7 @@
             self.due.insert(row, change);
             self.order.insert((change, row));
         }
-        RowChange { row, change }
+        RowChange { row, number: change }
     }
 
     /// Takes the row that has waited longest. It is in flight until its outcome is known.
@@ -99,14 +99,14 @@
 
     /// Whether a change has reached the store.
     pub fn is_durable(&self, mark: RowChange) -> bool {
-        let lacks = |first: Option<&u64>| first.is_some_and(|it| *it <= mark.change);
+        let lacks = |first: Option<&u64>| first.is_some_and(|it| *it <= mark.number);
         let refused = self.set_apart.get(&mark.row).map(|it| &it.change);
         !lacks(self.due.get(&mark.row)) && !lacks(self.in_flight.get(&mark.row)) && !lacks(refused)
     }
 
     /// Whether the store has the row as it is.
     pub fn is_saved(&self, row: SaveRowKey) -> bool {
-        self.is_durable(RowChange { row, change: u64::MAX })
+        self.is_durable(RowChange { row, number: u64::MAX })
     }
 
     /// Whether the store lacks a change of any such row.
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -95,7 +95,7 @@
     /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
     pub has_lapsed: bool,
     /// What its looks tell of which life it is in.
-    pub incarnation_trust: ack_window::AckWindow,
+    pub ack_window: ack_window::AckWindow,
     /// Lowest end that its last answer has listed.
     pub lowest_listed_end: Option<u64>,
     /// Highest end that was taken in.
@@ -130,7 +130,7 @@
     /// The unit.
     pub unit: task_key::UnitKey,
     /// How much.
-    pub room: resources::Resources,
+    pub resources: resources::Resources,
     /// Lapses then, in case the unit went elsewhere.
     pub until: Duration,
 }
@@ -150,7 +150,7 @@
     /// Its attempt.
     pub attempt: u32,
     /// What it takes: all that the worker offers where its job is not known any more.
-    pub room: resources::Resources,
+    pub resources: resources::Resources,
     /// When a stop was last sent.
     pub asked_at: Option<Duration>,
 }
@@ -164,7 +164,7 @@
     /// What is in use, by tasks that should be there and by those that are being stopped because they
     /// should not.
     pub fn in_use(&self) -> resources::Resources {
-        self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.room))
+        self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.resources))
     }
 
     /// What is free. A worker that refuses nothing would be filled beyond its room beside runs that are
@@ -193,7 +193,7 @@
         if !is_owed {
             return ack_window::EndAck::Nothing;
         }
-        if self.is_responsive() && self.incarnation_trust.is_open(now) {
+        if self.is_responsive() && self.ack_window.is_open(now) {
             ack_window::EndAck::UpTo(self.acknowledged)
         } else {
             ack_window::EndAck::VerifyFirst
