--- a/crates/pool/src/feed_monitor.rs
+++ b/crates/pool/src/feed_monitor.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether the whole table is to be read in place of the feed now; not again for a while then.
-    pub(crate) fn take_table_due(&mut self) -> bool {
+    pub(crate) fn claim_table_read(&mut self) -> bool {
         let now = Instant::now();
         let due = self.outage.as_mut().filter(|it| now >= it.table_due);
         due.map(|it| it.table_due = now + TABLE_AFTER).is_some()
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -53,7 +53,7 @@
     monitor: &mut feed_monitor::FeedMonitor,
     after: ids::RowVersion,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
-    if monitor.take_table_due() {
+    if monitor.claim_table_read() {
         return Ok(store_call::snapshot(state, keys::GRAPHS).await?);
     }
     match store_call::follow(state, keys::GRAPHS, after, WAIT).await {
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -191,7 +191,7 @@
     tracing::info!(epoch = taken.epoch, version = taken.version, "tenure taken");
     metrics::counter!("almondpass_pool_tenures_total").increment(1);
     let (epoch, version) = (taken.epoch, taken.version);
-    state.set_taken_epoch(Some(epoch));
+    state.set_acquired_epoch(Some(epoch));
     let mut core = core::PoolCore::new(core::PoolStart {
         timing: state.settings.terms,
         catalog: Arc::default(),
@@ -227,7 +227,7 @@
         let unsaved = self.leader.core().unsaved_suspicions();
         self.state.record_tenure_end(self.leader.ordered_at(), unsaved);
         self.state.set_leader(None);
-        self.state.set_taken_epoch(None);
+        self.state.set_acquired_epoch(None);
         metrics::gauge!("almondpass_pool_held").set(0.0);
     }
 }
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -106,7 +106,7 @@
         // No two processes answer at one address: that one has ended before this one began.
         return over_for(state.started_at, Vec::new());
     }
-    if state.taken_epoch().is_some_and(|it| it > query.epoch) {
+    if state.acquired_epoch().is_some_and(|it| it > query.epoch) {
         return over_for(clock.now(), Vec::new());
     }
     let leader = state.leader();
@@ -118,7 +118,7 @@
         if ends_now {
             return over_for(clock.now(), leader.core().unsaved_suspicions());
         }
-    } else if leader.is_none() && state.taken_epoch().is_some() {
+    } else if leader.is_none() && state.acquired_epoch().is_some() {
         return model::TenureAnswer::default();
     }
     let ordered_at = leader.as_ref().and_then(|it| it.ordered_at()).max(state.last_order_at());
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -66,7 +66,7 @@
     /// The tenure, while this instance holds it.
     leader: Mutex<Option<Arc<leader::LeaderState>>>,
     /// Number of the tenure from its taking on, before its rows are read.
-    taken_epoch: Mutex<Option<ids::Epoch>>,
+    acquired_epoch: Mutex<Option<ids::Epoch>>,
     /// When an order of a tenure that is over here may have left last.
     last_order_at: Mutex<Option<Duration>>,
     /// What the last such tenure held against tasks and had not saved.
@@ -107,7 +107,7 @@
             shutdown: CancellationToken::new(),
             holder: Mutex::default(),
             leader: Mutex::default(),
-            taken_epoch: Mutex::default(),
+            acquired_epoch: Mutex::default(),
             last_order_at: Mutex::default(),
             unsaved: Mutex::default(),
             store_unavailable: AtomicBool::new(false),
@@ -129,12 +129,12 @@
     }
 
     /// Number of the tenure that this instance has taken and not ended.
-    pub(crate) fn taken_epoch(&self) -> Option<ids::Epoch> {
-        *lock(&self.taken_epoch)
+    pub(crate) fn acquired_epoch(&self) -> Option<ids::Epoch> {
+        *lock(&self.acquired_epoch)
     }
 
-    pub(crate) fn set_taken_epoch(&self, epoch: Option<ids::Epoch>) {
-        *lock(&self.taken_epoch) = epoch;
+    pub(crate) fn set_acquired_epoch(&self, epoch: Option<ids::Epoch>) {
+        *lock(&self.acquired_epoch) = epoch;
     }
 
     /// When an order of a tenure that is over here may have left last, if any has.
--- a/crates/pool/src/worker_follower.rs
+++ b/crates/pool/src/worker_follower.rs
@@ -36,7 +36,7 @@
 ) {
     let mut monitor = feed_monitor::FeedMonitor::new("workers");
     loop {
-        if monitor.take_table_due() {
+        if monitor.claim_table_read() {
             after = read_anew(&state, &leader, after).await.map_or(after, |it| after.max(it));
         }
         let asked_at = state.adapters.clock().now();
