--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -62,8 +62,8 @@
         }
         let Some(run) = self.run_of(&stop.worker, stop.task, stop.attempt) else { return };
         let is_confirmed = run.is_confirmed;
-        if let job::RunPhase::Stopping { acked_at, .. } = &mut run.phase {
-            acked_at.get_or_insert(now);
+        if let job::RunPhase::Stopping { stop_acked_at, .. } = &mut run.phase {
+            stop_acked_at.get_or_insert(now);
             if !is_confirmed {
                 // It may never have started, and then no end is listed: only a look tells.
                 self.order_poll(&stop.worker);
@@ -202,9 +202,9 @@
     /// Takes note of an exchange that had no answer. Tells whether it is the first behind an answer.
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
-        record.n_missed += 1;
+        record.n_missed_calls += 1;
         record.ack_window.close();
-        if record.n_missed > 1 {
+        if record.n_missed_calls > 1 {
             return false;
         }
         record.silent_since = self.last_maintenance_at;
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -328,7 +328,7 @@
         if run.phase.is_stopping() {
             return;
         }
-        run.phase = job::RunPhase::Stopping { asked_at: now, acked_at: None };
+        run.phase = job::RunPhase::Stopping { stop_sent_at: now, stop_acked_at: None };
         let (worker, attempt) = (run.worker.clone(), run.attempt);
         self.order_stop(worker, key, attempt);
     }
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -200,7 +200,7 @@
         }
         let Some(chosen) = placement::place(candidates, &request) else {
             if is_plain {
-                failed.extend(failed_placement::FailedPlacement::of(&request));
+                failed.extend(failed_placement::FailedPlacement::from_request(&request));
             }
             return StartOutcome::NoRoom;
         };
@@ -339,7 +339,7 @@
 ) -> Vec<task_key::UnitKey> {
     let mut units = Vec::new();
     for (index, step) in job.steps.iter().enumerate() {
-        if wall_time < job.due(index) {
+        if wall_time < job.due_at(index) {
             // The runs are due one after the other.
             break;
         }
--- a/crates/graph/src/failed_placement.rs
+++ b/crates/graph/src/failed_placement.rs
@@ -21,7 +21,7 @@
 impl FailedPlacement {
     /// What `ask` wanted, where that tells of others: not where it was alone in what it avoids, or in
     /// how many of its tasks a worker may have.
-    pub fn of(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
+    pub fn from_request(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
         let tells = request.n_tasks == 1
             && request.avoids.is_empty()
             && request.per_worker == 0
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -168,9 +168,9 @@
     /// It is to stop.
     Stopping {
         /// When the stop was last sent.
-        asked_at: Duration,
+        stop_sent_at: Duration,
         /// When the worker answered a stop.
-        acked_at: Option<Duration>,
+        stop_acked_at: Option<Duration>,
     },
 }
 
@@ -237,7 +237,7 @@
     }
 
     /// When the run of `step` is due, as time since 1970.
-    pub fn due(&self, step: usize) -> Duration {
+    pub fn due_at(&self, step: usize) -> Duration {
         let Some(schedule) = &self.schedule else { return Duration::ZERO };
         let run = step as u64 / u64::from(self.steps_per_run.max(1));
         let interval_ms = schedule.interval_ms.saturating_mul(run);
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -252,11 +252,11 @@
         let record = self.workers.get(worker);
         let last_contact_at = record.map_or(now, |it| it.last_contact_at);
         let silent_since =
-            record.filter(|it| it.n_missed > 0).map(|it| it.silent_since + MISS_SLACK);
+            record.filter(|it| it.n_missed_calls > 0).map(|it| it.silent_since + MISS_SLACK);
         let lost_by = silent_since.map_or(now, |it| it.min(now));
         let silent = self.workers.iter().filter(|(id, it)| {
             *id != worker
-                && it.n_missed > 0
+                && it.n_missed_calls > 0
                 && loss_history::may_share_cause(it.last_contact_at, last_contact_at)
                 && !self.has_suspect_alone(it.runs.iter().copied())
         });
@@ -297,7 +297,7 @@
         key: task_key::TaskKey,
         now: Duration,
     ) -> f64 {
-        let silent = self.workers.values().filter(|it| it.n_missed > 0);
+        let silent = self.workers.values().filter(|it| it.n_missed_calls > 0);
         let scene = LossScene {
             last_contact_at: now,
             lost_by: now,
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -48,7 +48,9 @@
     /// Frees what ran on workers whose lease has surely lapsed, and forgets workers that are gone.
     fn drop_lapsed(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(_, it)| {
-            it.n_missed > 0 && now >= it.clock.lapses_at() && (it.fenced || now >= self.settles_at)
+            it.n_missed_calls > 0
+                && now >= it.clock.lapses_at()
+                && (it.fenced || now >= self.settles_at)
         });
         let silent = silent.map(|(id, _)| id.clone()).collect::<Vec<_>>();
         for worker in silent {
@@ -108,26 +110,28 @@
         let patience = self.timing.stop_timeout + STOP_SLACK;
         let mut again = Vec::new();
         for (id, worker) in &self.workers {
-            if worker.n_missed > 0 {
+            if worker.n_missed_calls > 0 {
                 continue;
             }
             for key in &worker.runs {
                 let run = self.jobs.get(&key.graph).and_then(|it| it.task(*key));
                 let Some(run) = run.and_then(|it| it.run.as_ref()) else { continue };
-                let job::RunPhase::Stopping { asked_at, acked_at } = run.phase else { continue };
-                let wait = if acked_at.is_some() { patience } else { STOP_AGAIN };
-                if now >= asked_at + wait {
-                    again.push((id.clone(), *key, run.attempt, acked_at));
+                let job::RunPhase::Stopping { stop_sent_at, stop_acked_at } = run.phase else {
+                    continue;
+                };
+                let wait = if stop_acked_at.is_some() { patience } else { STOP_AGAIN };
+                if now >= stop_sent_at + wait {
+                    again.push((id.clone(), *key, run.attempt, stop_acked_at));
                 }
             }
         }
-        for (worker, key, attempt, acked_at) in again {
+        for (worker, key, attempt, stop_acked_at) in again {
             if let Some(job) = self.jobs.get_mut(&key.graph)
                 && let Some(run) = job.task_mut(key).and_then(|it| it.run.as_mut())
             {
                 // An answer to an earlier stop counts on: a look that was sent behind it settles
                 // the run, and may take longer than the wait before the next stop.
-                run.phase = job::RunPhase::Stopping { asked_at: now, acked_at };
+                run.phase = job::RunPhase::Stopping { stop_sent_at: now, stop_acked_at };
             }
             self.order_stop(worker, key, attempt);
         }
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -30,7 +30,7 @@
             None => &step.tasks[..],
         };
         let waited = now.saturating_sub(tasks.first()?.waiting_since);
-        let waited = waited.min(self.wall_time.saturating_sub(job.due(unit.step as usize)));
+        let waited = waited.min(self.wall_time.saturating_sub(job.due_at(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
         let may_crash_worker = tasks.iter().any(|it| it.suspicion.needs_isolation());
         let is_patient = waited < isolation::TOTAL_ISOLATION_TIMEOUT
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -105,15 +105,15 @@
             tracing::debug!(worker, "an answer of a former life is passed over");
             return;
         }
-        if record.n_missed > 1 {
-            tracing::info!(worker, n_missed = record.n_missed, "worker answers again");
+        if record.n_missed_calls > 1 {
+            tracing::info!(worker, n_missed = record.n_missed_calls, "worker answers again");
         }
         if life == worker_restarts::AnswerIncarnation::Later {
             self.worker_restarted(worker, &listed, now);
         }
         let Some(record) = self.workers.get_mut(worker) else { return };
         record.incarnation = listed.incarnation.or(record.incarnation);
-        record.n_missed = 0;
+        record.n_missed_calls = 0;
         record.has_lapsed = false;
         record.ack_window.poll_answered(sent_at, now);
         record.lowest_listed_end = listed.ended.first().map(|it| it.number);
@@ -272,13 +272,14 @@
         let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
         let room = room.unwrap_or(record.entry.capacity);
-        let fresh = worker::UnwantedRun { attempt: run.attempt, resources: room, asked_at: None };
+        let fresh =
+            worker::UnwantedRun { attempt: run.attempt, resources: room, stop_sent_at: None };
         let stray = record.unwanted_runs.entry(run.task).or_insert(fresh);
         stray.attempt = stray.attempt.max(run.attempt);
-        if stray.asked_at.is_some_and(|it| now < it + STRAY_AGAIN) {
+        if stray.stop_sent_at.is_some_and(|it| now < it + STRAY_AGAIN) {
             return;
         }
-        stray.asked_at = Some(now);
+        stray.stop_sent_at = Some(now);
         let attempt = stray.attempt;
         tracing::info!(
             job = format_args!("{:016x}", run.task.graph),
@@ -310,7 +311,9 @@
         let Some(job) = self.jobs.get(&key.graph) else { return };
         let Some(run) = job.task(key).and_then(|it| it.run.as_ref()) else { return };
         match run.phase {
-            job::RunPhase::Stopping { acked_at: Some(acked_at), .. } if sent_at > acked_at => {
+            job::RunPhase::Stopping { stop_acked_at: Some(stop_acked_at), .. }
+                if sent_at > stop_acked_at =>
+            {
                 self.release_run(key, now);
             }
             job::RunPhase::Running { confirmed_at } if sent_at > confirmed_at => {
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -67,7 +67,7 @@
     /// that is durable.
     pub(crate) fn note_silent_workers(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(id, it)| {
-            it.n_missed > 0
+            it.n_missed_calls > 0
                 && now >= it.silent_since + NOTED_AFTER
                 && !self.roster.are_starts_saved(id)
         });
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -241,7 +241,7 @@
         if unit.is_none() && !has_open_order {
             return None;
         }
-        let due_for = unit.map(|it| self.wall_time.saturating_sub(job.due(it.step as usize)));
+        let due_for = unit.map(|it| self.wall_time.saturating_sub(job.due_at(it.step as usize)));
         let due_at = due_for.map_or(Duration::ZERO, |it| now.saturating_sub(it));
         let since = job.wait.since().max(due_at);
         Some(JobWait { graph, unit, since, is_standing, is_due })
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -89,7 +89,7 @@
     pub last_contact_at: Duration,
     /// Exchanges without an answer since it last answered a look. While there are any, nobody knows
     /// whether the worker has started again.
-    pub n_missed: u32,
+    pub n_missed_calls: u32,
     /// When time was last taken note of before the first of them.
     pub silent_since: Duration,
     /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
@@ -152,7 +152,7 @@
     /// What it takes: all that the worker offers where its job is not known any more.
     pub resources: resources::Resources,
     /// When a stop was last sent.
-    pub asked_at: Option<Duration>,
+    pub stop_sent_at: Option<Duration>,
 }
 
 impl WorkerRecord {
@@ -181,7 +181,7 @@
 
     /// Whether it has answered under this tenure, and each call since.
     pub fn is_responsive(&self) -> bool {
-        self.fenced && self.n_missed == 0
+        self.fenced && self.n_missed_calls == 0
     }
 
     /// What the next look acknowledges: only what the last answer has listed, and only to a life that
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -126,7 +126,7 @@
             run.pace = pace::RunPace::not_started();
             run.first_confirmed_clock = None;
             if run.phase.is_stopping() {
-                run.phase = job::RunPhase::Stopping { asked_at: now, acked_at: None };
+                run.phase = job::RunPhase::Stopping { stop_sent_at: now, stop_acked_at: None };
                 let attempt = run.attempt;
                 self.order_stop(worker.clone(), key, attempt);
             }
