--- a/crates/pool/src/contender.rs
+++ b/crates/pool/src/contender.rs
@@ -130,7 +130,7 @@
 
 /// What became of taking the tenure.
 enum TakeOutcome {
-    Taken(leader::TakenTenure),
+    Taken(leader::AcquiredTenure),
     /// It is not free, or another was first.
     NotTaken,
     /// The write had no answer.
@@ -165,7 +165,7 @@
         losses: losses.clone(),
         settles_in_ms: settles_at.saturating_sub(now).as_millis() as u64,
         notes_silence,
-        earlier: predecessors.entries(now),
+        earlier: predecessors.row_entries(now),
         names_earlier: true,
     };
     let transaction = model::TableTransaction {
@@ -180,7 +180,7 @@
     };
     let Some(version) = versions.first().copied() else { return TakeOutcome::NotTaken };
     let epoch = row.epoch;
-    TakeOutcome::Taken(leader::TakenTenure {
+    TakeOutcome::Taken(leader::AcquiredTenure {
         epoch,
         version,
         sent_at,
--- a/crates/pool/src/control.rs
+++ b/crates/pool/src/control.rs
@@ -33,7 +33,7 @@
 /// Orders to workers, each with a fencing token (see [`crate::fencing`]).
 pub trait TaskControl: Clone + Send + Sync + 'static {
     /// Lists what is on a worker, extends its lease and acknowledges ends.
-    fn hold(
+    fn poll(
         &self,
         target: &WorkerTarget,
         token: ids::FencingToken,
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -77,7 +77,7 @@
 ) -> bool {
     let admitted = rows.iter().filter_map(|row| {
         let admitted =
-            tenure_loader::decode_graph_row(row, intake::JobOrigin::Feed, leader.taken_version)?;
+            tenure_loader::decode_graph_row(row, intake::JobOrigin::Feed, leader.acquired_version)?;
         is_new(state, leader, &admitted).then_some(admitted)
     });
     rows.is_empty() || admit(state, leader, admitted)
@@ -116,7 +116,7 @@
         version: nudge.version,
         origin: intake::JobOrigin::Nudge,
         progress: progress::SavedChunks::default(),
-        inherited: nudge.version < leader.taken_version,
+        inherited: nudge.version < leader.acquired_version,
     };
     is_new(state, leader, &admitted) && admit(state, leader, std::iter::once(admitted))
 }
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -31,7 +31,7 @@
     /// Number of the tenure; the fencing token of its orders.
     pub epoch: ids::Epoch,
     /// Version of the tenure's row when it was taken: rows below it are from before.
-    pub taken_version: ids::RowVersion,
+    pub acquired_version: ids::RowVersion,
     core: Mutex<core::PoolCore>,
     tenure: Mutex<tenure_status::TenureState>,
     /// When an order may have left last, if any has.
@@ -54,7 +54,7 @@
 
 /// A tenure that was just taken.
 #[derive(Clone, Debug)]
-pub(crate) struct TakenTenure {
+pub(crate) struct AcquiredTenure {
     pub(crate) epoch: ids::Epoch,
     pub(crate) version: ids::RowVersion,
     pub(crate) sent_at: Duration,
@@ -69,13 +69,13 @@
 
 impl LeaderState {
     pub(crate) fn new(
-        taken: &TakenTenure,
-        times: settings::TenureTimes,
+        taken: &AcquiredTenure,
+        times: settings::TenureTiming,
         core: core::PoolCore,
     ) -> LeaderState {
         LeaderState {
             epoch: taken.epoch,
-            taken_version: taken.version,
+            acquired_version: taken.version,
             core: Mutex::new(core),
             tenure: Mutex::new(tenure_status::TenureState::new(times, taken.sent_at)),
             ordered_at: Mutex::default(),
@@ -186,14 +186,14 @@
 /// given up although the instance stays.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    taken: TakenTenure,
+    taken: AcquiredTenure,
 ) -> bool {
     tracing::info!(epoch = taken.epoch, version = taken.version, "tenure taken");
     metrics::counter!("almondpass_pool_tenures_total").increment(1);
     let (epoch, version) = (taken.epoch, taken.version);
     state.set_acquired_epoch(Some(epoch));
     let mut core = core::PoolCore::new(core::PoolStart {
-        timing: state.settings.terms,
+        timing: state.settings.timing,
         catalog: Arc::default(),
         settles_at: taken.settles_at,
     });
@@ -236,7 +236,7 @@
 async fn serve<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     leader: Arc<LeaderState>,
-    taken: TakenTenure,
+    taken: AcquiredTenure,
 ) {
     // However this ends, by a panic too: a tenure that is renewed and not served would keep the
     // others from scheduling.
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -110,7 +110,7 @@
     }
     let kept = job_query::read_row::<S, model::GraphRow>(state, keys::graph(graph)).await?;
     let Some((row, version)) = kept else { return Ok(None) };
-    let inherited = version < leader.taken_version || !saved.is_empty();
+    let inherited = version < leader.acquired_version || !saved.is_empty();
     let origin = intake::JobOrigin::Lookup;
     Ok(Some(intake::AdmittedJob { graph, row, version, origin, progress: saved, inherited }))
 }
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -26,7 +26,7 @@
             send(&state, &leader, order).await;
             leader.round_due.notify_one();
         } else {
-            withhold(&state, &leader, &order);
+            report_unsent(&state, &leader, &order);
         }
     }
 }
@@ -75,7 +75,7 @@
 }
 
 /// A start that does not leave has no effect; anything else is decided again.
-pub(crate) fn withhold<S: state::PoolAdapters>(
+pub(crate) fn report_unsent<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     order: &order::PoolOrder,
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -31,8 +31,8 @@
 
 /// When all that a holder has ordered has ended on workers that don't answer, if it gives no orders from
 /// `over_at` on.
-pub(crate) fn settles_after(over_at: Duration, terms: &timing::PoolTiming) -> Duration {
-    over_at + ORDER_SLACK + lease_clock::max_local_span(terms.lease)
+pub(crate) fn settles_after(over_at: Duration, timing: &timing::PoolTiming) -> Duration {
+    over_at + ORDER_SLACK + lease_clock::max_local_span(timing.lease)
 }
 
 /// Asks at the addresses of the former holders until each is known to be over there, or all that they may have
@@ -70,7 +70,7 @@
     former: &predecessor_list::Predecessor,
     over_at: Duration,
 ) {
-    let settles_at = settles_after(over_at, &state.settings.terms);
+    let settles_at = settles_after(over_at, &state.settings.timing);
     let left_ms = settles_at.saturating_sub(state.adapters.clock().now()).as_millis() as u64;
     tracing::info!(
         former = former.holder,
@@ -78,7 +78,7 @@
         left_ms,
         "former holder of the tenure is over"
     );
-    leader.predecessors().settles_by(former.epoch, settles_at);
+    leader.predecessors().bound_settling(former.epoch, settles_at);
     let settles_at = leader.predecessors().settles_at();
     leader.core().bound_settling(settles_at);
 }
--- a/crates/pool/src/predecessor_list.rs
+++ b/crates/pool/src/predecessor_list.rs
@@ -53,7 +53,7 @@
         } else {
             // The holder before may have gone on without the store.
             let over_at = seen.epoch_since + state.settings.tenure.max_detached;
-            let settles_at = predecessor::settles_after(over_at, &state.settings.terms);
+            let settles_at = predecessor::settles_after(over_at, &state.settings.timing);
             list.unnamed_settle_at = settles_at.max(told_at(row.settles_in_ms));
         }
         list.settle_own(state);
@@ -72,7 +72,7 @@
     }
 
     /// All that a holder has ordered has ended at `settles_at`.
-    pub(crate) fn settles_by(&mut self, epoch: ids::Epoch, settles_at: Duration) {
+    pub(crate) fn bound_settling(&mut self, epoch: ids::Epoch, settles_at: Duration) {
         for it in self.holders.iter_mut().filter(|it| it.epoch == epoch) {
             it.settles_at = it.settles_at.min(settles_at);
         }
@@ -87,7 +87,7 @@
     }
 
     /// The same as the tenure's row names them. What is not named of them is told by an entry without address.
-    pub(crate) fn entries(&self, now: Duration) -> Vec<model::EarlierHolder> {
+    pub(crate) fn row_entries(&self, now: Duration) -> Vec<model::EarlierHolder> {
         let unsettled = self.unsettled(now);
         let mut named = unsettled.iter().take(MOST_NAMED).cloned().collect::<Vec<_>>();
         let left_out = unsettled.iter().skip(MOST_NAMED).map(|it| it.settles_at).max();
@@ -117,7 +117,8 @@
             let is_this = it.holder == settings.instance;
             let ordered_at = state.last_order_at().filter(|_| is_this);
             let over_at = ordered_at.unwrap_or(state.started_at);
-            it.settles_at = it.settles_at.min(predecessor::settles_after(over_at, &settings.terms));
+            it.settles_at =
+                it.settles_at.min(predecessor::settles_after(over_at, &settings.timing));
         }
     }
 }
@@ -135,6 +136,6 @@
         holder: row.holder.clone(),
         address: row.address.clone(),
         epoch: row.epoch,
-        settles_at: predecessor::settles_after(over_at, &state.settings.terms),
+        settles_at: predecessor::settles_after(over_at, &state.settings.timing),
     }
 }
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -142,7 +142,7 @@
     }
     for order in orders {
         if let Some(unsent) = leader.send_order(order) {
-            order_sender::withhold(state, leader, &unsent);
+            order_sender::report_unsent(state, leader, &unsent);
         }
     }
     if has_changes {
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -36,7 +36,7 @@
         }
         match poll(&state, &leader, &worker).await {
             PollOutcome::Answered => await_save(&leader, &worker).await,
-            PollOutcome::Missed => time::sleep(AGAIN).await,
+            PollOutcome::Failed => time::sleep(AGAIN).await,
             PollOutcome::Unlisted => break,
         }
     }
@@ -49,7 +49,7 @@
     /// The worker answered.
     Answered,
     /// It did not.
-    Missed,
+    Failed,
     /// It is no longer known.
     Unlisted,
 }
@@ -87,7 +87,7 @@
     let sent_at = clock.now();
     let target = control::WorkerTarget { worker: worker.clone(), address: ask.address.clone() };
     let token = fencing::token(leader.epoch, ask.generation);
-    let answer = state.adapters.control().hold(&target, token, &ask).await;
+    let answer = state.adapters.control().poll(&target, token, &ask).await;
     let now = clock.now();
     let mut core = leader.core();
     match answer {
@@ -100,17 +100,17 @@
         Err(control::ControlFault::Replaced(_)) => {
             core.worker_replaced(worker, &ask.address, now);
             leader.round_due.notify_one();
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
         Err(control::ControlFault::Fenced) => {
             core.note_fenced_off(worker, ask.generation);
             leader.round_due.notify_one();
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
         Err(control::ControlFault::Call(error)) => {
             tracing::debug!(worker, %error, "look without answer");
             core.poll_missed(worker);
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
     }
 }
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -17,14 +17,14 @@
     /// Peers known from the start; they may be gone.
     pub seeds: Vec<ids::PeerAddress>,
     /// Bounds of the platform.
-    pub terms: timing::PoolTiming,
+    pub timing: timing::PoolTiming,
     /// Timings of the tenure.
-    pub tenure: TenureTimes,
+    pub tenure: TenureTiming,
 }
 
 /// How long a tenure lasts without a word.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TenureTimes {
+pub struct TenureTiming {
     /// A watcher takes over when the tenure's row has not changed for this long.
     pub term: Duration,
     /// The holder counts its term this much shorter.
@@ -41,9 +41,9 @@
     pub first_start_delay: Duration,
 }
 
-impl Default for TenureTimes {
-    fn default() -> TenureTimes {
-        TenureTimes {
+impl Default for TenureTiming {
+    fn default() -> TenureTiming {
+        TenureTiming {
             // Two renewals in a row may be lost; a write takes up to 0.54 s while the store is 60
             // times slower, the most that the users' sites name, so that renewals follow each
             // other by 1.04 s then and are heard 0.54 s later.
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -37,7 +37,7 @@
 /// Reads until it succeeds, a few times at most.
 pub(crate) async fn load<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &leader::TakenTenure,
+    taken: &leader::AcquiredTenure,
 ) -> Option<LoadedTenure> {
     for _ in 0..READ_TRIES {
         if state.shutdown.is_cancelled() {
@@ -54,7 +54,7 @@
 
 async fn read<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &leader::TakenTenure,
+    taken: &leader::AcquiredTenure,
 ) -> Result<LoadedTenure, error::CallError> {
     let asked_at = state.adapters.clock().now();
     let (operators, graphs, progress, workers, roster) = tokio::try_join!(
@@ -69,7 +69,7 @@
     let now = state.adapters.clock().now();
     let catalog = state.document.current().map(|it| Arc::clone(&it.catalog));
     let mut core = core::PoolCore::new(core::PoolStart {
-        timing: state.settings.terms,
+        timing: state.settings.timing,
         catalog: catalog.unwrap_or_default(),
         settles_at: taken.settles_at,
     });
--- a/crates/pool/src/tenure_status.rs
+++ b/crates/pool/src/tenure_status.rs
@@ -26,7 +26,7 @@
 /// What the holder knows of its tenure.
 #[derive(Clone, Copy, Debug)]
 pub struct TenureState {
-    times: settings::TenureTimes,
+    times: settings::TenureTiming,
     exclusive_until: Duration,
     outage_seen: Option<Duration>,
     ended: bool,
@@ -34,7 +34,7 @@
 
 impl TenureState {
     /// A tenure whose row was written by a call sent at `sent_at`.
-    pub fn new(times: settings::TenureTimes, sent_at: Duration) -> TenureState {
+    pub fn new(times: settings::TenureTiming, sent_at: Duration) -> TenureState {
         let exclusive_until = sent_at + times.term - times.clock_margin;
         TenureState { times, exclusive_until, outage_seen: None, ended: false }
     }
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -239,7 +239,7 @@
             released,
             settles_in_ms: settles_in.as_millis() as u64,
             notes_silence,
-            earlier: self.leader.predecessors().entries(now),
+            earlier: self.leader.predecessors().row_entries(now),
             names_earlier: true,
             losses: Some(losses),
         };
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -118,14 +118,14 @@
 }
 
 impl control::TaskControl for BenchControl {
-    async fn hold(
+    async fn poll(
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
         ask: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
         self.panics.panic_if_due(pool_fleet::HOLD);
-        self.fleet.hold(target, token, ask).await
+        self.fleet.poll(target, token, ask).await
     }
 
     async fn start(
@@ -306,8 +306,8 @@
             peer_address: address.to_owned(),
             seeds: Vec::new(),
             strength_milli,
-            terms: almondpass_graph::timing::PoolTiming::default(),
-            tenure: settings::TenureTimes::default(),
+            timing: almondpass_graph::timing::PoolTiming::default(),
+            tenure: settings::TenureTiming::default(),
         };
         let state = Arc::new(state::PoolState::new(site, settings));
         self.net.register(address, peer_handler::PeerHandler::new(Arc::clone(&state)));
--- a/crates/pool/tests/tenure.rs
+++ b/crates/pool/tests/tenure.rs
@@ -69,7 +69,7 @@
 }
 
 fn state() -> tenure_status::TenureState {
-    let times = settings::TenureTimes { term: TERM, ..settings::TenureTimes::default() };
+    let times = settings::TenureTiming { term: TERM, ..settings::TenureTiming::default() };
     tenure_status::TenureState::new(times, Duration::from_secs(100))
 }
 
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -333,7 +333,7 @@
 }
 
 impl control::TaskControl for PoolFleet {
-    async fn hold(
+    async fn poll(
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
