--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -29,7 +29,7 @@
         bench.await_state(0, 1, model::GraphState::Completed, Duration::from_secs(5)).await;
         bench.restart_worker(0, DOWN).await;
         bench.write_entry(0).await;
-        time::sleep(support::HEARTBEAT).await;
+        time::sleep(support::HEARTBEAT_INTERVAL).await;
 
         bench.submit(0, 2, support::job(4, 2_000)).await;
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(20)).await;
@@ -60,7 +60,7 @@
         bench.submit(0, 2, wide).await;
         for index in [0, 1, 2, 0, 1] {
             bench.restart_worker(index, DOWN).await;
-            time::sleep(support::HEARTBEAT).await;
+            time::sleep(support::HEARTBEAT_INTERVAL).await;
             bench.write_entry(index).await;
         }
         // Behind the last restart each task of the wide step runs once at most: two rounds of 3 s on
@@ -108,7 +108,7 @@
         time::sleep(Duration::from_secs(300)).await;
         bench.restart_worker(0, DOWN).await;
         bench.write_entry(0).await;
-        time::sleep(support::HEARTBEAT).await;
+        time::sleep(support::HEARTBEAT_INTERVAL).await;
         bench.submit(0, 2, support::job(12, 3_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.fleet.crash(&support::worker_id(0));
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -35,7 +35,7 @@
 const ENTRY_AGAIN: Duration = Duration::from_millis(200);
 
 /// Workers write their entries this often.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_500);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// For a write of the operator.
 const OPERATOR_DEADLINE: Duration = Duration::from_secs(1);
@@ -52,14 +52,14 @@
 
 /// The pieces that an instance is given.
 #[derive(Clone)]
-pub(crate) struct BenchSite {
+pub(crate) struct BenchAdapters {
     store: table::TableFake,
     control: BenchControl,
     peers: net::FakeLink,
     clock: boot_clock::RuntimeClock,
 }
 
-impl state::PoolAdapters for BenchSite {
+impl state::PoolAdapters for BenchAdapters {
     type Store = table::TableFake;
     type Control = BenchControl;
     type Reader = BenchReader;
@@ -246,7 +246,7 @@
 
 /// One instance, with the faults on its own ways.
 pub(crate) struct BenchInstance {
-    pub(crate) state: Arc<state::PoolState<BenchSite>>,
+    pub(crate) state: Arc<state::PoolState<BenchAdapters>>,
     pub(crate) address: String,
     pub(crate) store_faults: fault::FaultPlan,
     pub(crate) worker_faults: fault::FaultPlan,
@@ -292,7 +292,7 @@
         self.n_started += 1;
         let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
-        let site = BenchSite {
+        let site = BenchAdapters {
             store: self.store.seen_through(store_faults.clone()),
             control: BenchControl {
                 fleet: self.fleet.seen_through(worker_faults.clone()),
@@ -427,7 +427,7 @@
                     // What the store does not take is told of by the next one.
                     tokio::spawn(try_write_entry(store.clone(), fleet.clone(), index_of(&worker)));
                 }
-                time::sleep(HEARTBEAT).await;
+                time::sleep(HEARTBEAT_INTERVAL).await;
             }
         });
     }
@@ -609,7 +609,7 @@
         put.conditions.push(model::TableCondition { key, version });
         store.transact(put).await.ok()
     };
-    let written = time::timeout(HEARTBEAT, writing).await;
+    let written = time::timeout(HEARTBEAT_INTERVAL, writing).await;
     matches!(written, Ok(Some(model::TableOutcome::Committed { .. })))
 }
 
@@ -648,7 +648,7 @@
 
 /// The entry of a worker that is silent for three heartbeats goes.
 async fn expire_entry(store: table::TableFake, worker: ids::WorkerId) {
-    time::sleep(3 * HEARTBEAT).await;
+    time::sleep(3 * HEARTBEAT_INTERVAL).await;
     let key = entry_key(index_of(&worker));
     while store.transact(put_of(&key, None)).await.is_err() {
         time::sleep(ENTRY_AGAIN).await;
