--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -1,4 +1,4 @@
-//! What workers answer to starts and stops.
+//! Answers of workers to starts and stops.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::task_key;
 use crate::wait_timer;
 
-/// Wait before a worker that had no room although the book says so is used again. The next look
-/// shows what runs there, within a second.
-const ROOM_PAUSE: Duration = Duration::from_millis(400);
+/// Pause before a worker is used again that lacked resources although the recorded state has enough. The next
+/// poll, within a second, shows what runs on it.
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Wait before a worker that refused as unwell, or could not be reached, is used again.
-const UNWELL_PAUSE: Duration = Duration::from_secs(1);
+/// Pause before a worker is used again that refused a start as unhealthy.
+const UNHEALTHY_PAUSE: Duration = Duration::from_secs(1);
 
 impl core::PoolCore {
-    /// Takes in what became of a start.
+    /// Applies the result of sending a start.
     pub fn start_answered(
         &mut self,
         start: &order::StartOrder,
@@ -28,31 +28,32 @@
     ) {
         match answer {
             order::StartAnswer::Started { clock_ms } => {
-                let is_confirmed_by_incarnation = self.start_heard(start, clock_ms, now);
+                let is_confirmed_by_incarnation = self.note_start_contact(start, clock_ms, now);
                 self.start_confirmed(start, is_confirmed_by_incarnation, now);
             }
             order::StartAnswer::Refused(refusal) => self.start_refused(start, refusal, now),
             order::StartAnswer::NotSent => {
                 self.log_start(start, "not sent");
                 self.note_missed_exchange(&start.worker);
-                self.withdraw(start, now);
+                self.undo_start(start, now);
             }
             order::StartAnswer::Unknown => {
                 self.log_start(start, "no answer");
                 self.note_missed_exchange(&start.worker);
-                self.start_unclear(start, now);
+                self.mark_start_unclear(start, now);
             }
             order::StartAnswer::Replaced => {
                 self.worker_replaced(&start.worker, &start.address, now);
-                // Where the worker has moved meanwhile, another sending of the start may have reached it.
-                self.start_unclear(start, now);
+                // If the worker has moved to another address meanwhile, an earlier transmission of the start
+                // may have reached it.
+                self.mark_start_unclear(start, now);
             }
         }
     }
 
-    /// Takes in whether a worker has answered a stop.
+    /// Applies the result of sending a stop: whether the worker acknowledged it.
     pub fn stop_answered(&mut self, stop: &order::StopOrder, acked: bool, now: Duration) {
-        // What a life that is over has answered bars nothing in the one that is there now.
+        // An answer of an earlier incarnation says nothing about the current one.
         if !self.is_current_generation(&stop.worker, stop.generation) {
             return;
         }
@@ -65,15 +66,15 @@
         if let job::RunPhase::Stopping { acked_at, .. } = &mut run.phase {
             acked_at.get_or_insert(now);
             if !is_confirmed {
-                // It may never have started, and then no end is listed: only a look tells.
+                // The task may never have started, and then its end is never listed. Only a poll shows that.
                 self.order_poll(&stop.worker);
             }
         }
     }
 
-    /// A worker refused what was meant for its life `generation`, for a higher fencing token: a later
-    /// scheduler's, or our own where a later life has been found meanwhile. Tells whether it is the
-    /// former.
+    /// Records that a worker refused an order to its incarnation `generation` because it had seen a higher
+    /// fencing token. The token is a later scheduler's, or this scheduler's own if it has found a later
+    /// incarnation since. Returns whether it is a later scheduler's.
     pub fn note_fenced_off(&mut self, worker: &ids::WorkerId, generation: u32) -> bool {
         if !self.is_current_generation(worker, generation) {
             return false;
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Whatever was under way to a worker, or waited for it, may have left or not.
+    /// Records that the session with a worker failed: orders in transit or queued may or may not have reached
+    /// it.
     pub fn session_failed(&mut self, worker: &ids::WorkerId, now: Duration) {
         let runs = self.workers.get(worker).map(|it| it.runs.clone()).unwrap_or_default();
         for key in runs {
@@ -118,8 +120,8 @@
         self.note_missed_exchange(worker);
     }
 
-    /// Nobody knows whether a start takes effect.
-    fn start_unclear(&mut self, start: &order::StartOrder, now: Duration) {
+    /// Marks a start as unclear: it may or may not take effect.
+    fn mark_start_unclear(&mut self, start: &order::StartOrder, now: Duration) {
         let Some(run) = self.run_of(&start.worker, start.task, start.attempt) else { return };
         if run.phase == job::RunPhase::Ordered {
             run.phase = job::RunPhase::Unclear { since: now };
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Notes that a run has begun, where it does not wait for other members of its gang.
+    /// Records that a run has begun. The pace of a gang's runs is measured from the time when all its members
+    /// run.
     pub(crate) fn note_run_start(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         job.wait = wait_timer::WaitTimer::new(now);
@@ -150,9 +153,9 @@
     }
 
     pub(crate) fn order_poll(&mut self, worker: &ids::WorkerId) {
-        let look = order::PoolOrder::Poll { worker: worker.clone() };
-        if self.orders.last() != Some(&look) {
-            self.orders.push(look);
+        let poll = order::PoolOrder::Poll { worker: worker.clone() };
+        if self.orders.last() != Some(&poll) {
+            self.orders.push(poll);
         }
     }
 
@@ -166,40 +169,40 @@
         let pause = match refusal {
             order::StartRefusal::Fenced => {
                 if !self.note_fenced_off(&start.worker, start.generation) {
-                    self.withdraw(start, now);
+                    self.undo_start(start, now);
                 }
                 return;
             }
             order::StartRefusal::Old => Duration::ZERO,
-            order::StartRefusal::Late | order::StartRefusal::Room => ROOM_PAUSE,
-            order::StartRefusal::Unwell => UNWELL_PAUSE,
+            order::StartRefusal::Late | order::StartRefusal::Room => NO_CAPACITY_PAUSE,
+            order::StartRefusal::Unwell => UNHEALTHY_PAUSE,
         };
         if let Some(worker) = self.workers.get_mut(&start.worker) {
             worker.paused_until = worker.paused_until.max(now + pause);
         }
         tracing::info!(worker = start.worker, ?refusal, "start refused");
         self.order_poll(&start.worker);
-        self.withdraw(start, now);
+        self.undo_start(start, now);
     }
 
-    /// A start that certainly had no effect is taken back.
-    fn withdraw(&mut self, start: &order::StartOrder, now: Duration) {
+    /// Undoes a start that certainly had no effect.
+    fn undo_start(&mut self, start: &order::StartOrder, now: Duration) {
         if self.run_of(&start.worker, start.task, start.attempt).is_some() {
             self.release_run(start.task, now);
         }
     }
 
-    /// Nobody knows whether the worker is still in the life that is known: it has to answer a look
-    /// before it gets new tasks, and before ends are acknowledged. One look is asked for, and the
-    /// session with the worker asks again: with one for each of many starts that had no answer, the
-    /// orders behind them would wait for looks that have none either.
+    /// Records an exchange without an answer. The worker may have restarted, so it has to answer a poll
+    /// before it gets new tasks and before ends are acknowledged. Only the first missed exchange orders a
+    /// poll; the session with the worker repeats it. If each of many unanswered starts ordered a poll, later
+    /// orders would queue behind polls that get no answer either.
     pub(crate) fn note_missed_exchange(&mut self, worker: &ids::WorkerId) {
         if self.count_missed_exchange(worker) {
             self.order_poll(worker);
         }
     }
 
-    /// Takes note of an exchange that had no answer. Tells whether it is the first behind an answer.
+    /// Counts an exchange without an answer. Returns whether it is the first since the last answer.
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
         record.n_missed += 1;
@@ -212,9 +215,14 @@
         true
     }
 
-    /// Takes in the clock of a worker that has answered a start, and tells whether it is the known
-    /// life's. A start may reach a later life before any look has.
-    fn start_heard(&mut self, start: &order::StartOrder, clock_ms: u64, now: Duration) -> bool {
+    /// Applies the clock reading in a worker's answer to a start. Returns whether it belongs to the known
+    /// incarnation: a start may reach a later incarnation before any poll does.
+    fn note_start_contact(
+        &mut self,
+        start: &order::StartOrder,
+        clock_ms: u64,
+        now: Duration,
+    ) -> bool {
         let Some(record) = self.workers.get(&start.worker) else { return false };
         if record.generation != start.generation {
             return false;
@@ -234,7 +242,7 @@
         }
     }
 
-    /// The run of that attempt on that worker, as long as it is the task's.
+    /// The task's current run, if it is this attempt on this worker.
     fn run_of(
         &mut self,
         worker: &ids::WorkerId,
--- a/crates/graph/src/candidate.rs
+++ b/crates/graph/src/candidate.rs
@@ -1,4 +1,4 @@
-//! The workers as placing sees them in one turn, with what is still free.
+//! Workers as placement candidates in one scheduling round, and the requests to place units on them.
 
 use std::sync::Arc;
 
@@ -7,112 +7,112 @@
 use crate::resources;
 use crate::task_key;
 
-/// What does not change about a worker.
+/// Properties of a worker that do not change within a round.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerProfile {
-    /// The worker.
+    /// Worker id.
     pub worker: ids::WorkerId,
-    /// Whose tasks it runs.
+    /// Upstream whose tasks the worker runs.
     pub upstream: ids::UpstreamName,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: ids::RackName,
-    /// Its labels.
+    /// Labels that a step can require.
     pub labels: Vec<String>,
-    /// What it offers in all.
+    /// Total resources of the worker.
     pub capacity: resources::Resources,
 }
 
-/// A worker that may get tasks.
+/// A worker that may get tasks in this round.
 #[derive(Clone, Debug)]
 pub struct WorkerCandidate {
-    /// The worker.
+    /// Properties that do not change within the round.
     pub place: Arc<WorkerProfile>,
-    /// Number of its rack, from 0; racks are compared often.
+    /// Index of the rack, from 0, for fast comparison.
     pub rack: usize,
-    /// Number of the upstream whose tasks it runs, for the same reason.
+    /// Index of the upstream, from 0, for fast comparison.
     pub upstream: usize,
-    /// What is in use, which may be more than there is.
+    /// Resources in use; may exceed the capacity.
     pub used: resources::Resources,
-    /// What is free now.
+    /// Free resources.
     pub free: resources::Resources,
-    /// Tasks there, those included that should not be.
+    /// Number of tasks on the worker, including unwanted ones.
     pub n_runs: usize,
-    /// Failed lately; used last.
+    /// Whether tasks failed on the worker lately; such workers are used last.
     pub failed_lately: bool,
-    /// Whether a task has it for itself, as it may crash it: nothing else starts there.
+    /// Whether a task that may crash the worker runs on it in isolation; nothing else starts there.
     pub is_exclusive: bool,
-    /// Room that is being cleared for units.
+    /// Resources being freed for units by preemption.
     pub claims: Vec<(task_key::UnitKey, resources::Resources)>,
-    /// Room that gathers for units that wait.
+    /// Resources reserved for waiting units.
     pub reserved: Vec<(task_key::UnitKey, resources::Resources)>,
 }
 
 impl WorkerCandidate {
-    /// Whether nothing is on it.
+    /// Whether no tasks are on the worker.
     pub fn is_empty(&self) -> bool {
         self.n_runs == 0
     }
 
-    /// Of `free`, what `unit` may take: all that is not being cleared for others.
+    /// The part of `free` that `unit` may take: all that is not being freed for other units.
     pub fn available_to(
         &self,
         unit: task_key::UnitKey,
         free: resources::Resources,
     ) -> resources::Resources {
-        left_beside(&self.claims, unit, free)
+        without_others(&self.claims, unit, free)
     }
 
-    /// Of `free`, what is not reserved for others either.
+    /// The part of `free` that is neither being freed nor reserved for other units.
     fn unreserved_for(
         &self,
         unit: task_key::UnitKey,
         free: resources::Resources,
     ) -> resources::Resources {
-        left_beside(&self.reserved, unit, self.available_to(unit, free))
+        without_others(&self.reserved, unit, self.available_to(unit, free))
     }
 }
 
-/// What a unit asks for.
+/// Resources and constraints for placing one unit.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The unit.
+    /// Unit to place.
     pub unit: task_key::UnitKey,
-    /// Number of the upstream whose workers it needs; one that no berth has where it has none.
+    /// Index of the upstream whose workers the unit needs; one that no candidate has if there are none.
     pub upstream: usize,
-    /// What each task needs.
+    /// Resources of each task.
     pub per_task: resources::Resources,
-    /// Tasks to place together.
+    /// Number of tasks to place together.
     pub n_tasks: u32,
-    /// Whether they slow each other down across racks.
+    /// Whether the tasks slow each other down across racks.
     pub same_rack: bool,
-    /// Number of the rack of the data; one that no berth has where the rack is not there.
+    /// Index of the rack of the data, if any; one that no candidate has if the rack does not exist.
     pub rack_number: Option<usize>,
     /// Label that the worker must have.
     pub label: Option<&'a str>,
     /// Most tasks of the step on one worker; 0 for no limit.
     pub per_worker: u32,
-    /// Tasks of the step on each berth already; empty where there is no limit.
+    /// Tasks of the step on each candidate already; empty if there is no limit.
     pub n_present: Vec<u32>,
-    /// Workers to avoid, as tasks of the unit failed there.
+    /// Workers to avoid, because tasks of the unit failed or were lost there.
     pub avoids: Vec<&'a str>,
-    /// Workers that it has to leave empty.
+    /// Number of workers that the unit has to leave empty.
     pub keeps_empty: usize,
-    /// Whether it may run where it takes longer: off the rack of its data, or across racks.
+    /// Whether the unit may run where it takes longer: off the rack of its data, or across racks.
     pub allows_remote: bool,
-    /// Whether it has waited for so long that it may take what is reserved for others. Without an end
-    /// to its patience the least urgent class starves on the heaviest days: jobs lay for 50 s with one
-    /// task left to run, and 2 of 40 days earned less than a seventh of its worth.
+    /// Whether the unit may take capacity reserved for others, after a long wait. Without a limit to its
+    /// wait, the least urgent class starves on the busiest days: jobs idled for 50 s with one task left to
+    /// run, and 2 of 40 days earned less than a seventh of the worth of that class.
     pub takes_reserved: bool,
-    /// Whether its start is a trial: a task of it may crash its workers.
+    /// Whether a task of the unit may crash its workers, so that it should run in isolation.
     pub may_crash_worker: bool,
-    /// Whether it needs workers of its own.
+    /// Whether the unit requires workers without other tasks.
     pub is_isolated: bool,
-    /// Whether it may have them now.
+    /// Whether isolated runs are available to the unit now.
     pub may_be_isolated: bool,
 }
 
 impl PlacementRequest<'_> {
-    /// How many of its tasks fit on that berth as it is, as far as the berth may be used at all.
+    /// Number of tasks of the unit that fit on the candidate now; 0 if the unit may not use it.
     pub fn count_now(&self, index: usize, candidate: &WorkerCandidate) -> u32 {
         if self.is_isolated && !(self.may_be_isolated && candidate.is_empty()) {
             return 0;
@@ -120,12 +120,12 @@
         self.count_on(index, candidate, candidate.free)
     }
 
-    /// What has to be kept on a berth for one of its tasks: all of it where the unit runs apart.
+    /// Resources to keep on a candidate for one task of the unit: the whole worker for an isolated run.
     pub fn kept_resources(&self, candidate: &WorkerCandidate) -> resources::Resources {
         if self.is_isolated { candidate.place.capacity } else { self.per_task }
     }
 
-    /// How many of its tasks fit in `free` of that berth, as far as the berth may be used at all.
+    /// Number of tasks of the unit that fit into `free` on the candidate; 0 if the unit may not use it.
     pub fn count_on(
         &self,
         index: usize,
@@ -155,12 +155,12 @@
     }
 }
 
-/// What is left of `free` beside the room of units other than `unit`.
-fn left_beside(
+/// Subtracts from `free` the resources of units other than `unit`.
+fn without_others(
     others: &[(task_key::UnitKey, resources::Resources)],
     unit: task_key::UnitKey,
     free: resources::Resources,
 ) -> resources::Resources {
     let others = others.iter().filter(|(it, _)| *it != unit);
-    others.fold(free, |left, (_, room)| left.minus(*room))
+    others.fold(free, |left, (_, resources)| left.minus(*resources))
 }
--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -1,4 +1,4 @@
-//! The state of a pool under one tenure.
+//! State of the scheduler of one pool during one tenure.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -23,84 +23,88 @@
 use crate::waiting;
 use crate::worker;
 
-/// For a worker's write of its entry, and for reading it: the list is asked for changes every 0.6 s.
+/// Allowance for a worker to write its entry and for the scheduler to read it; the list is polled for changes
+/// every 0.6 s.
 const ENTRY_SLACK: Duration = Duration::from_millis(1_200);
 
-/// Everything that the scheduler of a pool knows. Events are taken in by its methods; each returns
-/// nothing and leaves orders, which [`PoolCore::take_orders`] hands out.
+/// Scheduling state of a pool. Methods apply events; the orders that result are collected until
+/// [`PoolCore::take_orders`] returns them.
 #[derive(Debug)]
 pub struct PoolCore {
     pub(crate) timing: timing::PoolTiming,
     pub(crate) catalog: Arc<catalog::PoolCatalog>,
     pub(crate) jobs: BTreeMap<ids::GraphId, job::JobRecord>,
-    /// The jobs that have not ended. Ended ones are kept to answer for and would make up most of
-    /// what each turn goes over.
+    /// Jobs that have not ended. Ended jobs stay in `jobs` so that callers can still query them, and would be
+    /// most of what each round iterates over.
     pub(crate) active: BTreeSet<ids::GraphId>,
     pub(crate) workers: BTreeMap<ids::WorkerId, worker::WorkerRecord>,
-    /// The workers that a successor finds; only these get tasks.
+    /// Workers recorded in the store for a successor to find. Only these get tasks.
     pub(crate) roster: roster::RosterPages,
-    /// The rows that the store does not have as they are.
+    /// Rows whose current content is not in the store yet.
     pub(crate) unsaved: save_queue::SaveQueue,
     pub(crate) orders: Vec<order::PoolOrder>,
     pub(crate) run_times: run_times::RunTimes,
     pub(crate) headroom: headroom::UrgentHeadroom,
-    /// Accounts whose urgent work needs no more than is guaranteed to them, as of the last turn.
+    /// Accounts whose urgent work needs no more accelerators than are guaranteed to them, as of the last
+    /// round.
     pub(crate) within_guarantee: BTreeSet<ids::AccountId>,
-    /// Until then, tasks of inherited jobs may run on workers that have not answered yet.
+    /// Until this time, tasks of inherited jobs may run on workers that have not answered yet.
     pub(crate) settles_at: Duration,
-    /// Whether a worker refused an order for a higher fencing token than ours.
+    /// Whether a worker has refused an order because it had seen a higher fencing token than that of this
+    /// scheduler.
     pub(crate) is_fenced_off: bool,
-    /// Jobs that ended since they were last asked for.
+    /// Jobs that ended since the last call of [`PoolCore::take_finished`].
     pub(crate) finished: Vec<FinishedJob>,
-    /// Highest generation of a worker. It rises for all together: a worker that was forgotten and is
-    /// listed again must not get a lower token than it has seen.
+    /// Highest generation given to any worker. It is shared by all workers, because a worker that was
+    /// forgotten and is listed again must not get a lower token than it has seen.
     pub(crate) newest_generation: u32,
-    /// Workers found to have started again since they were last asked for.
+    /// Worker restarts detected since the count was last taken.
     pub(crate) n_restarts: u64,
-    /// How many workers are lost anyhow.
+    /// Recent losses of workers that no suspect task explains.
     pub(crate) loss_history: loss_history::LossHistory,
-    /// When tasks no longer avoid the workers on which they failed, by time.
+    /// Times at which tasks stop avoiding the workers on which they failed, in order of time.
     pub(crate) avoidance_ends: VecDeque<avoidance::AvoidanceEnd>,
-    /// What was believed of the starts that were found overdue since they were last asked for.
+    /// Recorded phases of the starts found overdue since the last call of [`PoolCore::take_overdue_phases`].
     pub(crate) overdue_phases: Vec<job::RunPhase>,
-    /// Figures of losses since they were last asked for.
+    /// Counts of losses since they were last taken.
     pub(crate) loss_counts: losses::LossCounts,
-    /// Until when all changes of the list of workers are taken in.
+    /// All changes of the worker list up to this time are applied.
     pub(crate) list_read_at: Duration,
-    /// Upstreams of whose workers less than half is in use, as of when jobs that wait were last gone over.
+    /// Upstreams with less than half of each resource of their workers in use, as of the last check of
+    /// waiting jobs.
     pub(crate) underused: BTreeSet<ids::UpstreamName>,
-    /// When the last turn was.
+    /// Time of the last scheduling round.
     pub(crate) last_round_at: Duration,
-    /// Since when there have been turns all the while, and workers that may get tasks.
+    /// Start of the current period in which rounds ran without a long pause and some worker could get tasks.
     pub(crate) uninterrupted_since: Duration,
-    /// When time was last taken note of.
+    /// Time of the last maintenance pass.
     pub(crate) last_maintenance_at: Duration,
-    /// When jobs that wait were last gone over.
+    /// Time of the last check of waiting jobs.
     pub(crate) waits_reported_at: Duration,
-    /// The jobs that wait, as of then.
+    /// Counts of waiting jobs as of that check.
     pub(crate) wait_counts: waiting::WaitCounts,
-    /// What the clock of the day showed last, as time since 1970: runs are due by it.
+    /// Last reading of the wall clock, as time since 1970. Timed runs are due by it.
     pub(crate) wall_time: Duration,
-    /// Whether a successor may go by what the roster notes of silent workers.
+    /// Whether a successor may rely on the roster's notes about silent workers.
     pub(crate) keeps_silence_notes: bool,
-    /// Data centres under evacuation: nothing starts on their workers.
+    /// Data centres under evacuation. Nothing starts on their workers.
     pub(crate) evacuated: Arc<[ids::DataCenter]>,
 }
 
-/// What a scheduler begins with.
+/// Initial state of a scheduler.
 #[derive(Clone, Debug)]
 pub struct PoolStart {
-    /// The platform's bounds.
+    /// Leases and time bounds of the platform.
     pub timing: timing::PoolTiming,
-    /// Classes and accounts.
+    /// Job classes and accounts.
     pub catalog: Arc<catalog::PoolCatalog>,
-    /// When everything that an earlier scheduler may have ordered has surely ended on the workers
+    /// Time by which everything that an earlier scheduler may have ordered has certainly ended on workers
     /// that do not answer.
     pub settles_at: Duration,
 }
 
 impl PoolCore {
-    /// A pool without workers or jobs.
+    /// Creates a pool without workers or jobs.
     pub fn new(start: PoolStart) -> PoolCore {
         PoolCore {
             timing: start.timing,
@@ -136,28 +140,31 @@
         }
     }
 
-    /// How much longer what earlier schedulers have ordered may go on, on workers that don't answer.
+    /// Returns for how much longer orders of earlier schedulers may still run on workers that do not answer.
     pub fn settles_in(&self, now: Duration) -> Duration {
         self.settles_at.saturating_sub(now)
     }
 
-    /// What earlier schedulers have ordered has surely ended at `at` on the workers that don't answer.
+    /// Lowers the bound for orders of earlier schedulers: on workers that do not answer, all of them have
+    /// ended by `at`.
     pub fn bound_settling(&mut self, at: Duration) {
         self.settles_at = self.settles_at.min(at);
     }
 
-    /// Takes a new configuration.
+    /// Replaces the configuration of classes and accounts.
     pub fn set_catalog(&mut self, catalog: Arc<catalog::PoolCatalog>) {
         self.catalog = catalog;
     }
 
-    /// All changes of the list of workers until `at` are taken in.
+    /// Records that all changes of the worker list up to `at` are applied.
     pub fn note_list_read(&mut self, at: Duration) {
         self.list_read_at = self.list_read_at.max(at);
     }
 
-    /// The list tells of the entry of a worker anew since it was last read. Where that is long behind the time
-    /// before, the store may have carried the write out late, and what it says is from any time since.
+    /// Records that the worker list returned a new version of a worker's entry. The entry counts as current
+    /// at this read only if the previous version was read at most a heartbeat and `ENTRY_SLACK` before. After
+    /// a longer gap the store may have applied the write late, and the content may date from any time within
+    /// the gap.
     pub fn note_entry_read(&mut self, worker: &ids::WorkerId) {
         let at = self.list_read_at;
         let usual_gap = self.timing.heartbeat + ENTRY_SLACK;
@@ -168,32 +175,33 @@
         }
     }
 
-    /// Takes the data centres under evacuation: nothing starts on their workers until they are taken back.
+    /// Sets the data centres under evacuation. Nothing starts on their workers until they are returned to
+    /// service.
     pub fn set_evacuated(&mut self, data_centers: Arc<[ids::DataCenter]>) {
         self.evacuated = data_centers;
     }
 
-    /// Takes the time of day, as time since 1970.
+    /// Sets the reading of the wall clock, as time since 1970.
     pub fn set_wall_time(&mut self, wall_time: Duration) {
         self.wall_time = wall_time;
     }
 
-    /// Orders since the last call, to be sent in this order.
+    /// Returns the orders since the last call; they have to be sent in this order.
     pub fn take_orders(&mut self) -> Vec<order::PoolOrder> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Jobs that ended since the last call, with how long they took here.
+    /// Returns the jobs that ended since the last call.
     pub fn take_finished(&mut self) -> Vec<FinishedJob> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Whether a worker has shown that a later scheduler is at work.
+    /// Whether a worker has shown that a later scheduler is active.
     pub fn is_fenced_off(&self) -> bool {
         self.is_fenced_off
     }
 
-    /// How far a job is, as far as callers may be told: an end only once it is durable.
+    /// Returns the state of a job that callers may see. An end is visible only once it is saved.
     pub fn state_of(&self, graph: ids::GraphId) -> Option<JobStatus<'_>> {
         let job = self.jobs.get(&graph)?;
         let state = match job.durable_state {
@@ -206,34 +214,34 @@
         Some(JobStatus { state, account: job.account.as_deref(), failure })
     }
 
-    /// Whether a job is known, and its cancelling if it was `cancelled`.
+    /// Whether a job is known, and has ended if `cancelled` is set.
     pub fn has_job(&self, graph: ids::GraphId, cancelled: bool) -> bool {
         self.jobs.get(&graph).is_some_and(|it| !cancelled || it.has_ended())
     }
 
-    /// Jobs of a class of which no task has started.
+    /// Number of jobs of a class of which no task has started.
     pub fn backlog(&self, class: &str) -> u64 {
         let waiting = self.active_jobs().filter(|(_, it)| it.class == class && !it.started);
         waiting.count() as u64
     }
 
-    /// Mean run time of a class, once enough of its runs were seen from their beginning.
+    /// Mean run time of a class, once enough complete runs of it were observed.
     pub fn usual_run_time(&self, class: &str) -> Option<Duration> {
         self.run_times.known_mean(class)
     }
 
-    /// Whether anything is unfinished, so that turns are needed even without events.
+    /// Whether any job, run or unwanted run is unfinished, so that rounds are needed even without events.
     pub fn is_busy(&self) -> bool {
         !self.active.is_empty()
             || self.workers.values().any(|it| !it.runs.is_empty() || !it.unwanted_runs.is_empty())
     }
 
-    /// The workers, for whoever keeps a session with each.
+    /// Ids of all known workers, each of which needs a session.
     pub fn worker_ids(&self) -> impl Iterator<Item = &ids::WorkerId> {
         self.workers.keys()
     }
 
-    /// Figures for logs and metrics.
+    /// Counts for logs and metrics.
     pub fn summary(&self) -> PoolSummary {
         let mut summary = PoolSummary { n_workers: self.workers.len(), ..PoolSummary::default() };
         for (_, job) in self.active_jobs() {
@@ -250,29 +258,29 @@
         summary
     }
 
-    /// Whether every worker on which tasks of an earlier tenure may be has answered, or their
-    /// leases have lapsed.
+    /// Whether every worker that may hold tasks of an earlier tenure has answered, or the leases of these
+    /// tasks have lapsed.
     pub fn is_settled(&self, now: Duration) -> bool {
         self.settled(now) == takeover::SettledJobs::All
     }
 
-    /// What has settled by `now` of what an earlier tenure has left.
+    /// The inherited jobs that are settled at `now`.
     pub(crate) fn settled(&self, now: Duration) -> takeover::SettledJobs {
         takeover::SettledJobs::of(self, now)
     }
 
-    /// Whether each worker on which a successor has to expect tasks answers.
+    /// Whether all workers answer on which a successor has to expect tasks.
     pub fn all_answer(&self) -> bool {
         let mut records = self.roster.workers().filter_map(|it| self.workers.get(it));
         records.all(|it| it.is_responsive() || !it.belongs_in_roster())
     }
 
-    /// The jobs that have not ended.
+    /// Jobs that have not ended.
     pub(crate) fn active_jobs(&self) -> impl Iterator<Item = (ids::GraphId, &job::JobRecord)> {
         self.active.iter().filter_map(|it| Some((*it, self.jobs.get(it)?)))
     }
 
-    /// Sorts a job whose state may have changed in with the active or the ended ones.
+    /// Updates the set of active jobs after the state of a job may have changed.
     pub(crate) fn update_active(&mut self, graph: ids::GraphId) {
         if self.jobs.get(&graph).is_some_and(|it| !it.has_ended()) {
             self.active.insert(graph);
@@ -281,7 +289,7 @@
         }
     }
 
-    /// Takes note that a job has ended.
+    /// Records the end of a job.
     pub(crate) fn finish(&mut self, graph: ids::GraphId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&graph) else { return };
         job.ended_at = Some(now);
@@ -297,31 +305,31 @@
         self.finished.push(finished_job(job, took));
     }
 
-    /// Takes the run of a task off its worker; the room is free from now on.
+    /// Removes the run of a task from its worker and frees its resources.
     pub(crate) fn release_run(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
-        let room = step.task_resources();
+        let resources = step.task_resources();
         let Some(task) = step.tasks.get_mut(key.task as usize) else { return };
         let Some(run) = task.run.take() else { return };
         task.ended_attempt = task.ended_attempt.max(run.attempt);
         task.waiting_since = now;
-        // Its outcome is settled: a successor must not take the start for lost.
-        let was_on_record = task.suspicion.saved_attempt.take().is_some();
+        // The outcome of the run is known, so a successor must not count its saved start as lost.
+        let was_saved = task.suspicion.saved_attempt.take().is_some();
         if run.is_confirmed && job.runs().next().is_none() {
             job.wait = wait_timer::WaitTimer::new(now);
         }
         if let Some(worker) = self.workers.get_mut(&run.worker) {
             worker.runs.remove(&key);
             worker.isolated_runs.remove(&key);
-            worker.used = worker.used.minus(room);
+            worker.used = worker.used.minus(resources);
         }
-        if was_on_record {
+        if was_saved {
             self.mark_task_changed(key);
         }
     }
 
-    /// Asks for the stop of a task's run, unless that was done.
+    /// Orders the stop of a task's run, unless it is being stopped already.
     pub(crate) fn stop_run(&mut self, key: task_key::TaskKey, now: Duration) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(run) = job.task_mut(key).and_then(|it| it.run.as_mut()) else { return };
@@ -351,7 +359,7 @@
         }));
     }
 
-    /// Keys of the tasks of a unit.
+    /// Keys of the tasks of a unit: one task, or all tasks of a gang.
     pub(crate) fn unit_tasks(&self, unit: task_key::UnitKey) -> Vec<task_key::TaskKey> {
         let Some(job) = self.jobs.get(&unit.graph) else { return Vec::new() };
         let key = |task| job.task_key(unit.graph, unit.step, task);
@@ -367,45 +375,45 @@
     FinishedJob { account: job.account.clone(), class: job.class.clone(), state: job.state, took }
 }
 
-/// What callers may be told of a job.
+/// State of a job as callers may see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobStatus<'a> {
-    /// How far it is.
+    /// Saved state, except that a job counts as running from its first start.
     pub state: model::GraphState,
-    /// Whose it is.
+    /// Account that owns the job, if any.
     pub account: Option<&'a str>,
-    /// Why it has failed, if it has.
+    /// Cause of the failure of a failed job.
     pub failure: Option<model::FailureCause>,
 }
 
 /// A job that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedJob {
-    /// Whose it was.
+    /// Account that owned the job, if any.
     pub account: Option<ids::AccountId>,
-    /// Its class.
+    /// Job class.
     pub class: ids::ClassName,
-    /// How it ended.
+    /// Final state.
     pub state: model::GraphState,
-    /// Since this scheduler learned of it.
+    /// Time from the admission by this scheduler to the end.
     pub took: Duration,
 }
 
-/// Figures of a pool.
+/// Counts of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolSummary {
     /// Jobs that have not ended.
     pub n_jobs: usize,
-    /// Tasks that wait, for room or for earlier steps.
+    /// Tasks that wait for resources or for earlier steps.
     pub n_waiting: usize,
-    /// Tasks on workers.
+    /// Tasks assigned to workers.
     pub n_running: usize,
-    /// Tasks under suspicion of crashing their workers.
+    /// Tasks suspected of crashing their workers.
     pub n_suspects: usize,
-    /// Workers known.
+    /// Known workers, listed or not.
     pub n_workers: usize,
     /// Accelerators in use.
     pub accelerators_used: u32,
-    /// Accelerators of all workers.
+    /// Accelerators of all known workers.
     pub accelerators: u32,
 }
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The turn: who starts now, and where.
+//! The scheduling round: selects the units that start now and their workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,13 +18,14 @@
 use crate::resources;
 use crate::task_key;
 
-/// Turns come at least twice as often while anything waits: behind a longer pause nothing could be ordered.
-const TURN_GAP: Duration = Duration::from_secs(1);
+/// Longest gap between rounds without interruption. While anything waits, rounds come at least twice as
+/// often; during a longer pause nothing could be ordered.
+const MAX_ROUND_GAP: Duration = Duration::from_secs(1);
 
 impl core::PoolCore {
-    /// Takes note of the time, then starts what can start and clears room for urgent work.
+    /// Runs periodic maintenance, starts the units that can start, and preempts other work for urgent units.
     pub fn run_round(&mut self, now: Duration) {
-        self.note_turn(now);
+        self.note_round(now);
         self.run_maintenance(now);
         let all = self.startable_accelerators();
         let urgent = self.urgent_accelerators();
@@ -32,7 +33,8 @@
         self.within_guarantee = self.accounts_within_guarantee();
         let units = self.waiting_units(now);
         let is_wait_report_due = self.is_wait_report_due(now);
-        // It goes over all workers, and what it finds is looked at anew before it counts.
+        // The search covers all workers, so it is not repeated in each round; a result is checked again
+        // before it is used.
         if is_wait_report_due {
             self.underused = self.find_underused();
         }
@@ -50,8 +52,8 @@
         }
     }
 
-    fn note_turn(&mut self, now: Duration) {
-        if now > self.last_round_at + TURN_GAP {
+    fn note_round(&mut self, now: Duration) {
+        if now > self.last_round_at + MAX_ROUND_GAP {
             self.uninterrupted_since = now;
         }
         self.last_round_at = now;
@@ -63,8 +65,8 @@
         candidates: &mut [candidate::WorkerCandidate],
         now: Duration,
     ) {
-        let mut full = BTreeSet::<(ids::GraphId, u32)>::new();
-        let mut hopeless = Vec::<resources::Resources>::new();
+        let mut full_steps = BTreeSet::<(ids::GraphId, u32)>::new();
+        let mut exhausted = Vec::<resources::Resources>::new();
         let mut failed = Vec::<failed_placement::FailedPlacement>::new();
         let mut round = self.preemption_round();
         for unit in units {
@@ -72,26 +74,26 @@
                 continue;
             }
             self.start_isolation_wait(unit, now);
-            let is_tried = !full.contains(&(unit.graph, unit.step));
-            if is_tried && !self.is_hopeless(unit, &hopeless) {
+            let is_tried = !full_steps.contains(&(unit.graph, unit.step));
+            if is_tried && !self.cannot_fit(unit, &exhausted) {
                 let outcome = self.try_start(unit, candidates, &mut failed, now);
                 if outcome == StartOutcome::Started {
                     continue;
                 }
-                // Tasks of one step are alike: where one finds no room, neither do the others. Those under
-                // suspicion ask for more.
+                // Tasks of one step need the same, so if one does not fit, the others do not either. Tasks
+                // under suspicion need more, and say nothing about the others.
                 if !self.unit_needs_isolation(unit) {
-                    full.insert((unit.graph, unit.step));
+                    full_steps.insert((unit.graph, unit.step));
                 }
-                if outcome == StartOutcome::NoRoom {
-                    hopeless.extend(self.hopeless_room(unit, candidates));
+                if outcome == StartOutcome::NoCapacity {
+                    exhausted.extend(self.exhausted_resources(unit, candidates));
                     if !self.is_urgent(unit) {
                         self.reserve_for(unit, candidates, now);
                     }
                 }
             }
-            // In its turn, before less urgent units are looked at: they would start in the room that
-            // is about to be cleared, and be stopped again at once.
+            // Preemption for an urgent unit comes before less urgent units are tried. They would otherwise
+            // start on the capacity about to be freed, and be stopped again at once.
             if self.is_urgent(unit) {
                 self.preempt_for_urgent(unit, candidates, &mut round, now);
             }
@@ -102,8 +104,8 @@
         self.jobs.get(&unit.graph).is_some_and(|it| it.priority == preemption::URGENT_PRIORITY)
     }
 
-    /// Keeps the units that come later in this turn off the room for which a gang waits, or a suspect.
-    /// Other tasks by themselves find room without.
+    /// Reserves capacity for a waiting gang or suspect, so that later units of this round do not take it.
+    /// Other single tasks find capacity without a reservation.
     fn reserve_for(
         &self,
         unit: task_key::UnitKey,
@@ -116,34 +118,36 @@
         let Some(request) = self.placement_request(unit, candidates, now) else { return };
         let Some(chosen) = reservation::reserve(candidates, &request) else { return };
         for index in chosen {
-            let room = request.kept_resources(&candidates[index]);
-            candidates[index].reserved.push((unit, room));
+            let kept = request.kept_resources(&candidates[index]);
+            candidates[index].reserved.push((unit, kept));
         }
     }
 
-    /// The room of one task of a unit, if no worker has that much left: nothing that needs as much
-    /// has to be tried in this turn.
-    fn hopeless_room(
+    /// Resources of one task of the unit, if no worker has that much free. Nothing that needs as much has to
+    /// be tried in this round.
+    fn exhausted_resources(
         &self,
         unit: task_key::UnitKey,
         candidates: &[candidate::WorkerCandidate],
     ) -> Option<resources::Resources> {
         let job = self.jobs.get(&unit.graph)?;
-        let room = job.steps.get(unit.step as usize)?.task_resources();
-        let is_hopeless = !candidates.iter().any(|it| room.fits_in(it.free));
-        is_hopeless.then_some(room)
+        let resources = job.steps.get(unit.step as usize)?.task_resources();
+        let is_exhausted = !candidates.iter().any(|it| resources.fits_in(it.free));
+        is_exhausted.then_some(resources)
     }
 
-    /// Whether a unit need not be tried. Urgent ones always are: other work may be stopped for them.
-    fn is_hopeless(&self, unit: task_key::UnitKey, hopeless: &[resources::Resources]) -> bool {
+    /// Whether a unit certainly does not fit and need not be tried. Urgent units are always tried, since
+    /// other work may be stopped for them.
+    fn cannot_fit(&self, unit: task_key::UnitKey, exhausted: &[resources::Resources]) -> bool {
         let Some(job) = self.jobs.get(&unit.graph) else { return true };
         let Some(step) = job.steps.get(unit.step as usize) else { return true };
-        let room = step.task_resources();
-        job.priority != preemption::URGENT_PRIORITY && hopeless.iter().any(|it| it.fits_in(room))
+        let resources = step.task_resources();
+        job.priority != preemption::URGENT_PRIORITY
+            && exhausted.iter().any(|it| it.fits_in(resources))
     }
 
-    /// Units that may start now, in the order in which they are to: by class, and within a class first
-    /// what can be in time, by age.
+    /// Units that may start now, in the order in which they are tried: by class priority, within a class by
+    /// prospect, and then by age.
     fn waiting_units(&self, now: Duration) -> Vec<task_key::UnitKey> {
         let settled = self.settled(now);
         let jobs = self.active_jobs().filter(|(_, it)| settled.covers(it));
@@ -156,7 +160,7 @@
             .collect()
     }
 
-    /// The workers that may get tasks now.
+    /// Workers that may get tasks now.
     pub(crate) fn candidates(&self, now: Duration) -> Vec<candidate::WorkerCandidate> {
         let usable =
             self.workers.iter().filter(|(id, it)| self.exclusion_reason(id, it, now).is_none());
@@ -164,8 +168,8 @@
         let mut upstreams = BTreeMap::<&str, usize>::new();
         let candidates = usable.map(|(_, it)| candidate::WorkerCandidate {
             place: Arc::clone(&it.place),
-            rack: number_of(&it.place.rack, &mut racks),
-            upstream: number_of(&it.place.upstream, &mut upstreams),
+            rack: index_of_name(&it.place.rack, &mut racks),
+            upstream: index_of_name(&it.place.upstream, &mut upstreams),
             used: it.in_use(),
             free: it.free(),
             n_runs: it.runs.len() + it.unwanted_runs.len(),
@@ -177,7 +181,7 @@
         candidates.collect()
     }
 
-    /// Accelerators of the workers on which something may start while they are well.
+    /// Accelerators of the workers outside evacuated data centres.
     fn startable_accelerators(&self) -> u32 {
         let workers = self.workers.values().filter(|it| !self.is_evacuated(it));
         workers.map(|it| it.entry.capacity.accelerators).sum()
@@ -193,7 +197,8 @@
         let Some(request) = self.placement_request(unit, candidates, now) else {
             return StartOutcome::Started;
         };
-        // Urgent units may have room that is kept for them alone, and gangs reserve some.
+        // Urgent units may use capacity that is kept for them alone, and gangs reserve capacity, so a failed
+        // search for other units says nothing about these.
         let is_plain = unit.task.is_some() && !self.is_urgent(unit) && !request.may_crash_worker;
         if is_plain && failed.iter().any(|it| it.covers(&request)) {
             return StartOutcome::Covered;
@@ -202,11 +207,12 @@
             if is_plain {
                 failed.extend(failed_placement::FailedPlacement::of(&request));
             }
-            return StartOutcome::NoRoom;
+            return StartOutcome::NoCapacity;
         };
         let racks = chosen.iter().map(|it| candidates[*it].rack).collect::<BTreeSet<_>>();
-        let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
-        let is_remote = is_off || (request.same_rack && racks.len() > 1);
+        let is_off_rack =
+            request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
+        let is_remote = is_off_rack || (request.same_rack && racks.len() > 1);
         let workers =
             chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
         let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_remote };
@@ -214,7 +220,7 @@
         StartOutcome::Started
     }
 
-    /// Accelerators that each urgent job uses.
+    /// Accelerators in use by each urgent job.
     fn urgent_accelerators(&self) -> Vec<u32> {
         let urgent =
             self.active_jobs().filter(|(_, it)| it.priority == preemption::URGENT_PRIORITY);
@@ -238,7 +244,7 @@
             worker.claims.retain(|it| it.unit != unit);
         }
         for (key, worker) in keys.into_iter().zip(workers) {
-            self.start_task(key, worker, StartTerms { attempt, is_isolated, is_remote }, now);
+            self.start_task(key, worker, StartProperties { attempt, is_isolated, is_remote }, now);
         }
     }
 
@@ -246,17 +252,17 @@
         &mut self,
         key: task_key::TaskKey,
         worker: ids::WorkerId,
-        terms: StartTerms,
+        properties: StartProperties,
         now: Duration,
     ) {
-        let StartTerms { attempt, is_isolated, is_remote } = terms;
+        let StartProperties { attempt, is_isolated, is_remote } = properties;
         let start_timeout = self.timing.start_timeout;
         let Some(record) = self.workers.get_mut(&worker) else { return };
         let Some(deadline_ms) = record.clock.deadline_in(now, start_timeout) else { return };
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let body = job.body.clone();
         let Some(step) = job.step_mut(key) else { return };
-        let room = step.task_resources();
+        let resources = step.task_resources();
         let Some(task) = step.tasks.get_mut(key.task as usize) else { return };
         task.attempt = attempt;
         task.run = Some(job::TaskRun {
@@ -276,7 +282,7 @@
             first_confirmed_clock: None,
         });
         record.runs.insert(key);
-        record.used = record.used.plus(room);
+        record.used = record.used.plus(resources);
         if is_isolated {
             record.isolated_runs.insert(key);
         }
@@ -304,18 +310,18 @@
     }
 }
 
-/// What became of a unit in a turn.
+/// Result of trying a unit in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartOutcome {
-    /// It starts, or has nothing to start.
+    /// The unit started, or has nothing to start.
     Started,
-    /// It found no room.
-    NoRoom,
-    /// Another found no room that asked for no more.
+    /// No workers with enough free capacity.
+    NoCapacity,
+    /// Not tried: a unit that needs no more has found no capacity in this round.
     Covered,
 }
 
-/// Where a unit starts.
+/// Workers chosen for the tasks of a unit.
 #[derive(Clone, Debug)]
 struct UnitPlaces {
     workers: Vec<ids::WorkerId>,
@@ -323,15 +329,15 @@
     is_remote: bool,
 }
 
-/// How a task starts.
+/// Properties of the start of one task.
 #[derive(Clone, Copy, Debug)]
-struct StartTerms {
+struct StartProperties {
     attempt: u32,
     is_isolated: bool,
     is_remote: bool,
 }
 
-/// Units of a job that may start at the time of day `wall`.
+/// Units of a job that may start at the wall-clock time `wall_time`.
 pub(crate) fn waiting_units_of(
     graph: ids::GraphId,
     job: &job::JobRecord,
@@ -340,7 +346,7 @@
     let mut units = Vec::new();
     for (index, step) in job.steps.iter().enumerate() {
         if wall_time < job.due(index) {
-            // The runs are due one after the other.
+            // Runs become due in order, so no later step is due either.
             break;
         }
         if step.is_done() || !job.is_ready(index) {
@@ -360,8 +366,8 @@
     units
 }
 
-/// The number of a name, the next one where it has none yet.
-fn number_of<'a>(name: &'a str, numbers: &mut BTreeMap<&'a str, usize>) -> usize {
+/// Index of a name; a new name gets the next free index.
+fn index_of_name<'a>(name: &'a str, numbers: &mut BTreeMap<&'a str, usize>) -> usize {
     let next = numbers.len();
     *numbers.entry(name).or_insert(next)
 }
--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -1,4 +1,4 @@
-//! Why a worker gets no tasks now.
+//! Reasons for which a worker gets no new tasks.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 use crate::core;
 use crate::worker;
 
-/// A worker that has not answered for this long gets no new tasks: longer than an idle look takes.
-const ANSWERED_WITHIN: Duration = Duration::from_millis(3_500);
+/// A worker gets no new tasks after this long without an answer. It exceeds the duration of a poll of an idle
+/// worker.
+const MAX_SILENCE: Duration = Duration::from_millis(3_500);
 
-/// What bars a worker from new tasks.
+/// Why a worker gets no new tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ExclusionReason {
-    /// The platform's list does not have it.
+    /// The worker is not on the platform's list.
     Unlisted,
-    /// Its entry has not been written lately, and it refuses nothing: its room may have shrunk.
+    /// The worker has no admission check, and its entry is too old to rule out that its capacity has shrunk.
     StaleEntry,
-    /// A successor would not find it.
+    /// The worker is not saved in the roster, so a successor would not find it.
     OffRoster,
-    /// It has not answered under this tenure, or not lately.
+    /// The worker has not answered under this tenure, or not recently.
     Silent,
-    /// The list speaks of another life of it.
+    /// The list has the entry of another incarnation of the worker.
     OtherIncarnation,
-    /// It is about to leave.
+    /// The worker is about to shut down.
     Leaving,
-    /// Its data centre is evacuated.
+    /// The worker's data centre is under evacuation.
     Evacuated,
-    /// It refused a start a moment ago.
+    /// The worker refused a start moments ago.
     Refusing,
-    /// It fails or hangs tasks of several jobs.
+    /// Tasks of several jobs fail or stall on the worker.
     Failing,
-    /// Its tasks are far too slow.
+    /// Tasks on the worker run far too slowly.
     Slow,
 }
 
 impl ExclusionReason {
-    /// A short name, for logs.
+    /// Short name for logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             ExclusionReason::Unlisted => "unlisted",
@@ -54,7 +55,7 @@
 }
 
 impl core::PoolCore {
-    /// What bars a worker from new tasks now, if anything does.
+    /// Returns why a worker gets no new tasks now, or nothing if it may get some.
     pub(crate) fn exclusion_reason(
         &self,
         id: &ids::WorkerId,
@@ -64,7 +65,7 @@
         if !worker.listed {
             return Some(ExclusionReason::Unlisted);
         }
-        if !worker.is_responsive() || now >= worker.answered_at + ANSWERED_WITHIN {
+        if !worker.is_responsive() || now >= worker.answered_at + MAX_SILENCE {
             return Some(ExclusionReason::Silent);
         }
         if now < worker.paused_until {
@@ -88,14 +89,15 @@
         if !self.roster.is_saved(id) {
             return Some(ExclusionReason::OffRoster);
         }
-        // A worker that refuses nothing would be filled beyond a room that has shrunk unheard, as
-        // while the store is away.
-        let is_unguarded = self.catalog.without_admission_check.contains(&worker.entry.upstream);
-        let is_old = is_unguarded && worker.is_entry_stale(&self.timing, now);
-        is_old.then_some(ExclusionReason::StaleEntry)
+        // A worker without admission check accepts starts beyond its capacity. If the capacity shrank and the
+        // change could not be read, as during an outage of the store, the worker would be overloaded.
+        let lacks_admission_check =
+            self.catalog.without_admission_check.contains(&worker.entry.upstream);
+        let is_stale = lacks_admission_check && worker.is_entry_stale(&self.timing, now);
+        is_stale.then_some(ExclusionReason::StaleEntry)
     }
 
-    /// Whether nothing may start on a worker until its data centre is taken back.
+    /// Whether a worker's data centre is under evacuation, so that nothing may start on it.
     pub(crate) fn is_evacuated(&self, worker: &worker::WorkerRecord) -> bool {
         self.evacuated.contains(&worker.entry.data_center)
     }
--- a/crates/graph/src/order.rs
+++ b/crates/graph/src/order.rs
@@ -1,4 +1,4 @@
-//! What the core asks of its holder, and what it is told in return.
+//! Orders from the core to the owner that executes them, and the replies of workers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,162 +7,162 @@
 
 use crate::task_key;
 
-/// Something to be sent to a worker.
+/// An order to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolOrder {
-    /// Start a task.
+    /// Starts a task.
     Start(StartOrder),
-    /// Stop an attempt of a task, and refuse it if it comes later.
+    /// Stops an attempt of a task; the worker refuses that attempt if it arrives later.
     Stop(StopOrder),
-    /// List what is on the worker, at once.
+    /// Polls the worker at once.
     Poll {
-        /// The worker.
+        /// Worker to poll.
         worker: ids::WorkerId,
     },
 }
 
-/// A start.
+/// An order to start a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartOrder {
-    /// The worker.
+    /// Worker that is to run the task.
     pub worker: ids::WorkerId,
-    /// Its control address.
+    /// Control address of the worker.
     pub address: ids::PeerAddress,
-    /// The life of the worker that is meant, as the scheduler counts.
+    /// Incarnation of the worker that the order is meant for, as counted by this scheduler.
     pub generation: u32,
-    /// When it was decided; it leaves soon or not at all.
+    /// Time of the decision. A start that cannot be sent soon after it is dropped.
     pub ordered_at: Duration,
-    /// The task.
+    /// Task to start.
     pub task: task_key::TaskKey,
-    /// Number of the attempt.
+    /// Attempt number, higher than those of earlier attempts.
     pub attempt: u32,
-    /// What the caller handed in for it.
+    /// Job body, as submitted by the caller.
     pub body: Arc<str>,
-    /// On the worker's clock; the start is refused behind it.
+    /// Deadline in milliseconds of the worker's clock. The worker refuses the start after it.
     pub deadline_ms: u64,
-    /// Checkpoint to resume from.
+    /// Checkpoint to resume from, if any.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// A stop.
+/// An order to stop a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StopOrder {
-    /// The worker.
+    /// Worker that runs the task.
     pub worker: ids::WorkerId,
-    /// Its control address.
+    /// Control address of the worker.
     pub address: ids::PeerAddress,
-    /// The life of the worker that is meant, as the scheduler counts.
+    /// Incarnation of the worker that the order is meant for, as counted by this scheduler.
     pub generation: u32,
-    /// The task.
+    /// Task to stop.
     pub task: task_key::TaskKey,
-    /// The attempt.
+    /// Attempt to stop.
     pub attempt: u32,
 }
 
-/// How the next look at a worker is to be made.
+/// Parameters of the next poll of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PollRequest {
-    /// Its control address.
+    /// Control address of the worker.
     pub address: ids::PeerAddress,
-    /// The life of the worker that is meant, as the scheduler counts.
+    /// Incarnation of the worker that the poll is meant for, as counted by this scheduler.
     pub generation: u32,
-    /// New deadline of everything on it, on its clock.
+    /// New lease deadline of all tasks on the worker, in milliseconds of its clock.
     pub deadline_ms: Option<u64>,
-    /// Ends up to this one are durable and may be forgotten.
+    /// Highest task end that is saved; the worker may forget ends up to this number.
     pub last_seen: u64,
-    /// How long the worker may wait for an end.
+    /// How long the worker may hold the reply back until a task ends.
     pub wait: Duration,
 }
 
-/// What a worker lists.
+/// A worker's reply to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PollReply {
-    /// The life of the worker that answers, where the platform tells lives apart.
+    /// Incarnation of the worker that replies, where the platform distinguishes incarnations.
     pub incarnation: Option<ids::Incarnation>,
-    /// Its clock.
+    /// Worker's clock in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// Running tasks.
     pub running: Vec<ListedRun>,
-    /// What has ended and was not acknowledged, in order.
+    /// Ends that are not acknowledged, by ascending number.
     pub ended: Vec<ListedEnd>,
-    /// Whether `ended` holds all of them.
+    /// Whether `ended` has all unacknowledged ends.
     pub complete: bool,
 }
 
-/// A task that runs.
+/// A running task in a poll reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedRun {
-    /// The task.
+    /// Task that runs.
     pub task: task_key::TaskKey,
-    /// Its attempt.
+    /// Attempt that runs.
     pub attempt: u32,
     /// Newest checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
-    /// How far it is.
+    /// Progress in percent.
     pub percent: u32,
 }
 
-/// A task that has ended.
+/// An end of a task in a poll reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEnd {
-    /// Number of the end on this worker.
+    /// Number of the end, counted by the worker.
     pub number: u64,
-    /// The task.
+    /// Task that ended.
     pub task: task_key::TaskKey,
-    /// Its attempt.
+    /// Attempt that ended.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub how: EndKind,
     /// Newest checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// How a task ended.
+/// How an attempt of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// Its work is done.
+    /// The task completed its work.
     Done,
-    /// Through its own fault or the worker's.
+    /// The task failed, through its own fault or the worker's.
     Failed,
-    /// Somebody stopped it.
+    /// The task was stopped on request.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of the gang did not start in time.
     Alone,
 }
 
-/// What became of a start.
+/// Result of sending a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The worker has it; its clock.
+    /// The worker accepted the start.
     Started {
-        /// Its clock.
+        /// Worker's clock in milliseconds.
         clock_ms: u64,
     },
-    /// The worker refused; nothing runs.
+    /// The worker refused the start; nothing runs.
     Refused(StartRefusal),
-    /// It never left; nothing runs.
+    /// The order was never sent; nothing runs.
     NotSent,
-    /// No answer: it may run, start later, or never.
+    /// No answer: the task may be running, may start later, or may never start.
     Unknown,
-    /// Another worker answers there; the one that was meant is over.
+    /// Another worker answers at the address; the intended worker no longer exists.
     Replaced,
 }
 
 /// Why a worker refused a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// Not a higher attempt than one stopped or ended there.
+    /// The attempt number is not higher than one stopped or ended on the worker.
     Old,
-    /// It came behind its deadline.
+    /// The start arrived after its deadline.
     Late,
-    /// No room.
+    /// The worker lacks free resources.
     Room,
-    /// Anything else; the worker is unwell.
+    /// Any other reason; the worker is unhealthy.
     Unwell,
 }
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -1,14 +1,14 @@
-//! Where a unit runs: best fit over workers, and over racks for gangs.
+//! Placement of units: best fit over workers, and over racks for gangs.
 //!
-//! Tasks go where least is left over, so that whole workers and whole racks stay free for the
-//! tasks that need all accelerators of a worker and the gangs that need a rack.
+//! Tasks are placed where the least is left over, so that whole workers and racks stay free for tasks that
+//! need all accelerators of a worker and for gangs that need a rack.
 
 use std::collections::BTreeSet;
 
 use crate::candidate;
 
-/// Chooses a berth for each task of the unit and takes the room there, or changes nothing. The
-/// result has one index for each task.
+/// Chooses a candidate for each task of the unit and takes the resources there, or changes nothing. The
+/// result has one index into `candidates` per task.
 pub fn place(
     candidates: &mut [candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
@@ -27,14 +27,15 @@
         candidate.n_runs += 1;
         candidate.is_exclusive |= request.is_isolated;
     }
-    // What was cleared for the unit is taken now; left as a claim it would keep others out twice.
+    // The unit takes the capacity that was freed for it. A claim that stayed would withhold the same capacity
+    // from other units a second time.
     for it in candidates.iter_mut() {
         it.claims.retain(|(unit, _)| *unit != request.unit);
     }
     Some(chosen)
 }
 
-/// Whether the unit could ever be placed near its data and on one rack, were all workers empty.
+/// Whether the unit would fit near its data and within one rack if all workers were empty.
 pub fn could_be_local(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
@@ -66,16 +67,17 @@
     let best = fitting.min_by_key(|(_, it)| {
         let is_remote = request.rack_number.is_some_and(|rack| it.rack != rack);
         let left = it.free.minus(request.per_task);
-        // Among workers left alike, that of the fullest rack: racks that empty serve gangs.
+        // Between workers with the same accelerators left, prefer the rack with the least free: racks that
+        // become empty can serve gangs.
         let rack = free_by_rack[it.rack];
-        // What may crash its worker runs where it puts least at risk.
+        // A task that may crash its worker goes where the fewest other tasks are at risk.
         let n_at_risk = if request.may_crash_worker { it.n_runs } else { 0 };
         (is_remote, n_at_risk, it.failed_lately, left.accelerators, rack, left.cpu_milli)
     });
     best.map(|(index, _)| index)
 }
 
-/// Whether as many workers stay empty as the unit has to leave.
+/// Whether as many workers stay empty as the unit has to leave empty.
 fn leaves_enough_empty(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
@@ -114,7 +116,7 @@
     let needs_rack = request.same_rack || request.rack_number.is_some();
     let near = if needs_rack { choose_rack(candidates, request, &counts) } else { None };
     if let Some(rack) = near {
-        return Some(fill(candidates, request, &counts, |it| it.rack == rack));
+        return Some(distribute(candidates, request, &counts, |it| it.rack == rack));
     }
     if needs_rack && !request.allows_remote {
         return None;
@@ -122,37 +124,38 @@
     if counts.iter().sum::<u32>() < request.n_tasks {
         return None;
     }
-    Some(fill(candidates, request, &counts, |_| true))
+    Some(distribute(candidates, request, &counts, |_| true))
 }
 
-/// The rack that holds the gang and has least left over then.
+/// Chooses, of the racks that hold the whole gang, one with the fewest workers that failed lately, and among
+/// these the one with the fewest free accelerators.
 fn choose_rack(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
     counts: &[u32],
 ) -> Option<usize> {
-    let mut racks = vec![RackRoom::default(); n_racks(candidates)];
+    let mut racks = vec![RackCapacity::default(); n_racks(candidates)];
     for (it, count) in candidates.iter().zip(counts) {
         let rack = &mut racks[it.rack];
         rack.count += count;
         rack.accelerators += it.free.accelerators;
-        rack.suspects += u32::from(it.failed_lately && *count > 0);
+        rack.n_failed_lately += u32::from(it.failed_lately && *count > 0);
     }
     let holds = racks.iter().enumerate().filter(|(number, it)| {
         it.count >= request.n_tasks && request.rack_number.is_none_or(|rack| rack == *number)
     });
-    holds.min_by_key(|(_, it)| (it.suspects, it.accelerators)).map(|(number, _)| number)
+    holds.min_by_key(|(_, it)| (it.n_failed_lately, it.accelerators)).map(|(number, _)| number)
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct RackRoom {
+struct RackCapacity {
     count: u32,
     accelerators: u32,
-    suspects: u32,
+    n_failed_lately: u32,
 }
 
-/// Fills the allowed berths, those with least free first.
-fn fill(
+/// Distributes the tasks over the allowed candidates, those with the fewest free accelerators first.
+fn distribute(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
     counts: &[u32],
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -1,4 +1,4 @@
-//! What a unit asks for in a turn.
+//! Builds the placement request of a unit for a scheduling round.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 use crate::resources;
 use crate::task_key;
 
-/// A job of which nothing runs waits this long at most for a better place, or for room that is kept for other
-/// work, while the pool is ample. The platform takes a job as lost that stands still for 3 s beside room.
-const STANDING_PATIENCE: Duration = Duration::from_secs(2);
+/// Longest time for which an idle job waits for a better place, or leaves capacity that is kept for other
+/// work, while the pool is underused. The platform counts a job as lost that is idle for 3 s although
+/// capacity is free.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl core::PoolCore {
-    /// What a unit asks for.
+    /// Builds the placement request of a unit, or nothing if the job or step does not exist.
     pub(crate) fn placement_request<'a>(
         &'a self,
         unit: task_key::UnitKey,
@@ -35,14 +36,14 @@
         let may_crash_worker = tasks.iter().any(|it| it.suspicion.needs_isolation());
         let is_patient = waited < isolation::TOTAL_ISOLATION_TIMEOUT
             && tasks.iter().all(|it| self.isolation_wait(it, now) < isolation::ISOLATION_TIMEOUT);
-        let may_stand = may_crash_worker || waited >= STANDING_PATIENCE;
-        let stands = may_stand && self.stands_beside_room(job);
+        let may_be_starved = may_crash_worker || waited >= IDLE_TIMEOUT;
+        let is_starved = may_be_starved && self.is_idle_in_underused_pool(job);
         let may_be_isolated =
-            may_crash_worker && (stands || isolation::may_run_isolated(tasks, candidates));
-        let takes_any = waited >= STANDING_PATIENCE && stands;
+            may_crash_worker && (is_starved || isolation::may_run_isolated(tasks, candidates));
+        let takes_any = waited >= IDLE_TIMEOUT && is_starved;
         let mut request = candidate::PlacementRequest {
             unit,
-            upstream: upstream_number(&job.upstream, candidates),
+            upstream: upstream_index(&job.upstream, candidates),
             per_task: resources::Resources::of_step(&step.spec),
             n_tasks: tasks.len() as u32,
             same_rack: step.spec.same_rack && tasks.len() > 1,
@@ -51,14 +52,14 @@
             per_worker: step.spec.per_worker,
             n_present: n_present(step, candidates),
             avoids: tasks.iter().filter_map(|it| it.avoids.as_deref()).collect(),
-            // What may crash its worker takes an empty one, before it takes others with it.
+            // A task that may crash its worker may take an empty one, rather than endanger other tasks.
             keeps_empty: if may_crash_worker || takes_any {
                 0
             } else {
                 self.kept_empty(job, candidates, waited)
             },
             allows_remote: false,
-            takes_reserved: stands || waited >= self.slack(job),
+            takes_reserved: is_starved || waited >= self.slack(job),
             may_crash_worker,
             is_isolated: is_suspect && is_patient,
             may_be_isolated,
@@ -74,10 +75,10 @@
         Some(request)
     }
 
-    /// Whether nothing of a job runs or is about to, and less than half of its pool is in use. What is kept
-    /// there for other work, or for a better place, is not scarce. Once one of its units has started, the others
-    /// wait like those of any job; what has started in this turn counts.
-    fn stands_beside_room(&self, job: &job::JobRecord) -> bool {
+    /// Whether nothing of a job runs or has been ordered, and less than half of its pool is in use, so that
+    /// capacity kept for other work or for a better place is not scarce. Starts of the current round count:
+    /// once one unit of the job has started, its others wait like those of any job.
+    fn is_idle_in_underused_pool(&self, job: &job::JobRecord) -> bool {
         let is_going =
             |it: &job::TaskRun| it.phase.is_running() || matches!(it.phase, job::RunPhase::Ordered);
         self.underused.contains(&job.upstream)
@@ -85,14 +86,14 @@
             && self.is_underused(&job.upstream)
     }
 
-    /// Workers that a unit of `job` leaves empty for more urgent work. A class right below the urgent
-    /// one leaves half of what urgent work is likely to need: its tasks are large, are stopped for
-    /// urgent work at a loss all the same, and are late when they wait. The classes below leave all
-    /// of it and as much again, so that the empty workers serve what is large. One share for both
-    /// classes served 0.02 of worth less (40 paired days, error 0.006).
+    /// Number of workers that a unit of `job` leaves empty for more urgent work. The class directly below the
+    /// urgent one leaves half of what urgent work is likely to need: its tasks are large, are stopped for
+    /// urgent work at a loss anyway, and are late if they wait. Lower classes leave twice the likely need, so
+    /// that the empty workers can serve large tasks. One share for both served 0.02 of worth less (40 paired
+    /// days, error 0.006).
     ///
-    /// A unit that has waited for all of its slack leaves nothing empty any more, or it would starve.
-    /// Bounds of 4 and 10 s served 0.010 and 0.013 less, one of 60 s as much.
+    /// A unit that has waited for all of its slack leaves no workers empty, or it would starve. Bounds of 4
+    /// and 10 s instead of the slack served 0.010 and 0.013 less, a bound of 60 s as much.
     fn kept_empty(
         &self,
         job: &job::JobRecord,
@@ -102,27 +103,28 @@
         if job.priority == preemption::URGENT_PRIORITY || waited >= self.slack(job) {
             return 0;
         }
-        // By the largest: the room of any one worker may have shrunk for a while.
-        let rooms = candidates.iter().map(|it| it.place.capacity);
-        let each = rooms.max_by_key(|it| it.accelerators).unwrap_or_default();
+        // The largest worker is the measure, since the capacity of any single worker may be reduced for a
+        // while.
+        let capacities = candidates.iter().map(|it| it.place.capacity);
+        let each = capacities.max_by_key(|it| it.accelerators).unwrap_or_default();
         let n = self.headroom.n_workers(each, candidates.len());
         if job.priority == preemption::URGENT_PRIORITY + 1 { n / 2 } else { 2 * n }
     }
 }
 
-/// Number of an upstream; one that no berth has where it has no workers.
-fn upstream_number(upstream: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
+/// Index of an upstream; `usize::MAX`, which no candidate has, if it has no candidates.
+fn upstream_index(upstream: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
     let known = candidates.iter().find(|it| it.place.upstream == upstream);
     known.map_or(usize::MAX, |it| it.upstream)
 }
 
-/// Number of a rack; one that no berth has where the rack is not there.
+/// Index of a rack; `usize::MAX`, which no candidate has, if it has no candidates.
 fn rack_number(rack: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
     let known = candidates.iter().find(|it| it.place.rack == rack);
     known.map_or(usize::MAX, |it| it.rack)
 }
 
-/// Tasks of a step on each berth, where the step limits them.
+/// Number of tasks of a step on each candidate; empty if the step does not limit it.
 fn n_present(step: &job::StepRecord, candidates: &[candidate::WorkerCandidate]) -> Vec<u32> {
     if step.spec.per_worker == 0 {
         return Vec::new();
--- a/crates/graph/src/pool_usage.rs
+++ b/crates/graph/src/pool_usage.rs
@@ -1,4 +1,4 @@
-//! Whether a pool has much room left.
+//! Detects upstreams whose workers are less than half in use.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::resources;
 
 impl core::PoolCore {
-    /// The upstreams of whose workers less than half is in use, of each resource.
+    /// Upstreams with less than half of each resource of their workers in use.
     pub(crate) fn find_underused(&self) -> BTreeSet<ids::UpstreamName> {
         let mut amounts = BTreeMap::<&ids::UpstreamName, PoolAmounts>::new();
         for worker in self.workers.values().filter(|it| it.listed) {
@@ -21,7 +21,8 @@
         underused.map(|(upstream, _)| upstream.clone()).collect()
     }
 
-    /// Whether less than half of the workers of an upstream is in use now, within a turn too.
+    /// Whether less than half of each resource of an upstream's workers is in use now, counting starts of the
+    /// current round.
     pub(crate) fn is_underused(&self, upstream: &str) -> bool {
         let mut amounts = PoolAmounts::default();
         let of_upstream = self.workers.values().filter(|it| it.entry.upstream == upstream);
@@ -32,8 +33,7 @@
     }
 }
 
-/// What the workers of an upstream offer, and what is in use there, by resource: thousandths of a core,
-/// megabytes, accelerators.
+/// Resources of an upstream's workers, offered and in use: thousandths of a core, megabytes, accelerators.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolAmounts {
     offered: [u64; 3],
@@ -51,11 +51,11 @@
     }
 
     fn is_underused(&self) -> bool {
-        // What nobody offers, such as accelerators, can't be scarce either.
+        // A resource that no worker offers, such as accelerators, does not count as scarce.
         self.used.iter().zip(self.offered).all(|(used, offered)| 2 * used < offered.max(1))
     }
 }
 
-fn by_resource(room: resources::Resources) -> [u64; 3] {
-    [room.cpu_milli, room.memory_mb, room.accelerators].map(u64::from)
+fn by_resource(resources: resources::Resources) -> [u64; 3] {
+    [resources.cpu_milli, resources.memory_mb, resources.accelerators].map(u64::from)
 }
