--- a/crates/graph/src/exclusion_reason.rs
+++ b/crates/graph/src/exclusion_reason.rs
@@ -65,7 +65,7 @@
         if !worker.listed {
             return Some(ExclusionReason::Unlisted);
         }
-        if !worker.is_responsive() || now >= worker.answered_at + MAX_SILENCE {
+        if !worker.is_responsive() || now >= worker.last_contact_at + MAX_SILENCE {
             return Some(ExclusionReason::Silent);
         }
         if now < worker.paused_until {
