--- a/crates/graph/src/candidate.rs
+++ b/crates/graph/src/candidate.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerCandidate {
     /// Properties that do not change within the round.
-    pub place: Arc<WorkerProfile>,
+    pub profile: Arc<WorkerProfile>,
     /// Index of the rack, from 0, for fast comparison.
     pub rack: usize,
     /// Index of the upstream, from 0, for fast comparison.
@@ -122,7 +122,7 @@
 
     /// Resources to keep on a candidate for one task of the unit: the whole worker for an isolated run.
     pub fn kept_resources(&self, candidate: &WorkerCandidate) -> resources::Resources {
-        if self.is_isolated { candidate.place.capacity } else { self.per_task }
+        if self.is_isolated { candidate.profile.capacity } else { self.per_task }
     }
 
     /// Number of tasks of the unit that fit into `free` on the candidate; 0 if the unit may not use it.
@@ -150,8 +150,8 @@
 
     fn allows(&self, candidate: &WorkerCandidate) -> bool {
         candidate.upstream == self.upstream
-            && self.label.is_none_or(|it| candidate.place.labels.iter().any(|label| label == it))
-            && !self.avoids.contains(&candidate.place.worker.as_str())
+            && self.label.is_none_or(|it| candidate.profile.labels.iter().any(|label| label == it))
+            && !self.avoids.contains(&candidate.profile.worker.as_str())
     }
 }
 
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -105,7 +105,7 @@
         }
         // The largest worker is the measure, since the capacity of any single worker may be reduced for a
         // while.
-        let capacities = candidates.iter().map(|it| it.place.capacity);
+        let capacities = candidates.iter().map(|it| it.profile.capacity);
         let each = capacities.max_by_key(|it| it.accelerators).unwrap_or_default();
         let n = self.headroom.n_workers(each, candidates.len());
         if job.priority == preemption::URGENT_PRIORITY + 1 { n / 2 } else { 2 * n }
@@ -114,13 +114,13 @@
 
 /// Index of an upstream; `usize::MAX`, which no candidate has, if it has no candidates.
 fn upstream_index(upstream: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
-    let known = candidates.iter().find(|it| it.place.upstream == upstream);
+    let known = candidates.iter().find(|it| it.profile.upstream == upstream);
     known.map_or(usize::MAX, |it| it.upstream)
 }
 
 /// Index of a rack; `usize::MAX`, which no candidate has, if it has no candidates.
 fn rack_number(rack: &str, candidates: &[candidate::WorkerCandidate]) -> usize {
-    let known = candidates.iter().find(|it| it.place.rack == rack);
+    let known = candidates.iter().find(|it| it.profile.rack == rack);
     known.map_or(usize::MAX, |it| it.rack)
 }
 
@@ -132,7 +132,7 @@
     let workers = step.tasks.iter().filter_map(|it| it.run.as_ref()).map(|it| &it.worker);
     let mut n_present = vec![0; candidates.len()];
     for worker in workers {
-        if let Some(index) = candidates.iter().position(|it| it.place.worker == *worker) {
+        if let Some(index) = candidates.iter().position(|it| it.profile.worker == *worker) {
             n_present[index] += 1;
         }
     }
