--- a/crates/graph/src/intake.rs
+++ b/crates/graph/src/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs and workers that come and go.
+//! Admission and cancellation of jobs, and changes of the worker list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,42 +14,42 @@
 use crate::wait_timer;
 use crate::worker;
 
-/// Attempts left out behind the highest one on record, for tasks that an earlier scheduler may
-/// have started again without a trace. A number that a worker has seen end is refused there.
+/// Number of attempts skipped after the highest saved one, for inherited tasks: an earlier scheduler may have
+/// restarted them without saving the attempt, and a worker refuses an attempt number that has ended there.
 const ATTEMPT_GAP: u32 = 8;
 
-/// An accepted job graph as it stands in the store.
+/// An accepted job graph as stored.
 #[derive(Clone, Debug)]
 pub struct AdmittedJob {
-    /// Its id.
+    /// Job id.
     pub graph: ids::GraphId,
-    /// The row of its acceptance.
+    /// Stored row of the accepted job.
     pub row: model::GraphRow,
-    /// The version of that row.
+    /// Version of the row.
     pub version: ids::RowVersion,
-    /// How it became known.
+    /// How this scheduler learned of the job.
     pub origin: JobOrigin,
-    /// What an earlier scheduler has saved of it.
+    /// Progress saved by earlier schedulers.
     pub progress: progress::SavedChunks,
-    /// Whether it was accepted before this tenure began.
+    /// Whether the job was accepted before this tenure began.
     pub inherited: bool,
 }
 
-/// How a scheduler learns of a job.
+/// How a scheduler learned of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOrigin {
-    /// Read at the beginning of the tenure.
+    /// Read from the store at the beginning of the tenure.
     Load,
-    /// Told by the feed of accepted jobs.
+    /// Received from the feed of accepted jobs.
     Feed,
-    /// Told by the instance that stored it.
+    /// Received from the instance that stored the job.
     Nudge,
-    /// Looked up in the store, as it was asked for and not known.
+    /// Read from the store after a request for a job that was not known.
     Lookup,
 }
 
 impl JobOrigin {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             JobOrigin::Load => "load",
@@ -61,7 +61,7 @@
 }
 
 impl core::PoolCore {
-    /// Takes in a job graph, or the cancelling of one that is known.
+    /// Admits a job graph, or cancels one that is known.
     pub fn admit(&mut self, admitted: AdmittedJob, now: Duration) {
         let graph = admitted.graph;
         let cancelled = admitted.row.cancelled;
@@ -76,7 +76,7 @@
                 version = admitted.version,
                 "job admitted"
             );
-            record_of(admitted, now)
+            job_record(admitted, now)
         });
         self.update_active(graph);
         if is_unchunked {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Ends a job that its caller has cancelled; that is durable already.
+    /// Ends a job that its caller has cancelled. The cancellation is saved already.
     fn cancel(&mut self, graph: ids::GraphId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&graph) else { return };
         if job.has_ended() {
@@ -101,7 +101,7 @@
         self.stop_all(graph, now);
     }
 
-    /// Stops every run of a job.
+    /// Orders the stop of every run of a job.
     pub(crate) fn stop_all(&mut self, graph: ids::GraphId, now: Duration) {
         let Some(job) = self.jobs.get(&graph) else { return };
         let mut running = Vec::new();
@@ -114,36 +114,40 @@
         }
     }
 
-    /// Takes in a worker of the platform's list. Tells whether that is news: not where the worker has written
-    /// its entry anew since.
+    /// Adds or updates a worker from its entry on the platform's list. Returns false if the entry is older
+    /// than one already applied, because the worker has rewritten it since.
     pub fn update_worker(
         &mut self,
         worker: ids::WorkerId,
-        listing: worker::WorkerEntry,
+        entry: worker::WorkerEntry,
         now: Duration,
     ) -> bool {
         let list_read_at = self.list_read_at;
-        let record = self.record_or_new(&worker);
-        if record.listed && listing.is_superseded_by(&record.entry) {
-            tracing::info!(worker, sequence = listing.sequence, "entry of a worker was overtaken");
+        let record = self.worker_or_new(&worker);
+        if record.listed && entry.is_superseded_by(&record.entry) {
+            tracing::info!(
+                worker,
+                sequence = entry.sequence,
+                "outdated entry of a worker is ignored"
+            );
             return false;
         }
         record.entry_read_at.get_or_insert(list_read_at);
-        let is_other_life = record.entry.incarnation != listing.incarnation;
-        let is_moved = !record.entry.has_endpoint(&listing.address, &listing.upstream);
+        let is_other_incarnation = record.entry.incarnation != entry.incarnation;
+        let is_moved = !record.entry.has_endpoint(&entry.address, &entry.upstream);
         if !record.listed {
             tracing::info!(
                 worker,
-                address = listing.address,
-                rack = listing.rack,
-                incarnation = listing.incarnation,
+                address = entry.address,
+                rack = entry.rack,
+                incarnation = entry.incarnation,
                 "worker listed"
             );
         }
         record.listed = true;
-        // What a former life has said of leaving does not hold for this one.
-        let leaves_at = record.leaves_at.filter(|_| !is_other_life);
-        record.leaves_at = listing.leaves_in.map(|left| {
+        // Only the incarnation that announced its shutdown is leaving.
+        let leaves_at = record.leaves_at.filter(|_| !is_other_incarnation);
+        record.leaves_at = entry.leaves_in.map(|left| {
             leaves_at.unwrap_or_else(|| {
                 tracing::info!(worker, left_ms = left.as_millis() as u64, "worker is leaving");
                 now + left
@@ -151,15 +155,15 @@
         });
         record.place = Arc::new(candidate::WorkerProfile {
             worker: worker.clone(),
-            upstream: listing.upstream.clone(),
-            rack: listing.rack.clone(),
-            labels: listing.labels.clone(),
-            capacity: listing.capacity,
+            upstream: entry.upstream.clone(),
+            rack: entry.rack.clone(),
+            labels: entry.labels.clone(),
+            capacity: entry.capacity,
         });
-        record.entry_incarnation = listing.incarnation.or(record.entry_incarnation);
-        record.entry = listing;
-        if is_other_life && !record.is_listed_incarnation() {
-            // The list has learned of another life first.
+        record.entry_incarnation = entry.incarnation.or(record.entry_incarnation);
+        record.entry = entry;
+        if is_other_incarnation && !record.is_listed_incarnation() {
+            // The list shows another incarnation before a poll has found it.
             self.note_missed_exchange(&worker);
         }
         if is_moved {
@@ -168,13 +172,13 @@
         true
     }
 
-    /// Takes in a worker to which an earlier scheduler may have given orders, as it stands on a page of
-    /// the roster.
+    /// Adds a worker to which an earlier scheduler may have sent orders, from an entry on a page of the
+    /// roster.
     pub fn inherit_worker(&mut self, entry: model::RosterEntry, page: u32) {
         for page in self.roster.load_worker(&entry.worker, entry.on_record, page) {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
-        let record = self.record_or_new(&entry.worker);
+        let record = self.worker_or_new(&entry.worker);
         record.inherited = true;
         if !record.listed {
             record.entry.address = entry.address;
@@ -184,14 +188,14 @@
         }
     }
 
-    fn record_or_new(&mut self, worker: &ids::WorkerId) -> &mut worker::WorkerRecord {
+    fn worker_or_new(&mut self, worker: &ids::WorkerId) -> &mut worker::WorkerRecord {
         let generation = self.newest_generation;
         let fresh = || worker::WorkerRecord::with_generation(generation);
         self.workers.entry(worker.clone()).or_insert_with(fresh)
     }
 
-    /// The list has the worker no more: it gets no new tasks. What runs there counts until its
-    /// lease has lapsed, since a worker may be alive and cut off from the list alone.
+    /// Records that the list no longer has a worker, so it gets no new tasks. Its runs count until its lease
+    /// has lapsed, since the worker may be running and only be cut off from the list.
     pub fn unlist_worker(&mut self, worker: &ids::WorkerId, now: Duration) {
         let Some(record) = self.workers.get_mut(worker).filter(|it| it.listed) else { return };
         tracing::info!(worker, n_runs = record.runs.len(), "worker no longer listed");
@@ -199,8 +203,8 @@
         self.update_loss_evidence(worker, losses::LossEvidence::Silent, now);
     }
 
-    /// Another worker answers at `address`, so that everything on this one is over; but not where the
-    /// list has it elsewhere by now.
+    /// Records that another worker answers at `address`, so that all runs of this one are over, unless the
+    /// list has the worker at another address by now.
     pub fn worker_replaced(
         &mut self,
         worker: &ids::WorkerId,
@@ -221,7 +225,7 @@
     }
 }
 
-fn record_of(admitted: AdmittedJob, now: Duration) -> job::JobRecord {
+fn job_record(admitted: AdmittedJob, now: Duration) -> job::JobRecord {
     let row = admitted.row;
     let runs = row.graph.schedule.as_ref().map_or(1, |it| it.runs.get());
     let steps_per_run = row.graph.steps.len() as u32;
--- a/crates/graph/src/lib.rs
+++ b/crates/graph/src/lib.rs
@@ -1,6 +1,5 @@
-//! Decisions about job graphs on a pool of workers, pure: events come in, orders go out, time is an
-//! argument. Whoever holds the tenure of the pool keeps one [`core::PoolCore`] and carries its
-//! orders out.
+//! Scheduling of job graphs on a pool of workers, without I/O: events come in, orders go out, and the time is
+//! an argument. The holder of the pool's tenure owns one [`core::PoolCore`] and executes its orders.
 
 pub mod ack_window;
 pub mod candidate;
--- a/crates/graph/src/objective.rs
+++ b/crates/graph/src/objective.rs
@@ -1,4 +1,4 @@
-//! When a job is in time, by what its class declares and by learned run times.
+//! Time objectives of jobs, from the settings of their class and learned run times.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use crate::core;
 use crate::job;
 
-/// Slack of a job whose class promises nothing, or is no longer configured: two of the 5 s that a run
-/// of an unknown class is taken to last.
+/// Slack of a job whose class has no objective or is no longer configured: twice the run time of 5 s that is
+/// assumed for an unknown class.
 const UNKNOWN_SLACK: Duration = Duration::from_secs(10);
 
-/// Steps of a job that come one after the other.
+/// Length of the longest chain of dependent steps of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StepChain {
-    /// How many there are in the longest chain.
+    /// Steps in the longest chain.
     pub n_steps: u32,
-    /// How many there are in the longest chain of those that are not done.
-    pub n_left: u32,
+    /// Unfinished steps in the chain that has most of them.
+    pub n_unfinished: u32,
 }
 
 impl StepChain {
-    /// The longest chain of `steps`, each of which waits only for earlier ones.
+    /// Finds the longest chain in `steps`; dependencies on later steps are ignored.
     pub fn of(steps: &[job::StepRecord]) -> StepChain {
         let mut chains = Vec::<StepChain>::with_capacity(steps.len());
         for step in steps {
@@ -28,7 +28,7 @@
             let longest = before.copied().fold(StepChain::default(), StepChain::longest);
             chains.push(StepChain {
                 n_steps: longest.n_steps + 1,
-                n_left: longest.n_left + u32::from(!step.is_done()),
+                n_unfinished: longest.n_unfinished + u32::from(!step.is_done()),
             });
         }
         chains.into_iter().fold(StepChain::default(), StepChain::longest)
@@ -37,37 +37,37 @@
     fn longest(self, other: StepChain) -> StepChain {
         StepChain {
             n_steps: self.n_steps.max(other.n_steps),
-            n_left: self.n_left.max(other.n_left),
+            n_unfinished: self.n_unfinished.max(other.n_unfinished),
         }
     }
 }
 
-/// Time from handing in to the end within which a job is in time, if each step takes `step`.
+/// Time from submission to the end within which a job is in time, if each step takes `step`.
 pub fn objective(class: &catalog::ClassSpec, chain: StepChain, step: Duration) -> Duration {
     (step * chain.n_steps).mul_f64(class.stretch) + class.target_latency
 }
 
-/// How long a job may wait in all and be in time.
+/// Longest total wait with which a job is still in time, if each step takes `step`.
 pub fn slack(class: &catalog::ClassSpec, chain: StepChain, step: Duration) -> Duration {
     objective(class, chain, step).saturating_sub(step * chain.n_steps)
 }
 
 impl core::PoolCore {
-    /// The class of a job, where the configuration has it and it promises a time.
+    /// Class of a job, if it is configured and has an objective.
     pub(crate) fn class_with_objective(&self, job: &job::JobRecord) -> Option<&catalog::ClassSpec> {
         self.catalog.classes.get(&job.class).filter(|it| it.stretch > 0.0)
     }
 
-    /// How long a job may wait in all and be in time, by the learned run time of its class.
+    /// Longest total wait with which a job is still in time, by the learned run time of its class.
     pub(crate) fn slack(&self, job: &job::JobRecord) -> Duration {
         let Some(class) = self.class_with_objective(job) else { return UNKNOWN_SLACK };
         slack(class, StepChain::of(&job.steps), self.run_times.mean(&job.class))
     }
 
-    /// How long a unit waits for a place where it does not take longer. Elsewhere it takes
-    /// `remote_factor` times as long, which costs it that much less one mean run time: behind such a
-    /// wait a place anywhere would have been as soon. Half of it served 0.014 of worth less (40
-    /// paired days, error 0.005), half as much again 0.007 less (0.006).
+    /// How long a unit waits for a place near its data and gang. Elsewhere it takes `remote_factor` times as
+    /// long, which costs `remote_factor` - 1 mean run times; after a wait of that length, starting anywhere
+    /// at once would have been as fast. Half of this wait served 0.014 of worth less (40 paired days, error
+    /// 0.005), one and a half times this wait 0.007 less (error 0.006).
     pub(crate) fn locality_wait(&self, job: &job::JobRecord) -> Duration {
         let lost = (self.timing.remote_factor - 1.0).max(0.0);
         self.run_times.mean(&job.class).mul_f64(lost)
--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -1,7 +1,7 @@
-//! Starts that count as unsettled for longer than any can be.
+//! Detection of starts that have been unsettled for longer than is possible.
 //!
-//! What settles a start comes from outside: its answer, a look, the lapse of a lease. Should one of them be
-//! lost on its way to here, its task would wait for as long as the tenure lasts.
+//! A start is settled by events from outside: its answer, a poll, or the lapse of a lease. If such an event
+//! were lost on its way to the core, the task would wait until the end of the tenure.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 }
 
 impl core::PoolCore {
-    /// Tells once of each start that has been unsettled for longer than any can be, and has it settled: it
-    /// counts as unclear, and its worker is looked at. Its task starts nowhere else before that is done.
+    /// Logs each start that has been unsettled for longer than is possible, once, and settles it: marks it as
+    /// unclear and polls its worker. Until it is settled, the task starts on no other worker.
     pub(crate) fn settle_overdue(&mut self, now: Duration) {
         for start in self.overdue_starts(now) {
-            self.tell_overdue(&start, now);
+            self.log_overdue(&start, now);
             let task = self.jobs.get_mut(&start.task.graph).and_then(|it| it.task_mut(start.task));
             let Some(run) = task.and_then(|it| it.run.as_mut()) else { continue };
             run.is_reported_overdue = true;
@@ -38,19 +38,19 @@
         }
     }
 
-    /// What was believed of each start that was found overdue since the last call.
+    /// Returns the phases recorded for the starts found overdue since the last call.
     pub fn take_overdue_phases(&mut self) -> Vec<job::RunPhase> {
         std::mem::take(&mut self.overdue_phases)
     }
 
     fn overdue_starts(&self, now: Duration) -> Vec<OverdueStart> {
-        let longest = self.longest_open();
+        let limit = self.max_unsettled();
         let mut overdue = Vec::new();
         for (id, worker) in &self.workers {
             for key in &worker.runs {
                 let Some(run) = self.task_run(*key) else { continue };
-                let is_open = !run.is_confirmed && !run.is_reported_overdue;
-                if is_open && now >= run.tracked_since + longest {
+                let is_unsettled = !run.is_confirmed && !run.is_reported_overdue;
+                if is_unsettled && now >= run.tracked_since + limit {
                     overdue.push(OverdueStart { worker: id.clone(), task: *key, phase: run.phase });
                 }
             }
@@ -58,15 +58,15 @@
         overdue
     }
 
-    /// How long a start may stay unsettled at most, on a worker that answers: a look sent then finds it
-    /// behind its deadline.
-    fn longest_open(&self) -> Duration {
+    /// Longest time for which a start can be unsettled on a worker that answers: a poll sent then finds the
+    /// start past its deadline.
+    fn max_unsettled(&self) -> Duration {
         lease_clock::max_local_span(
             self.timing.start_timeout + 2 * poll_answers::START_DEADLINE_SLACK,
         )
     }
 
-    fn tell_overdue(&self, start: &OverdueStart, now: Duration) {
+    fn log_overdue(&self, start: &OverdueStart, now: Duration) {
         let run = self.task_run(start.task);
         let worker = self.workers.get(&start.worker);
         tracing::warn!(
@@ -77,7 +77,7 @@
             belief = start.phase.name(),
             age_ms = run.map(|it| now.saturating_sub(it.tracked_since).as_millis() as u64),
             worker_answers = worker.is_some_and(|it| it.is_responsive()),
-            "start is unsettled for longer than it can be"
+            "start has been unsettled for longer than is possible"
         );
     }
 }
--- a/crates/graph/src/run_times.rs
+++ b/crates/graph/src/run_times.rs
@@ -1,18 +1,18 @@
-//! How long tasks of a class take, learned from those that ended well.
+//! Run times of job classes, learned from tasks that completed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use almondpass_schema::ids;
 
-/// Run time assumed before any task of a class has ended.
-const UNKNOWN_RUN: Duration = Duration::from_secs(5);
+/// Run time assumed before any task of a class has completed.
+const UNKNOWN_RUN_TIME: Duration = Duration::from_secs(5);
 
 /// Weight of the newest run in the moving mean.
-const NEWEST_SHARE: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Runs from which on a mean is believed: their spread is up to half of it.
-const N_KNOWN: u32 = 8;
+/// Number of runs after which a mean counts as known; run times spread by up to half of their mean.
+const MIN_KNOWN_RUNS: u32 = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct RunMean {
@@ -27,22 +27,23 @@
 }
 
 impl RunTimes {
-    /// Takes in a run that ended well.
+    /// Adds the run time of a completed task.
     pub fn observe(&mut self, class: &ids::ClassName, took: Duration) {
         let mean = self.means.entry(class.clone()).or_default();
         mean.n_runs += 1;
-        // The plain mean at first, which a moving one would take long to come up to.
-        let share = NEWEST_SHARE.max(1.0 / f64::from(mean.n_runs));
-        mean.mean = mean.mean.mul_f64(1.0 - share) + took.mul_f64(share);
+        // The first runs are averaged with equal weights, since the moving mean would approach their level
+        // slowly.
+        let weight = NEWEST_WEIGHT.max(1.0 / f64::from(mean.n_runs));
+        mean.mean = mean.mean.mul_f64(1.0 - weight) + took.mul_f64(weight);
     }
 
-    /// Mean run time of a class.
+    /// Mean run time of a class; 5 s if no task of it has completed.
     pub fn mean(&self, class: &str) -> Duration {
-        self.means.get(class).map_or(UNKNOWN_RUN, |it| it.mean)
+        self.means.get(class).map_or(UNKNOWN_RUN_TIME, |it| it.mean)
     }
 
-    /// Mean run time of a class of which enough runs were seen.
+    /// Mean run time of a class, once enough of its runs were observed.
     pub fn known_mean(&self, class: &str) -> Option<Duration> {
-        self.means.get(class).filter(|it| it.n_runs >= N_KNOWN).map(|it| it.mean)
+        self.means.get(class).filter(|it| it.n_runs >= MIN_KNOWN_RUNS).map(|it| it.mean)
     }
 }
--- a/crates/graph/src/wait_timer.rs
+++ b/crates/graph/src/wait_timer.rs
@@ -1,51 +1,51 @@
-//! When a job that waits is told of.
+//! Times at which the wait of a job is logged.
 
 use std::time::Duration;
 
-/// A job that waits is told of after this, and again after four times as long, and so on: jobs wait by the
-/// hundred where there is more work than room.
-const FIRST_TOLD_AFTER: Duration = Duration::from_secs(1);
+/// Time after which a wait is first logged. Later intervals grow, because hundreds of jobs wait when there is
+/// more work than capacity.
+const FIRST_LOGGED_AFTER: Duration = Duration::from_secs(1);
 
-/// Factor between two times at which a wait is told of.
-const TOLD_AGAIN_FACTOR: u32 = 4;
+/// Factor between successive intervals.
+const INTERVAL_FACTOR: u32 = 4;
 
-/// A wait is told of this often at the least, so that one without end stays in sight.
-const LONGEST_SILENCE: Duration = Duration::from_secs(60);
+/// Longest interval, so that an endless wait stays visible in the log.
+const MAX_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Since when a job waits, and what was told of it.
+/// Start of a job's wait, and the time at which it is next logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitTimer {
     since: Duration,
     due: Duration,
     interval: Duration,
-    /// Whether it was counted as left standing.
+    /// Whether this wait was counted as starved.
     pub is_counted_starved: bool,
 }
 
 impl WaitTimer {
-    /// A wait that begins now.
+    /// Starts a wait at `now`.
     pub fn new(now: Duration) -> WaitTimer {
         WaitTimer {
             since: now,
-            due: now + FIRST_TOLD_AFTER,
-            interval: FIRST_TOLD_AFTER,
+            due: now + FIRST_LOGGED_AFTER,
+            interval: FIRST_LOGGED_AFTER,
             is_counted_starved: false,
         }
     }
 
-    /// Since when the job waits.
+    /// Start of the wait.
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// Whether the wait is to be told of now.
+    /// Whether the wait is due to be logged.
     pub fn is_due(&self, now: Duration) -> bool {
         now >= self.due
     }
 
-    /// The wait was told of.
+    /// Schedules the next log line after the wait was logged at `now`.
     pub fn note_reported(&mut self, now: Duration) {
-        self.interval = (self.interval * TOLD_AGAIN_FACTOR).min(LONGEST_SILENCE);
+        self.interval = (self.interval * INTERVAL_FACTOR).min(MAX_INTERVAL);
         self.due = now + self.interval;
     }
 }
--- a/crates/graph/tests/pool/objectives.rs
+++ b/crates/graph/tests/pool/objectives.rs
@@ -27,7 +27,7 @@
 }
 
 fn check_chain(afters: &[&[u32]], n_steps: u32) {
-    let chain = objective::StepChain { n_steps, n_left: n_steps };
+    let chain = objective::StepChain { n_steps, n_unfinished: n_steps };
     assert_eq!(objective::StepChain::of(&steps(afters)), chain);
 }
 
@@ -53,7 +53,7 @@
 /// Three steps of 2 s at three times their time and a second: 19 s, of which the work takes 6.
 #[test]
 fn slack_is_what_the_objective_leaves() {
-    let chain = objective::StepChain { n_steps: 3, n_left: 3 };
+    let chain = objective::StepChain { n_steps: 3, n_unfinished: 3 };
     let step = Duration::from_secs(2);
     assert_eq!(objective::objective(&class(), chain, step), Duration::from_secs(19));
     assert_eq!(objective::slack(&class(), chain, step), Duration::from_secs(13));
@@ -63,22 +63,22 @@
 #[test]
 fn slack_is_never_negative() {
     let class = catalog::ClassSpec { stretch: 0.1, target_latency: Duration::ZERO, ..class() };
-    let chain = objective::StepChain { n_steps: 1, n_left: 1 };
+    let chain = objective::StepChain { n_steps: 1, n_unfinished: 1 };
     assert_eq!(objective::slack(&class, chain, Duration::from_secs(2)), Duration::ZERO);
 }
 
-fn check_prospect(age_seconds: u64, n_left: u32, expected: prospect::JobProspect) {
-    let chain = objective::StepChain { n_steps: 3, n_left };
+fn check_prospect(age_seconds: u64, n_unfinished: u32, expected: prospect::JobProspect) {
+    let chain = objective::StepChain { n_steps: 3, n_unfinished };
     let age = Duration::from_secs(age_seconds);
     assert_eq!(prospect::prospect_of(&class(), chain, Duration::from_secs(2), age), expected);
 }
 
 macro_rules! prospects {
-    ($($name:ident: $age:expr, $n_left:expr => $expected:ident;)*) => {
+    ($($name:ident: $age:expr, $n_unfinished:expr => $expected:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                check_prospect($age, $n_left, prospect::JobProspect::$expected);
+                check_prospect($age, $n_unfinished, prospect::JobProspect::$expected);
             }
         )*
     };
