--- a/crates/graph/examples/measure_turn.rs
+++ b/crates/graph/examples/measure_turn.rs
@@ -1,4 +1,4 @@
-//! Measures the turns of a scheduler under a burst of urgent work: `cargo run --release -p
+//! Measures the duration of scheduling rounds under a burst of urgent work: `cargo run --release -p
 //! almondpass-graph --example measure_turn -- 1100`.
 
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 use almondpass_graph::{core, intake, order, progress, resources, timing, worker};
 use almondpass_schema::{ids, model};
 
-/// Workers of a rack.
-const RACK: usize = 12;
+/// Workers per rack.
+const WORKERS_PER_RACK: usize = 12;
 
-/// Turns of the burst that are measured.
-const N_TURNS: u32 = 20;
+/// Number of measured rounds.
+const N_ROUNDS: u32 = 20;
 
-/// Accelerators that each worker offers.
+/// Accelerators of each worker.
 const ACCELERATORS: u32 = 8;
 
 fn main() {
@@ -26,7 +26,7 @@
         admit(&mut core, graph, 2, step(40, 1), now);
     }
     now += Duration::from_secs(20);
-    turn(&mut core, now);
+    run_answered_round(&mut core, now);
     println!("{n_workers} workers, {} tasks run", core.summary().n_running);
     for graph in 0..n_workers as u64 / 18 {
         let accelerators = [1, 2, 4, 8][graph as usize % 4];
@@ -34,15 +34,15 @@
     }
     let mut longest = Duration::ZERO;
     let mut sum = Duration::ZERO;
-    for _ in 0..N_TURNS {
+    for _ in 0..N_ROUNDS {
         now += Duration::from_millis(20);
-        let began = Instant::now();
-        turn(&mut core, now);
-        let took = began.elapsed();
-        longest = longest.max(took);
-        sum += took;
+        let started_at = Instant::now();
+        run_answered_round(&mut core, now);
+        let duration = started_at.elapsed();
+        longest = longest.max(duration);
+        sum += duration;
     }
-    println!("turn: mean {:?}, longest {longest:?}", sum / N_TURNS);
+    println!("turn: mean {:?}, longest {longest:?}", sum / N_ROUNDS);
 }
 
 fn pool_of(n_workers: usize) -> core::PoolCore {
@@ -53,7 +53,7 @@
     });
     let now = Duration::from_secs(1_000);
     for index in 0..n_workers {
-        let rack = format!("r{}", index / RACK);
+        let rack = format!("r{}", index / WORKERS_PER_RACK);
         let listing = worker::WorkerEntry {
             address: format!("127.0.0.1:{index}"),
             upstream: "analysis".to_owned(),
@@ -77,8 +77,8 @@
     core
 }
 
-/// Lets every worker answer, then turns, and lets every start succeed.
-fn turn(core: &mut core::PoolCore, now: Duration) {
+/// Lets every worker answer a poll, runs a round, and lets every start succeed.
+fn run_answered_round(core: &mut core::PoolCore, now: Duration) {
     let workers = core.worker_ids().cloned().collect::<Vec<_>>();
     for worker in workers {
         let listed = order::PollReply {
--- a/crates/graph/tests/pool/failures.rs
+++ b/crates/graph/tests/pool/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of tasks, and how often a task may fail.
+//! Failures of tasks, and the limit on attempts.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::support;
 
-/// Symptom: a task was started a third time although two failures, the most allowed, were listed.
-/// Sequence: attempt 1 fails on a worker that is cut off; its lease lapses, attempt 2 fails
-/// elsewhere and is counted; the first worker comes back and lists its failure.
-/// Cause: only failures of higher attempts than the last one counted.
+/// A task must not start a third time after two failures, the most allowed, in whatever order they are
+/// listed. Attempt 1 fails on a worker that is cut off, its lease lapses, and attempt 2 fails elsewhere; then
+/// the first worker reconnects and lists its failure. It was ignored when only failures of higher attempts
+/// than the last counted one were counted.
 #[test]
 fn failures_count_in_whatever_order_they_are_listed() {
     let mut bench = support::PoolBench::new(2);
@@ -34,8 +34,9 @@
     assert_eq!(shown, Some((model::GraphState::Failed, Some("lab"), cause)));
 }
 
-/// Symptom: a job is shown as failed after one failure. Sequence: a scheduler saves the failure
-/// and is replaced before it has acknowledged the end; the next one is listed the same end again.
+/// A failure that two schedulers see counts once, so that the job does not fail after one failure. The first
+/// scheduler saves the failure and is replaced before it acknowledges the end, which the worker then lists to
+/// its successor.
 #[test]
 fn a_failure_that_is_listed_to_two_schedulers_counts_once() {
     let mut bench = support::PoolBench::new(2);
--- a/crates/graph/tests/pool/load.rs
+++ b/crates/graph/tests/pool/load_simulation.rs
@@ -1,5 +1,5 @@
-//! Plays a load on a core: jobs come at random, workers run what they are told, and what callers
-//! get is counted by class. By seed, so that two plays of the same code are the same.
+//! Load simulation on a pool core: jobs arrive at random, workers execute orders, and the outcome of the jobs
+//! is counted by class. The simulation is deterministic for a seed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,102 +12,103 @@
 
 use crate::support;
 
-/// Time between two steps of a play.
+/// Time between two steps of the simulation.
 const TICK: Duration = Duration::from_millis(20);
 
-/// A stop takes this long.
-const STOP: Duration = Duration::from_millis(200);
+/// Duration of a stop.
+const STOP_DURATION: Duration = Duration::from_millis(200);
 
-/// Workers list what they run at least this often.
-const LOOK: Duration = Duration::from_millis(500);
+/// Longest time between two polls of a worker.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Jobs that came this long before the end of a play count.
-const TAIL: Duration = Duration::from_secs(40);
+/// Jobs that arrive within this time of the end of the simulation are not counted.
+const UNCOUNTED_TAIL: Duration = Duration::from_secs(40);
 
-/// A class of jobs as it comes.
+/// Arrivals and properties of the jobs of a class.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadClass {
     /// 0 is the most urgent.
     pub(crate) priority: u32,
-    /// Jobs a second.
+    /// Mean number of jobs per second.
     pub(crate) per_second: f64,
-    /// Fewest and most tasks.
+    /// Fewest and most tasks of a job.
     pub(crate) tasks: (u32, u32),
-    /// Accelerators of a task, drawn from these.
+    /// Choices for the accelerators of a task.
     pub(crate) accelerators: &'static [u32],
-    /// What else a task needs.
-    pub(crate) room: resources::Resources,
-    /// Whether the tasks work only together.
+    /// Resources of a task other than accelerators.
+    pub(crate) other_resources: resources::Resources,
+    /// Whether the tasks of a job form a gang.
     pub(crate) gang: bool,
-    /// Whether they have to lie in one rack.
+    /// Whether the tasks have to run in one rack.
     pub(crate) same_rack: bool,
-    /// Mean run time; runs take 0.6 to 1.4 times as long.
+    /// Mean run time; the run time of a job is 0.6 to 1.4 times the mean.
     pub(crate) run: Duration,
-    /// A job is in time within this many times its run time...
+    /// Factor of the objective: a job is in time if it ends within `stretch` times its run time plus
+    /// `target`.
     pub(crate) stretch: f64,
-    /// ...and this much more.
+    /// Constant part of the objective.
     pub(crate) target: Duration,
 }
 
-/// What became of the jobs of a class.
+/// Outcome of the jobs of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassTally {
-    /// Jobs that came.
-    pub(crate) owed: u32,
-    /// Of them, those that were in time.
+    /// Jobs that count.
+    pub(crate) n_counted: u32,
+    /// Counted jobs that were in time.
     pub(crate) in_time: u32,
-    /// Core-seconds of their work that were thrown away; an accelerator counts as 8 cores.
-    pub(crate) lost: u64,
-    /// Core-seconds of the jobs that were not in time.
+    /// Core-seconds of work thrown away by stops; an accelerator counts as 8 cores.
+    pub(crate) discarded: u64,
+    /// Core-seconds of counted jobs that were not in time.
     pub(crate) late: u64,
 }
 
 impl ClassTally {
-    /// Percent in time.
+    /// Percentage of counted jobs that were in time.
     pub(crate) fn percent(&self) -> u32 {
-        100 * self.in_time / self.owed.max(1)
+        100 * self.in_time / self.n_counted.max(1)
     }
 }
 
-/// Plays `classes` for `seconds` on `n_workers` workers; a tally for each class.
-pub(crate) fn play(
+/// Simulates the load of `classes` for `seconds` on `n_workers` workers. Returns a tally for each class.
+pub(crate) fn simulate(
     n_workers: usize,
     classes: &[LoadClass],
     seconds: u64,
     seed: u64,
 ) -> Vec<ClassTally> {
-    let mut play = LoadPlay::new(n_workers, classes, seed);
-    let end = play.bench.now + Duration::from_secs(seconds);
-    while play.bench.now < end {
-        play.step(end);
+    let mut simulation = LoadSimulation::new(n_workers, classes, seed);
+    let end = simulation.bench.now + Duration::from_secs(seconds);
+    while simulation.bench.now < end {
+        simulation.step(end);
     }
-    play.tallies
+    simulation.tallies
 }
 
-struct LoadPlay<'a> {
+struct LoadSimulation<'a> {
     bench: support::PoolBench,
     classes: &'a [LoadClass],
     rng: ChaCha8Rng,
     jobs: BTreeMap<ids::GraphId, LoadJob>,
     runs: BTreeMap<(usize, task_key::TaskKey), LoadRun>,
     n_ends: Vec<u64>,
-    looked_at: Vec<Duration>,
+    polled_at: Vec<Duration>,
     tallies: Vec<ClassTally>,
 }
 
 struct LoadJob {
     class: usize,
-    came_at: Duration,
-    took: Duration,
-    /// Of one task, in cores.
+    submitted_at: Duration,
+    run_time: Duration,
+    /// Weight of one task, in cores.
     weight: u64,
     n_tasks: u64,
-    counts: bool,
+    is_counted: bool,
 }
 
 impl LoadJob {
     fn work(&self) -> u64 {
-        self.n_tasks * self.weight * self.took.as_millis() as u64 / 1_000
+        self.n_tasks * self.weight * self.run_time.as_millis() as u64 / 1_000
     }
 }
 
@@ -115,21 +116,21 @@
     start: order::StartOrder,
     since: Duration,
     ends_at: Duration,
-    how: order::EndKind,
+    end_kind: order::EndKind,
 }
 
-impl<'a> LoadPlay<'a> {
-    fn new(n_workers: usize, classes: &'a [LoadClass], seed: u64) -> LoadPlay<'a> {
+impl<'a> LoadSimulation<'a> {
+    fn new(n_workers: usize, classes: &'a [LoadClass], seed: u64) -> LoadSimulation<'a> {
         let mut bench = support::PoolBench::new(n_workers);
         bench.core.set_catalog(Arc::new(catalog_of(classes)));
-        LoadPlay {
+        LoadSimulation {
             bench,
             classes,
             rng: ChaCha8Rng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
             runs: BTreeMap::new(),
             n_ends: vec![0; n_workers],
-            looked_at: vec![Duration::ZERO; n_workers],
+            polled_at: vec![Duration::ZERO; n_workers],
             tallies: vec![ClassTally::default(); classes.len()],
         }
     }
@@ -140,11 +141,11 @@
         for class in 0..self.classes.len() {
             let chance = self.classes[class].per_second * TICK.as_secs_f64();
             if self.rng.random_bool(chance) {
-                self.come(class, self.bench.now + TAIL < end);
+                self.submit(class, self.bench.now + UNCOUNTED_TAIL < end);
             }
         }
         for worker in 0..self.n_ends.len() {
-            self.list(worker);
+            self.answer_poll_of(worker);
         }
         let orders = self.bench.run_round();
         for stop in support::stops(&orders) {
@@ -157,15 +158,15 @@
         self.count_completed();
     }
 
-    fn come(&mut self, class: usize, counts: bool) {
+    fn submit(&mut self, class: usize, is_counted: bool) {
         let spec = &self.classes[class];
         let n_tasks = self.rng.random_range(spec.tasks.0..=spec.tasks.1);
         let accelerators = spec.accelerators[self.rng.random_range(0..spec.accelerators.len())];
-        let took = spec.run.mul_f64(self.rng.random_range(0.6..1.4));
+        let run_time = spec.run.mul_f64(self.rng.random_range(0.6..1.4));
         let step = model::GraphStep {
             accelerators,
-            cpu_milli: spec.room.cpu_milli,
-            memory_mb: spec.room.memory_mb,
+            cpu_milli: spec.other_resources.cpu_milli,
+            memory_mb: spec.other_resources.memory_mb,
             gang: spec.gang,
             same_rack: spec.same_rack,
             estimate_ms: spec.run.as_millis() as u32,
@@ -174,10 +175,11 @@
         let weight = resources::Resources::of_step(&step).weight() / 1_000;
         let graph = self.jobs.len() as ids::GraphId + 1;
         self.bench.admit(graph, support::job(spec.priority, step));
-        let came_at = self.bench.now;
-        let job = LoadJob { class, came_at, took, weight, n_tasks: n_tasks.into(), counts };
-        if counts {
-            self.tallies[class].owed += 1;
+        let submitted_at = self.bench.now;
+        let job =
+            LoadJob { class, submitted_at, run_time, weight, n_tasks: n_tasks.into(), is_counted };
+        if is_counted {
+            self.tallies[class].n_counted += 1;
             self.tallies[class].late += job.work();
         }
         self.jobs.insert(graph, job);
@@ -186,9 +188,10 @@
     fn start(&mut self, start: order::StartOrder) {
         self.bench.confirm_start(&start);
         let now = self.bench.now;
-        let ends_at = now + self.jobs[&start.task.graph].took;
+        let ends_at = now + self.jobs[&start.task.graph].run_time;
         let key = (support::index_of(&start.worker), start.task);
-        self.runs.insert(key, LoadRun { start, since: now, ends_at, how: order::EndKind::Done });
+        self.runs
+            .insert(key, LoadRun { start, since: now, ends_at, end_kind: order::EndKind::Done });
     }
 
     fn stop(&mut self, stop: &order::StopOrder) {
@@ -196,34 +199,35 @@
         self.bench.core.stop_answered(stop, true, now);
         let key = (support::index_of(&stop.worker), stop.task);
         let Some(run) = self.runs.get_mut(&key) else { return };
-        if run.ends_at <= now + STOP || run.how == order::EndKind::Stopped {
+        if run.ends_at <= now + STOP_DURATION || run.end_kind == order::EndKind::Stopped {
             return;
         }
-        (run.ends_at, run.how) = (now + STOP, order::EndKind::Stopped);
+        (run.ends_at, run.end_kind) = (now + STOP_DURATION, order::EndKind::Stopped);
         let job = &self.jobs[&stop.task.graph];
         let ran = now.saturating_sub(run.since).as_secs();
-        self.tallies[job.class].lost += ran * job.weight;
+        self.tallies[job.class].discarded += ran * job.weight;
     }
 
-    fn list(&mut self, worker: usize) {
+    fn answer_poll_of(&mut self, worker: usize) {
         let now = self.bench.now;
         let first_task = task_key::TaskKey { graph: 0, occurrence: 0, step: 0, task: 0 };
         let first_key = |worker| (worker, first_task);
         let runs = self.runs.range(first_key(worker)..first_key(worker + 1));
         let (over, going_on): (Vec<_>, Vec<_>) = runs.partition(|(_, it)| it.ends_at <= now);
-        if over.is_empty() && now < self.looked_at[worker] + LOOK {
+        if over.is_empty() && now < self.polled_at[worker] + POLL_INTERVAL {
             return;
         }
-        self.looked_at[worker] = now;
+        self.polled_at[worker] = now;
         let percent = |it: &LoadRun| {
-            let took = self.jobs[&it.start.task.graph].took;
-            (100.0 * now.saturating_sub(it.since).div_duration_f64(took)) as u32
+            let run_time = self.jobs[&it.start.task.graph].run_time;
+            (100.0 * now.saturating_sub(it.since).div_duration_f64(run_time)) as u32
         };
         let running = going_on.iter().map(|(_, it)| support::listed_run(&it.start, percent(it)));
         let running = running.collect::<Vec<_>>();
         let first = self.n_ends[worker] + 1;
         let ended = over.iter().zip(first..);
-        let ended = ended.map(|((_, it), number)| support::listed_end(number, &it.start, it.how));
+        let ended =
+            ended.map(|((_, it), number)| support::listed_end(number, &it.start, it.end_kind));
         let ended = ended.collect::<Vec<_>>();
         self.n_ends[worker] += ended.len() as u64;
         for key in over.iter().map(|(key, _)| **key).collect::<Vec<_>>() {
@@ -241,13 +245,13 @@
         let is_done = |it: &ids::GraphId| {
             core.state_of(*it).is_some_and(|it| it.state == model::GraphState::Completed)
         };
-        let done = self.jobs.iter_mut().filter(|(id, it)| it.counts && is_done(id));
+        let done = self.jobs.iter_mut().filter(|(id, it)| it.is_counted && is_done(id));
         for (_, job) in done {
             // Each job is counted once.
-            job.counts = false;
+            job.is_counted = false;
             let class = &self.classes[job.class];
-            let objective = job.took.mul_f64(class.stretch) + class.target;
-            if now <= job.came_at + objective {
+            let objective = job.run_time.mul_f64(class.stretch) + class.target;
+            if now <= job.submitted_at + objective {
                 self.tallies[job.class].in_time += 1;
                 self.tallies[job.class].late -= job.work();
             }
--- a/crates/graph/tests/pool/main.rs
+++ b/crates/graph/tests/pool/main.rs
@@ -1,9 +1,9 @@
-//! The core of a pool, driven by hand: what it orders, given what workers answer.
+//! Tests of the pool core: the orders that it issues, given events and the answers of workers.
 
 mod evacuations;
 mod failures;
-mod load;
-mod loads;
+mod full_pool;
+mod load_simulation;
 mod objectives;
 mod random_events;
 mod reservations;
--- a/crates/graph/tests/pool/objectives.rs
+++ b/crates/graph/tests/pool/objectives.rs
@@ -1,4 +1,4 @@
-//! When jobs are in time.
+//! Time objectives, slack and prospects of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,13 +44,14 @@
 
 chains! {
     one_step_is_a_chain_of_one: &[&[]] => 1;
-    steps_side_by_side_are_no_chain: &[&[], &[], &[]] => 1;
-    steps_one_after_the_other_add_up: &[&[], &[0], &[1]] => 3;
+    independent_steps_are_no_chain: &[&[], &[], &[]] => 1;
+    dependent_steps_add_up: &[&[], &[0], &[1]] => 3;
     the_longest_chain_counts: &[&[], &[], &[0], &[1, 2]] => 3;
     a_step_that_names_a_later_one_counts_by_itself: &[&[1], &[]] => 1;
 }
 
-/// Three steps of 2 s at three times their time and a second: 19 s, of which the work takes 6.
+/// Three steps of 2 s with stretch 3 and a target latency of 1 s: the objective is 19 s, of which the work
+/// takes 6 s.
 #[test]
 fn slack_is_what_the_objective_leaves() {
     let chain = objective::StepChain { n_steps: 3, n_unfinished: 3 };
@@ -59,7 +60,7 @@
     assert_eq!(objective::slack(&class(), chain, step), Duration::from_secs(13));
 }
 
-/// A class may promise less than its work takes; then nothing may wait.
+/// A class may have an objective shorter than its work. Then its jobs may not wait at all.
 #[test]
 fn slack_is_never_negative() {
     let class = catalog::ClassSpec { stretch: 0.1, target_latency: Duration::ZERO, ..class() };
@@ -88,13 +89,13 @@
 prospects! {
     a_job_may_wait_for_its_slack: 13, 3 => InTime;
     a_job_that_has_waited_longer_is_late: 14, 3 => Late;
-    what_is_left_of_its_work_counts: 14, 2 => InTime;
+    only_unfinished_steps_count: 14, 2 => InTime;
     three_times_the_objective_is_late: 51, 3 => Late;
-    behind_that_it_is_over: 52, 3 => Expired;
+    after_that_a_job_is_expired: 52, 3 => Expired;
 }
 
-/// A job that has waited for 30 s and one that has just come, of a class like `class`; which of them
-/// gets the only worker.
+/// Admits a job, a second one 30 s later, both of the given class, and returns which of them gets the only
+/// worker.
 fn first_of_two(class: catalog::ClassSpec) -> u64 {
     let mut bench = support::PoolBench::new(1);
     bench.core.set_catalog(Arc::new(catalog::PoolCatalog {
@@ -110,16 +111,16 @@
     starts[0].task.graph
 }
 
-/// Symptom: under four times the load of a quiet day hardly a job was in time. Sequence: jobs queue
-/// for longer than their objective; each that starts is late, and makes the one behind it late. Cause:
-/// work was in order of age.
+/// Under overload, jobs that can be in time start before jobs that are late. In order of age, hardly a job
+/// was in time at four times the load of a quiet day: jobs queued for longer than their objective, and each
+/// late job that started made the next one late.
 #[test]
-fn what_can_be_in_time_comes_before_what_is_late() {
+fn jobs_that_can_be_in_time_start_before_late_ones() {
     assert_eq!(first_of_two(class()), 2);
 }
 
-/// A class that promises nothing has no late jobs: they start in the order of age.
+/// Jobs of a class without objective are never late and start in order of age.
 #[test]
-fn a_class_that_promises_nothing_keeps_the_order_of_age() {
+fn a_class_without_objective_keeps_the_order_of_age() {
     assert_eq!(first_of_two(catalog::ClassSpec { stretch: 0.0, ..class() }), 1);
 }
