--- a/crates/graph/src/core.rs
+++ b/crates/graph/src/core.rs
@@ -162,9 +162,9 @@
     }
 
     /// Records that the worker list returned a new version of a worker's entry. The entry counts as current
-    /// at this read only if the previous version was read at most a heartbeat and `ENTRY_SLACK` before. After
-    /// a longer gap the store may have applied the write late, and the content may date from any time within
-    /// the gap.
+    /// at this read if it is the first version, or if the previous one was read at most a heartbeat and
+    /// `ENTRY_SLACK` before. After a longer gap the store may have applied the write late, and the content may
+    /// date from any time within the gap.
     pub fn note_entry_read(&mut self, worker: &ids::WorkerId) {
         let at = self.list_read_at;
         let usual_gap = self.timing.heartbeat + ENTRY_SLACK;
@@ -269,7 +269,7 @@
         takeover::SettledJobs::of(self, now)
     }
 
-    /// Whether all workers answer on which a successor has to expect tasks.
+    /// Whether all workers are answering on which a successor would have to expect tasks.
     pub fn all_answer(&self) -> bool {
         let mut records = self.roster.workers().filter_map(|it| self.workers.get(it));
         records.all(|it| it.is_responsive() || !it.belongs_in_roster())
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -315,9 +315,9 @@
 enum StartOutcome {
     /// The unit started, or has nothing to start.
     Started,
-    /// No workers with enough free capacity.
+    /// The unit does not fit on the candidates.
     NoCapacity,
-    /// Not tried: a unit that needs no more has found no capacity in this round.
+    /// Not tried, because a unit that needs the same or less did not fit in this round.
     Covered,
 }
 
@@ -367,7 +367,7 @@
 }
 
 /// Index of a name; a new name gets the next free index.
-fn index_of_name<'a>(name: &'a str, numbers: &mut BTreeMap<&'a str, usize>) -> usize {
-    let next = numbers.len();
-    *numbers.entry(name).or_insert(next)
+fn index_of_name<'a>(name: &'a str, indices: &mut BTreeMap<&'a str, usize>) -> usize {
+    let next = indices.len();
+    *indices.entry(name).or_insert(next)
 }
--- a/crates/graph/src/placement.rs
+++ b/crates/graph/src/placement.rs
@@ -58,11 +58,11 @@
     request: &candidate::PlacementRequest,
 ) -> Option<usize> {
     let free_by_rack = free_by_rack(candidates);
-    let may_open = n_empty(candidates, request) > request.keeps_empty;
+    let may_use_empty = n_empty(candidates, request) > request.keeps_empty;
     let fitting = candidates.iter().enumerate().filter(|(index, it)| {
         let is_near = request.rack_number.is_none_or(|rack| it.rack == rack);
-        let is_open = may_open || !it.is_empty();
-        is_open && (is_near || request.allows_remote) && request.count_now(*index, it) > 0
+        let is_usable = may_use_empty || !it.is_empty();
+        is_usable && (is_near || request.allows_remote) && request.count_now(*index, it) > 0
     });
     let best = fitting.min_by_key(|(_, it)| {
         let is_remote = request.rack_number.is_some_and(|rack| it.rack != rack);
@@ -83,9 +83,9 @@
     request: &candidate::PlacementRequest,
     chosen: &[usize],
 ) -> bool {
-    let opened = chosen.iter().collect::<BTreeSet<_>>();
-    let n_opened = opened.iter().filter(|it| candidates[***it].is_empty()).count();
-    n_opened == 0 || n_empty(candidates, request) >= n_opened + request.keeps_empty
+    let newly_used = chosen.iter().collect::<BTreeSet<_>>();
+    let n_newly_used = newly_used.iter().filter(|it| candidates[***it].is_empty()).count();
+    n_newly_used == 0 || n_empty(candidates, request) >= n_newly_used + request.keeps_empty
 }
 
 fn n_empty(
@@ -141,10 +141,12 @@
         rack.accelerators += it.free.accelerators;
         rack.n_failed_lately += u32::from(it.failed_lately && *count > 0);
     }
-    let holds = racks.iter().enumerate().filter(|(number, it)| {
+    let large_enough = racks.iter().enumerate().filter(|(number, it)| {
         it.count >= request.n_tasks && request.rack_number.is_none_or(|rack| rack == *number)
     });
-    holds.min_by_key(|(_, it)| (it.n_failed_lately, it.accelerators)).map(|(number, _)| number)
+    large_enough
+        .min_by_key(|(_, it)| (it.n_failed_lately, it.accelerators))
+        .map(|(number, _)| number)
 }
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/graph/src/placement_request.rs
+++ b/crates/graph/src/placement_request.rs
@@ -34,13 +34,13 @@
         let waited = waited.min(self.wall_time.saturating_sub(job.due(unit.step as usize)));
         let is_suspect = tasks.iter().any(|it| it.suspicion.is_suspect());
         let may_crash_worker = tasks.iter().any(|it| it.suspicion.needs_isolation());
-        let is_patient = waited < isolation::TOTAL_ISOLATION_TIMEOUT
+        let may_await_isolation = waited < isolation::TOTAL_ISOLATION_TIMEOUT
             && tasks.iter().all(|it| self.isolation_wait(it, now) < isolation::ISOLATION_TIMEOUT);
-        let may_be_starved = may_crash_worker || waited >= IDLE_TIMEOUT;
-        let is_starved = may_be_starved && self.is_idle_in_underused_pool(job);
+        let checks_idle = may_crash_worker || waited >= IDLE_TIMEOUT;
+        let is_idle = checks_idle && self.is_idle_in_underused_pool(job);
         let may_be_isolated =
-            may_crash_worker && (is_starved || isolation::may_run_isolated(tasks, candidates));
-        let takes_any = waited >= IDLE_TIMEOUT && is_starved;
+            may_crash_worker && (is_idle || isolation::may_run_isolated(tasks, candidates));
+        let takes_any_place = waited >= IDLE_TIMEOUT && is_idle;
         let mut request = candidate::PlacementRequest {
             unit,
             upstream: upstream_index(&job.upstream, candidates),
@@ -53,23 +53,23 @@
             n_present: n_present(step, candidates),
             avoids: tasks.iter().filter_map(|it| it.avoids.as_deref()).collect(),
             // A task that may crash its worker may take an empty one, rather than endanger other tasks.
-            keeps_empty: if may_crash_worker || takes_any {
+            keeps_empty: if may_crash_worker || takes_any_place {
                 0
             } else {
                 self.kept_empty(job, candidates, waited)
             },
             allows_remote: false,
-            takes_reserved: is_starved || waited >= self.slack(job),
+            takes_reserved: is_idle || waited >= self.slack(job),
             may_crash_worker,
-            is_isolated: is_suspect && is_patient,
+            is_isolated: is_suspect && may_await_isolation,
             may_be_isolated,
         };
         if request.is_isolated {
             request.avoids.extend(isolation::workers_to_avoid(tasks, candidates));
-        } else if may_be_isolated && is_patient {
+        } else if may_be_isolated && may_await_isolation {
             request = isolation::isolated_if_free(request, tasks, candidates);
         }
-        request.allows_remote = takes_any
+        request.allows_remote = takes_any_place
             || waited >= self.locality_wait(job)
             || !placement::could_be_local(candidates, &request);
         Some(request)
@@ -79,10 +79,10 @@
     /// capacity kept for other work or for a better place is not scarce. Starts of the current round count:
     /// once one unit of the job has started, its others wait like those of any job.
     fn is_idle_in_underused_pool(&self, job: &job::JobRecord) -> bool {
-        let is_going =
+        let is_running_or_ordered =
             |it: &job::TaskRun| it.phase.is_running() || matches!(it.phase, job::RunPhase::Ordered);
         self.underused.contains(&job.upstream)
-            && !job.runs().any(is_going)
+            && !job.runs().any(is_running_or_ordered)
             && self.is_underused(&job.upstream)
     }
 
@@ -106,9 +106,9 @@
         // The largest worker is the measure, since the capacity of any single worker may be reduced for a
         // while.
         let capacities = candidates.iter().map(|it| it.profile.capacity);
-        let each = capacities.max_by_key(|it| it.accelerators).unwrap_or_default();
-        let n = self.headroom.n_workers(each, candidates.len());
-        if job.priority == preemption::URGENT_PRIORITY + 1 { n / 2 } else { 2 * n }
+        let largest = capacities.max_by_key(|it| it.accelerators).unwrap_or_default();
+        let n_likely = self.headroom.n_workers(largest, candidates.len());
+        if job.priority == preemption::URGENT_PRIORITY + 1 { n_likely / 2 } else { 2 * n_likely }
     }
 }
 
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -12,7 +12,7 @@
 
 /// Limit for a task that would lose more work than the time it has been stalled: on the users' sites, workers
 /// with stalled tasks recover after about six seconds.
-const COSTLY_STALLED_AFTER: Duration = Duration::from_millis(8_000);
+const STALLED_AFTER_IF_COSTLY: Duration = Duration::from_millis(8_000);
 
 /// A task is stalled only if it has made no progress for the time that this many percent should take. A task
 /// that runs for hours reports progress only every few minutes.
@@ -66,7 +66,7 @@
     fn stall_limit(&self, key: task_key::TaskKey, run: &job::TaskRun) -> Duration {
         let worked = run.percent_changed_at.saturating_sub(run.tracked_since);
         let is_cheap = self.saves_checkpoints(key) || worked <= STALLED_AFTER;
-        let least = if is_cheap { STALLED_AFTER } else { COSTLY_STALLED_AFTER };
+        let least = if is_cheap { STALLED_AFTER } else { STALLED_AFTER_IF_COSTLY };
         let seen = run.pace.latest().filter(|it| *it > 0.0);
         let pace = seen.or_else(|| self.class_pace(key)).unwrap_or_else(|| self.declared_pace(key));
         let expected = Duration::from_secs_f64(STALLED_PERCENT / pace);
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -49,7 +49,7 @@
     Takeover,
     /// A start or a stop of the job is pending.
     OpenOrder,
-    /// The loss of the worker under a task is uncertain, and will be more certain soon.
+    /// The worker of a task may be lost; the task is held back until that is more certain.
     UncertainLoss,
     /// The start of a task has to be saved before it is sent.
     UnsavedStart,
@@ -146,7 +146,7 @@
     /// Workers with capacity for at least one task.
     n_with_capacity: usize,
     keeps_empty: usize,
-    is_far_allowed: bool,
+    allows_remote: bool,
 }
 
 impl UnitCapacity {
@@ -320,7 +320,7 @@
                     n_workers,
                     n_with_room = capacity.n_with_capacity,
                     keeps_empty = capacity.keeps_empty,
-                    is_far_allowed = capacity.is_far_allowed,
+                    is_far_allowed = capacity.allows_remote,
                     is_ample = self.underused.contains(&job.upstream),
                     barred = self.excluded_summary(&job.upstream, now),
                     evacuated = self.evacuated.join(", "),
@@ -354,7 +354,7 @@
             n_fitting,
             n_with_capacity,
             keeps_empty: request.keeps_empty,
-            is_far_allowed: request.allows_remote,
+            allows_remote: request.allows_remote,
         })
     }
 
@@ -373,10 +373,13 @@
         let reason =
             |cause, detail: &str| WaitReason { cause, detail: detail.to_owned(), age: waited };
         if self.is_held_back(unit, now) {
-            return reason(WaitCause::UncertainLoss, "the loss of a worker under it is uncertain");
+            return reason(
+                WaitCause::UncertainLoss,
+                "whether the worker of a task is lost is uncertain",
+            );
         }
         if self.awaits_saved_start(unit) {
-            return reason(WaitCause::UnsavedStart, "its start is not saved");
+            return reason(WaitCause::UnsavedStart, "the start of a task is not saved yet");
         }
         if capacity.fits() {
             return reason(
--- a/crates/graph/tests/pool/full_pool.rs
+++ b/crates/graph/tests/pool/full_pool.rs
@@ -59,15 +59,17 @@
     vec![urgent, gangs, small]
 }
 
-/// A gang that is not urgent must not wait several times its run time while every job of a lower class is in
-/// time. It did when small tasks took capacity as soon as it became free, so that no rack became empty, and
-/// when gangs had to leave as many workers empty for urgent work as small tasks do. Reservations for waiting
-/// units, and fewer empty workers for the class of the gangs, prevent that.
+/// A gang that is not urgent must not wait four times its run time while every job of the class below it is
+/// in time and much running work is stopped for urgent work. That happened because small tasks took capacity
+/// as soon as it became free, so that no rack became empty, while gangs left as many workers empty for urgent
+/// work as small tasks do, until a fixed wait was over. Nothing reserved capacity for a waiting unit, and the
+/// number of workers kept empty did not depend on what that costs each class.
 ///
 /// In time by class, and core-seconds of late jobs and of work thrown away per simulation: 100, 87, 100% and
-/// 26,976 with neither, 100, 93, 88% and 23,318 with reservations, 100, 97, 95% and 17,818 with both. These
-/// figures were taken while the simulated wall clock stood still, so that no unit counted as having waited.
-/// With a moving clock: 99, 98, 97% and 13,701, with the current decisions.
+/// 26,976 with neither remedy, 100, 93, 88% and 23,318 with reservations, 100, 97, 95% and 17,818 if the
+/// class of the gangs leaves fewer workers empty as well. These figures were taken while the simulated wall
+/// clock stood still, so that no unit counted as having waited. With a moving clock and the current
+/// decisions: 99, 98, 97% and 13,701.
 #[test]
 fn gangs_are_served_on_a_full_pool() {
     let tallies = [1, 2, 3, 4, 5, 6, 7, 8]
--- a/crates/graph/tests/pool/objectives.rs
+++ b/crates/graph/tests/pool/objectives.rs
@@ -91,7 +91,7 @@
     a_job_that_has_waited_longer_is_late: 14, 3 => Late;
     only_unfinished_steps_count: 14, 2 => InTime;
     three_times_the_objective_is_late: 51, 3 => Late;
-    after_that_a_job_is_expired: 52, 3 => Expired;
+    more_than_three_times_the_objective_is_expired: 52, 3 => Expired;
 }
 
 /// Admits a job, a second one 30 s later, both of the given class, and returns which of them gets the only
--- a/crates/graph/tests/pool/waits.rs
+++ b/crates/graph/tests/pool/waits.rs
@@ -66,7 +66,7 @@
     }
 
     /// Completes all tasks of a job.
-    fn end(&mut self, graph: u64) {
+    fn complete(&mut self, graph: u64) {
         let (ended, running) = self.running.drain(..).partition(|it| it.task.graph == graph);
         self.running = running;
         let ended: Vec<order::StartOrder> = ended;
@@ -128,20 +128,20 @@
     }
 
     fn n_in_use(&self) -> usize {
-        let whole = self.running.iter().map(|it| support::index_of(&it.worker));
-        whole.collect::<BTreeSet<_>>().len()
+        let workers = self.running.iter().map(|it| support::index_of(&it.worker));
+        workers.collect::<BTreeSet<_>>().len()
     }
 }
 
 /// Checks that `row` starts in time on a pool of which less than half is in use.
 fn check_starts(mut simulation: WaitSimulation, row: model::GraphRow) {
-    const LAST: u64 = 99;
+    const JOB: u64 = 99;
     assert!(2 * simulation.n_in_use() < N_WORKERS);
-    simulation.bench.admit(LAST, row);
+    simulation.bench.admit(JOB, row);
     let starts = simulation.bench.run_round_and_start();
     simulation.running.extend(starts);
     simulation.run_for(STARTS_WITHIN_MS);
-    assert!(simulation.runs(LAST), "{} of {N_WORKERS} workers are in use", simulation.n_in_use());
+    assert!(simulation.runs(JOB), "{} of {N_WORKERS} workers are in use", simulation.n_in_use());
 }
 
 /// The rack of the job's data is full.
@@ -182,7 +182,7 @@
     let mut simulation = WaitSimulation::new();
     simulation.start(1, support::job(0, support::whole_workers(40)));
     simulation.run_for(20_000);
-    simulation.end(1);
+    simulation.complete(1);
     simulation.start(2, support::job(2, support::whole_workers(10)));
     (simulation, support::job(2, support::whole_workers(1)))
 }
@@ -246,7 +246,7 @@
     a_job_takes_workers_that_are_kept_empty: after_urgent_work;
 }
 
-/// A pool after a takeover, with an inherited job.
+/// A pool of four workers after a takeover, with an inherited job. The last worker never answers.
 fn takeover_with_silent_worker() -> support::PoolBench {
     let settles_at = Duration::from_secs(1_040);
     let mut bench = support::PoolBench::with_unanswered_workers(4, settles_at);
@@ -322,7 +322,7 @@
 #[test]
 fn log_lines_about_starved_jobs_are_limited() {
     const N_JOBS: u64 = 300;
-    const MOST_LINES: u64 = 16;
+    const MAX_LINES: u64 = 16;
     let mut bench = takeover_with_silent_worker();
     for graph in 2..=N_JOBS {
         bench.inherit(graph, support::job(1, support::tasks(1)), None);
@@ -333,7 +333,7 @@
         let counts = bench.core.take_wait_counts();
         n_newly_starved += counts.n_newly_starved;
         // Twice per second, eight lines for waiting jobs and eight for starved ones.
-        assert!(counts.n_lines <= 2 * MOST_LINES, "{} lines in a second", counts.n_lines);
+        assert!(counts.n_lines <= 2 * MAX_LINES, "{} lines in a second", counts.n_lines);
     }
     assert_eq!(n_newly_starved, N_JOBS);
 }
