--- a/crates/graph/src/answers.rs
+++ b/crates/graph/src/answers.rs
@@ -63,8 +63,8 @@
         }
         let Some(run) = self.run_of(&stop.worker, stop.task, stop.attempt) else { return };
         let is_confirmed = run.is_confirmed;
-        if let job::RunPhase::Stopping { acked_at, .. } = &mut run.phase {
-            acked_at.get_or_insert(now);
+        if let job::RunPhase::Stopping { stop_acked_at, .. } = &mut run.phase {
+            stop_acked_at.get_or_insert(now);
             if !is_confirmed {
                 // The task may never have started, and then its end is never listed. Only a poll shows that.
                 self.order_poll(&stop.worker);
@@ -205,9 +205,9 @@
     /// Counts an exchange without an answer. Returns whether it is the first since the last answer.
     pub(crate) fn count_missed_exchange(&mut self, worker: &ids::WorkerId) -> bool {
         let Some(record) = self.workers.get_mut(worker) else { return false };
-        record.n_missed += 1;
+        record.n_missed_calls += 1;
         record.ack_window.close();
-        if record.n_missed > 1 {
+        if record.n_missed_calls > 1 {
             return false;
         }
         record.silent_since = self.last_maintenance_at;
