--- a/crates/graph/src/overdue.rs
+++ b/crates/graph/src/overdue.rs
@@ -77,7 +77,7 @@
             belief = start.phase.name(),
             age_ms = run.map(|it| now.saturating_sub(it.tracked_since).as_millis() as u64),
             worker_answers = worker.is_some_and(|it| it.is_responsive()),
-            "start has been unsettled for longer than is possible"
+            "start is unsettled for longer than it can be"
         );
     }
 }
--- a/crates/graph/src/pool_usage.rs
+++ b/crates/graph/src/pool_usage.rs
@@ -10,37 +10,37 @@
 impl core::PoolCore {
     /// Upstreams with less than half of each resource of their workers in use.
     pub(crate) fn find_underused(&self) -> BTreeSet<ids::UpstreamName> {
-        let mut amounts = BTreeMap::<&ids::UpstreamName, PoolAmounts>::new();
+        let mut usage = BTreeMap::<&ids::UpstreamName, PoolUsage>::new();
         for worker in self.workers.values().filter(|it| it.listed) {
-            amounts
+            usage
                 .entry(&worker.entry.upstream)
                 .or_default()
                 .add(worker.entry.capacity, worker.in_use());
         }
-        let underused = amounts.into_iter().filter(|(_, it)| it.is_underused());
+        let underused = usage.into_iter().filter(|(_, it)| it.is_underused());
         underused.map(|(upstream, _)| upstream.clone()).collect()
     }
 
     /// Whether less than half of each resource of an upstream's workers is in use now, counting starts of the
     /// current round.
     pub(crate) fn is_underused(&self, upstream: &str) -> bool {
-        let mut amounts = PoolAmounts::default();
+        let mut usage = PoolUsage::default();
         let of_upstream = self.workers.values().filter(|it| it.entry.upstream == upstream);
         for worker in of_upstream.filter(|it| it.listed) {
-            amounts.add(worker.entry.capacity, worker.in_use());
+            usage.add(worker.entry.capacity, worker.in_use());
         }
-        amounts.is_underused()
+        usage.is_underused()
     }
 }
 
 /// Resources of an upstream's workers, offered and in use: thousandths of a core, megabytes, accelerators.
 #[derive(Clone, Copy, Debug, Default)]
-struct PoolAmounts {
+struct PoolUsage {
     offered: [u64; 3],
     used: [u64; 3],
 }
 
-impl PoolAmounts {
+impl PoolUsage {
     fn add(&mut self, offered: resources::Resources, used: resources::Resources) {
         for (sum, amount) in self.offered.iter_mut().zip(by_resource(offered)) {
             *sum += amount;
--- a/crates/graph/src/stalled.rs
+++ b/crates/graph/src/stalled.rs
@@ -47,7 +47,7 @@
                 job = format_args!("{:016x}", key.graph),
                 task = %key,
                 worker,
-                "stalled task is stopped"
+                "task stands still and is stopped"
             );
             let is_excludable = self.can_exclude(&worker, |it| it.health.is_paused(now));
             if let Some(record) = self.workers.get_mut(&worker)
--- a/crates/graph/tests/pool/load_simulation.rs
+++ b/crates/graph/tests/pool/load_simulation.rs
@@ -213,8 +213,9 @@
         let first_task = task_key::TaskKey { graph: 0, occurrence: 0, step: 0, task: 0 };
         let first_key = |worker| (worker, first_task);
         let runs = self.runs.range(first_key(worker)..first_key(worker + 1));
-        let (over, going_on): (Vec<_>, Vec<_>) = runs.partition(|(_, it)| it.ends_at <= now);
-        if over.is_empty() && now < self.polled_at[worker] + POLL_INTERVAL {
+        let (over_runs, running_runs): (Vec<_>, Vec<_>) =
+            runs.partition(|(_, it)| it.ends_at <= now);
+        if over_runs.is_empty() && now < self.polled_at[worker] + POLL_INTERVAL {
             return;
         }
         self.polled_at[worker] = now;
@@ -222,15 +223,16 @@
             let run_time = self.jobs[&it.start.task.graph].run_time;
             (100.0 * now.saturating_sub(it.since).div_duration_f64(run_time)) as u32
         };
-        let running = going_on.iter().map(|(_, it)| support::listed_run(&it.start, percent(it)));
+        let running =
+            running_runs.iter().map(|(_, it)| support::listed_run(&it.start, percent(it)));
         let running = running.collect::<Vec<_>>();
         let first = self.n_ends[worker] + 1;
-        let ended = over.iter().zip(first..);
+        let ended = over_runs.iter().zip(first..);
         let ended =
             ended.map(|((_, it), number)| support::listed_end(number, &it.start, it.end_kind));
         let ended = ended.collect::<Vec<_>>();
         self.n_ends[worker] += ended.len() as u64;
-        for key in over.iter().map(|(key, _)| **key).collect::<Vec<_>>() {
+        for key in over_runs.iter().map(|(key, _)| **key).collect::<Vec<_>>() {
             self.runs.remove(&key);
         }
         self.bench.answer_poll(worker, &running, &ended);
