--- a/crates/graph/src/pool_usage.rs
+++ b/crates/graph/src/pool_usage.rs
@@ -1,4 +1,4 @@
-//! Whether a pool has much room left.
+//! Detects upstreams whose workers are less than half in use.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,39 +8,39 @@
 use crate::resources;
 
 impl core::PoolCore {
-    /// The upstreams of whose workers less than half is in use, of each resource.
+    /// Upstreams with less than half of each resource of their workers in use.
     pub(crate) fn find_underused(&self) -> BTreeSet<ids::UpstreamName> {
-        let mut amounts = BTreeMap::<&ids::UpstreamName, PoolAmounts>::new();
+        let mut usage = BTreeMap::<&ids::UpstreamName, PoolUsage>::new();
         for worker in self.workers.values().filter(|it| it.listed) {
-            amounts
+            usage
                 .entry(&worker.entry.upstream)
                 .or_default()
                 .add(worker.entry.capacity, worker.in_use());
         }
-        let underused = amounts.into_iter().filter(|(_, it)| it.is_underused());
+        let underused = usage.into_iter().filter(|(_, it)| it.is_underused());
         underused.map(|(upstream, _)| upstream.clone()).collect()
     }
 
-    /// Whether less than half of the workers of an upstream is in use now, within a turn too.
+    /// Whether less than half of each resource of an upstream's workers is in use now, counting starts of the
+    /// current round.
     pub(crate) fn is_underused(&self, upstream: &str) -> bool {
-        let mut amounts = PoolAmounts::default();
+        let mut usage = PoolUsage::default();
         let of_upstream = self.workers.values().filter(|it| it.entry.upstream == upstream);
         for worker in of_upstream.filter(|it| it.listed) {
-            amounts.add(worker.entry.capacity, worker.in_use());
+            usage.add(worker.entry.capacity, worker.in_use());
         }
-        amounts.is_underused()
+        usage.is_underused()
     }
 }
 
-/// What the workers of an upstream offer, and what is in use there, by resource: thousandths of a core,
-/// megabytes, accelerators.
+/// Resources of an upstream's workers, offered and in use: thousandths of a core, megabytes, accelerators.
 #[derive(Clone, Copy, Debug, Default)]
-struct PoolAmounts {
+struct PoolUsage {
     offered: [u64; 3],
     used: [u64; 3],
 }
 
-impl PoolAmounts {
+impl PoolUsage {
     fn add(&mut self, offered: resources::Resources, used: resources::Resources) {
         for (sum, amount) in self.offered.iter_mut().zip(by_resource(offered)) {
             *sum += amount;
@@ -51,11 +51,11 @@
     }
 
     fn is_underused(&self) -> bool {
-        // What nobody offers, such as accelerators, can't be scarce either.
+        // A resource that no worker offers, such as accelerators, does not count as scarce.
         self.used.iter().zip(self.offered).all(|(used, offered)| 2 * used < offered.max(1))
     }
 }
 
-fn by_resource(room: resources::Resources) -> [u64; 3] {
-    [room.cpu_milli, room.memory_mb, room.accelerators].map(u64::from)
+fn by_resource(resources: resources::Resources) -> [u64; 3] {
+    [resources.cpu_milli, resources.memory_mb, resources.accelerators].map(u64::from)
 }
