--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -1,9 +1,9 @@
-//! Starts of tasks that are under suspicion: apart from other work, and on record before they are sent.
+//! Isolated runs of suspects: apart from other work, and saved before their start is sent.
 //!
-//! A task that crashes its worker takes down what runs beside it; one notices by tasks that are struck
-//! again and again by different ones. And a scheduler that goes while the worker is down would leave no
-//! trace of the loss, so that the next one counts anew. A start on record is counted by the successor,
-//! unless a worker lists its end.
+//! A task that crashes its worker takes all other tasks there with it, so these appear to crash workers
+//! as well. Also, if the scheduler failed while that worker is down, no trace of the loss would remain,
+//! and its successor would count from zero. So the start is saved first, and the successor counts it as
+//! a loss unless a worker lists its end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,49 +16,52 @@
 use crate::suspicion;
 use crate::task_key;
 
-/// A suspect waits this long for a worker of its own; then it starts beside other work. The platform
-/// takes a job as lost that stands still for 3 s although there is room.
+/// A suspect waits this long for an empty worker, then it starts next to other work. The platform counts
+/// a job as lost that is idle for 3 s although capacity is free.
 pub(crate) const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The same whatever keeps it from starting meanwhile: outages of the store and of ways to workers take seconds, and
-/// a takeover up to 14.
+/// Upper bound of that wait, including the time in which nothing could start: outages of the store and
+/// of connections to workers take seconds, and a takeover up to 14 s.
 pub(crate) const TOTAL_ISOLATION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Of so many workers one at most is kept for suspects of which little is known: after one loss there may
-/// be as many as ran there.
-const WORKERS_A_SUSPECT: usize = 4;
+/// One worker in this many is kept for suspects with weak evidence: after a single loss there may be as
+/// many suspects as tasks ran on the lost worker.
+const WORKERS_PER_WEAK_SUSPECT: usize = 4;
 
-/// The entry of a worker that is down goes this soon behind the lapse of its lease.
-const UNLISTED_WITHIN: Duration = Duration::from_millis(1_500);
+/// The entry of a worker that is down is removed within this time after its lease has lapsed.
+const UNLISTED_AFTER_LAPSE: Duration = Duration::from_millis(1_500);
 
-/// Chance that a start which an earlier scheduler has left on record never left, or goes on unseen.
-const INHERITED_ODDS: f64 = 0.2;
+/// Probability that a start saved by an earlier scheduler was never sent, or that the run goes on
+/// unseen.
+const INHERITED_START_PROBABILITY: f64 = 0.2;
 
-/// Whether these tasks of a unit may have workers of their own now. What is all but proved may at any
-/// time.
+/// Whether these tasks of a unit may have workers of their own now. Tasks that are close to proven to
+/// crash their workers always may.
 pub(crate) fn may_run_isolated(
     tasks: &[job::TaskRecord],
     candidates: &[candidate::WorkerCandidate],
 ) -> bool {
     let n_closed = candidates.iter().filter(|it| it.is_exclusive).count();
-    let has_room = n_closed < (candidates.len() / WORKERS_A_SUSPECT).max(1);
-    has_room || tasks.iter().any(|it| it.suspicion.is_strong_suspect())
+    let has_spare_worker = n_closed < (candidates.len() / WORKERS_PER_WEAK_SUSPECT).max(1);
+    has_spare_worker || tasks.iter().any(|it| it.suspicion.is_strong_suspect())
 }
 
-/// Asks for workers of its own, where there are some now. Rather an accident has struck a unit that is no
-/// suspect than the unit its workers: it runs alone only where that costs no wait.
+/// Asks for empty workers if there are enough now. A unit that needs isolation but is no suspect has
+/// more likely lost its workers by chance than crashed them, so it runs alone only where this costs no
+/// wait.
 pub(crate) fn isolated_if_free<'a>(
     request: candidate::PlacementRequest<'a>,
     tasks: &'a [job::TaskRecord],
     candidates: &[candidate::WorkerCandidate],
 ) -> candidate::PlacementRequest<'a> {
-    let mut apart = candidate::PlacementRequest { is_isolated: true, ..request.clone() };
-    apart.avoids.extend(workers_to_avoid(tasks, candidates));
-    let places = candidates.iter().enumerate().map(|(index, it)| apart.count_now(index, it));
-    if places.sum::<u32>() >= apart.n_tasks { apart } else { request }
+    let mut isolated = candidate::PlacementRequest { is_isolated: true, ..request.clone() };
+    isolated.avoids.extend(workers_to_avoid(tasks, candidates));
+    let places = candidates.iter().enumerate().map(|(index, it)| isolated.count_now(index, it));
+    if places.sum::<u32>() >= isolated.n_tasks { isolated } else { request }
 }
 
-/// Workers that these tasks of a unit avoid, as they were lost under them; none where there are no others.
+/// Workers that were lost under these tasks of a unit, which avoid them; empty if there are no other
+/// workers.
 pub(crate) fn workers_to_avoid<'a>(
     tasks: &'a [job::TaskRecord],
     candidates: &[candidate::WorkerCandidate],
@@ -70,14 +73,14 @@
 }
 
 impl core::PoolCore {
-    /// Whether a unit may be started, as far as its tasks are under suspicion: their starts have to be on
-    /// record.
+    /// Saves the next start of a unit if one of its tasks needs isolation. Returns whether the unit may
+    /// be started: the start is saved, or needs not be.
     pub(crate) fn ensure_start_saved(&mut self, unit: task_key::UnitKey, now: Duration) -> bool {
-        // Nearly always nothing is held against any of the many units that wait.
-        let concerns = |it: &job::TaskRecord| {
+        // Fast path: nearly all of the many waiting units have no recorded loss.
+        let has_losses = |it: &job::TaskRecord| {
             it.suspicion.needs_isolation() || it.suspicion.inherited_attempt.is_some()
         };
-        if !self.unit_records(unit).iter().any(concerns) {
+        if !self.task_records(unit).iter().any(has_losses) {
             return true;
         }
         if self.is_held_back(unit, now) {
@@ -90,14 +93,14 @@
         let Some(attempt) = self.next_attempt(unit) else { return false };
         let mut is_durable = true;
         for key in tasks.into_iter().filter(|it| self.needs_isolation(*it)).collect::<Vec<_>>() {
-            // What is no suspect waits for no record: work that two accidents have struck would stand still
-            // while the store is away.
+            // A task that is no suspect does not wait for its start to be saved: work that lost its
+            // workers twice by chance would stay idle while the store is unavailable.
             is_durable &= self.save_start(key, attempt) || !self.is_suspect(key);
         }
         is_durable
     }
 
-    /// Takes note that a unit could run apart from now on: nothing but room is missing.
+    /// Records when a unit first could run isolated, with only free capacity missing.
     pub(crate) fn start_isolation_wait(&mut self, unit: task_key::UnitKey, now: Duration) {
         if !self.unit_needs_isolation(unit) {
             return;
@@ -111,8 +114,9 @@
         }
     }
 
-    /// How long a task has waited for a worker of its own: not while nothing could be started, as before a takeover
-    /// has settled. Else it would run beside others right behind an outage, where what is lost says least.
+    /// How long a task has waited for an empty worker. Time in which nothing could start, as before a
+    /// takeover has settled, does not count: else suspects would run next to other tasks right after an
+    /// outage, when a loss is the least evidence.
     pub(crate) fn isolation_wait(&self, task: &job::TaskRecord, now: Duration) -> Duration {
         if task.isolatable_since < task.waiting_since {
             return Duration::ZERO;
@@ -120,25 +124,25 @@
         now.saturating_sub(task.isolatable_since.max(self.uninterrupted_since))
     }
 
-    /// Whether a task of a unit is held back until the loss of its worker is surer.
+    /// Whether a task of a unit is held back until better evidence of the loss of its worker is due.
     pub(crate) fn is_held_back(&self, unit: task_key::UnitKey, now: Duration) -> bool {
-        self.unit_records(unit).iter().any(|it| now < it.held_until)
+        self.task_records(unit).iter().any(|it| now < it.held_until)
     }
 
-    /// Whether a unit can't start because a start of it is not on record yet.
+    /// Whether a unit can't start because its start is not saved yet.
     pub(crate) fn awaits_saved_start(&self, unit: task_key::UnitKey) -> bool {
-        self.unit_records(unit).iter().any(|it| {
+        self.task_records(unit).iter().any(|it| {
             let is_durable = it.start_change.is_some_and(|mark| self.unsaved.is_durable(mark));
             it.suspicion.inherited_attempt.is_some() || (it.suspicion.is_suspect() && !is_durable)
         })
     }
 
-    /// The end of a start that may be on record is known. Tells whether it was there.
+    /// Removes the saved start of an attempt whose end is known. Returns whether it was saved.
     pub(crate) fn clear_saved_start(&mut self, key: task_key::TaskKey, attempt: u32) -> bool {
         self.task_record_mut(key).is_some_and(|it| it.suspicion.forget_attempt(attempt))
     }
 
-    /// The number of the next start of a unit.
+    /// The number of the next attempt of a unit.
     pub(crate) fn next_attempt(&self, unit: task_key::UnitKey) -> Option<u32> {
         let step = self.jobs.get(&unit.graph)?.steps.get(unit.step as usize)?;
         let highest = match unit.task {
@@ -148,18 +152,18 @@
         Some(highest + 1)
     }
 
-    /// Whether any task of a unit is under suspicion.
+    /// Whether any task of a unit is a suspect.
     pub(crate) fn has_suspect(&self, unit: task_key::UnitKey) -> bool {
-        self.unit_records(unit).iter().any(|it| it.suspicion.is_suspect())
+        self.task_records(unit).iter().any(|it| it.suspicion.is_suspect())
     }
 
-    /// Whether a start of any task of a unit is a trial.
+    /// Whether any task of a unit may only be started in an isolated run.
     pub(crate) fn unit_needs_isolation(&self, unit: task_key::UnitKey) -> bool {
-        self.unit_records(unit).iter().any(|it| it.suspicion.needs_isolation())
+        self.task_records(unit).iter().any(|it| it.suspicion.needs_isolation())
     }
 
-    /// The tasks of a unit.
-    fn unit_records(&self, unit: task_key::UnitKey) -> &[job::TaskRecord] {
+    /// The records of the tasks of a unit.
+    fn task_records(&self, unit: task_key::UnitKey) -> &[job::TaskRecord] {
         let step = self.jobs.get(&unit.graph).and_then(|it| it.steps.get(unit.step as usize));
         let tasks = step.map(|it| it.tasks.as_slice()).unwrap_or_default();
         match unit.task {
@@ -168,10 +172,11 @@
         }
     }
 
-    /// Counts starts that an earlier scheduler has left on record and that no worker has listed, now that
-    /// all have answered or their leases have lapsed. Tells whether there were any.
+    /// Records a loss for each start that an earlier scheduler had saved and no worker lists. It is
+    /// called once all workers have answered or their leases have lapsed. Returns whether there were
+    /// any.
     fn record_inherited_losses(&mut self, tasks: &[task_key::TaskKey], now: Duration) -> bool {
-        let mut is_any = false;
+        let mut has_recorded = false;
         for key in tasks {
             let Some(attempt) =
                 self.task_record_mut(*key).and_then(|it| it.suspicion.inherited_attempt.take())
@@ -179,7 +184,7 @@
                 continue;
             };
             let anytime_probability = self.background_probability_untimed(*key, now);
-            let early_probability = anytime_probability.max(INHERITED_ODDS);
+            let early_probability = anytime_probability.max(INHERITED_START_PROBABILITY);
             let loss = suspicion::TaskLoss {
                 attempt,
                 early_probability,
@@ -187,13 +192,13 @@
                 latest_loss_offset: None,
             };
             self.record_loss(*key, loss, now);
-            is_any = true;
+            has_recorded = true;
         }
-        is_any
+        has_recorded
     }
 
-    /// Puts what runs on a worker that does not answer on record: should this scheduler go before the loss
-    /// is sure, its successor counts it.
+    /// Saves what runs on a worker that does not answer: if this scheduler fails before the loss is
+    /// certain, its successor counts it.
     pub(crate) fn save_runs_on(&mut self, worker: &ids::WorkerId) {
         let Some(record) = self.workers.get(worker) else { return };
         for key in record.runs.clone() {
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Puts a start on record, and tells whether that is durable.
+    /// Saves a start, and returns whether it is durable.
     fn save_start(&mut self, key: task_key::TaskKey, attempt: u32) -> bool {
         let Some(task) = self.task_record_mut(key) else { return false };
         if task.suspicion.saved_attempt != Some(attempt) {
@@ -220,16 +225,18 @@
         mark.is_some_and(|it| self.unsaved.is_durable(it))
     }
 
-    /// Holds a suspect back that was struck by the loss of a worker that may live, where that will show
-    /// soon. It would be started once more although what is about to be known gives it up.
+    /// Holds a strong suspect back after the loss of a worker that may be alive, as better evidence is
+    /// due soon. Otherwise the task would be started once more just before that evidence gives its job
+    /// up.
     pub(crate) fn delay_restart(&mut self, key: task_key::TaskKey, now: Duration) {
         if let Some(task) = self.task_record_mut(key).filter(|it| it.suspicion.is_strong_suspect())
         {
-            task.held_until = now + UNLISTED_WITHIN;
+            task.held_until = now + UNLISTED_AFTER_LAPSE;
         }
     }
 
-    /// Has a task go elsewhere next, if it can: lost under it twice, one worker says less than two.
+    /// Makes a task avoid this worker, if there are others: two losses on the same worker are weaker
+    /// evidence than on two workers.
     pub(crate) fn avoid_worker(&mut self, key: task_key::TaskKey, worker: &ids::WorkerId) {
         if let Some(task) = self.task_record_mut(key) {
             task.lost_workers.insert(worker.clone());
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -1,9 +1,10 @@
-//! Workers that are lost, and what of it is held against the tasks that ran there.
+//! Lost workers, and the probability that each task that ran on one of them caused its loss.
 //!
-//! Who did it is in doubt, mostly. A worker that was leaving, or lost power beside others, says little
-//! about its tasks; one that is silent may live; of several tasks one is to blame at most, and rather one
-//! under which a worker was lost before. So each task is charged with a chance, and given up once what
-//! has struck it is no chance any more.
+//! The cause of a loss is mostly uncertain. A worker that was leaving, or that lost power together with
+//! others, says little about its tasks; a silent worker may still be alive; of several tasks at most one
+//! is the cause, most likely one that has lost workers before. So each loss is recorded for each of
+//! these tasks with the probability that the task lost its worker by chance. A job is given up once the
+//! losses of one of its tasks are too improbable to be chance.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,37 +16,42 @@
 use crate::suspicion;
 use crate::task_key;
 
-/// Tasks of a lost worker that are named in the log.
-const MOST_NAMED: usize = 32;
+/// Maximum number of tasks of a lost worker that its log line names.
+const MAX_LOGGED_TASKS: usize = 32;
 
-/// Chance that a worker lives that is silent, and that the list has no more.
-const SILENT_ODDS: f64 = 0.2;
+/// Probability that a silent worker is alive although it is no longer in the worker list.
+const SILENT_ALIVE_PROBABILITY: f64 = 0.2;
 
-/// The same of one that the list still has: others hear of it.
-const CUT_OFF_ODDS: f64 = 0.5;
+/// Probability that a silent worker is alive while it is still in the worker list: it still has contact
+/// with others.
+const CUT_OFF_ALIVE_PROBABILITY: f64 = 0.5;
 
-/// Chance that a worker was lost before it took a start that it has not answered.
-const UNSTARTED_ODDS: f64 = 0.2;
+/// Probability that a worker was lost before it received a start that it has not confirmed.
+const UNSTARTED_PROBABILITY: f64 = 0.2;
 
-/// A worker may have been missed first this much behind the moment at which time was taken note of last.
+/// The core records the time at intervals: the first missed exchange with a worker may have been up to
+/// this long after the recorded time.
 const MISS_SLACK: Duration = Duration::from_millis(100);
 
-/// How likely a task is to have done it under which fewer workers were lost before, as a share.
-const LESS_STRUCK_WEIGHT: f64 = 0.1;
+/// Weight of a task as the possible cause of a loss, next to a task under which more workers were lost
+/// before. Tasks with as many losses or more have weight 1.
+const FEWER_LOSSES_WEIGHT: f64 = 0.1;
 
-/// Chance that a task did nothing while a suspect ran beside it.
-const BESIDE_SUSPECT_ODDS: f64 = 0.9;
+/// Probability that a loss was not caused by a task that ran next to a suspect.
+const NEXT_TO_SUSPECT_PROBABILITY: f64 = 0.9;
 
-/// How a worker was found to be lost.
+/// How the loss of a worker was detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossEvidence {
     /// Another worker answers at its address.
     Replaced,
-    /// It answers in a later life.
+    /// A later incarnation of the worker answers.
     Restarted,
-    /// It has been silent for longer than everything there may run, and the list has it no more.
+    /// The worker has been silent for longer than anything on it may run, and is no longer in the worker
+    /// list.
     Silent,
-    /// It has been silent for as long, but is listed: rather it is cut off from here.
+    /// The worker has been silent for as long, but is still in the worker list: more likely only this
+    /// scheduler has no contact with it.
     CutOff,
 }
 
@@ -60,12 +66,12 @@
         }
     }
 
-    /// Chance that the worker has not crashed.
+    /// Probability that the worker has not crashed.
     fn survival_probability(self) -> f64 {
         match self {
             LossEvidence::Replaced | LossEvidence::Restarted => 0.0,
-            LossEvidence::Silent => SILENT_ODDS,
-            LossEvidence::CutOff => CUT_OFF_ODDS,
+            LossEvidence::Silent => SILENT_ALIVE_PROBABILITY,
+            LossEvidence::CutOff => CUT_OFF_ALIVE_PROBABILITY,
         }
     }
 }
@@ -75,62 +81,66 @@
 pub struct LostRun {
     /// The task.
     pub task: task_key::TaskKey,
-    /// What it is placed with; the members of a gang share its fate.
+    /// The unit that the task is placed with; all members of a gang are lost together.
     pub unit: task_key::UnitKey,
-    /// Its attempt.
+    /// The attempt that was running.
     pub attempt: u32,
-    /// How long it ran.
+    /// Time from the start of the run until the loss was recorded.
     pub ran: Duration,
-    /// Whether the worker had confirmed it.
+    /// Whether the worker had confirmed the run.
     pub is_confirmed: bool,
-    /// Whether the task was under suspicion already.
+    /// Whether the task was a suspect before this loss.
     pub is_suspect: bool,
-    /// Workers that had been lost under it before.
+    /// Number of workers lost under the task before.
     pub n_losses: usize,
-    /// Chance that it was struck by what else was lost, as it looked then.
+    /// Probability that other losses explain this one, at any time of the run, estimated when the worker
+    /// was lost.
     pub background_probability: f64,
-    /// The same of being struck as early as all its runs were that have ended so, this one included.
+    /// Probability that other losses explain one as early in the run as the latest loss so far under
+    /// this task, this one included.
     pub early_background_probability: f64,
-    /// The share of its run time within which it was struck. What cuts a worker off comes at any time of a
-    /// run.
+    /// Share of the expected run time that had passed at the loss. A worker is cut off at any time of a
+    /// run with equal probability, so the probability of an early one is in proportion to this share.
     pub run_share_at_loss: f64,
-    /// How far into its run that was at the latest; nothing where that can't be compared with other runs.
+    /// Upper bound of the time from the start of the run to the loss; `None` where it can't be compared
+    /// with that of other runs.
     pub latest_loss_offset: Option<Duration>,
 }
 
-/// What surrounds the loss of a worker.
-struct LossScene<'a> {
-    /// When it was last heard of.
+/// Other losses at about the time at which a worker was lost.
+struct ConcurrentLosses<'a> {
+    /// Last contact with the lost worker.
     last_contact_at: Duration,
-    /// By when it was lost at the latest.
+    /// Latest time at which the worker can have been lost.
     lost_by: Duration,
-    /// What runs on each worker that fell silent at about the same time.
+    /// Tasks on each of the other workers that fell silent at about the same time.
     silent: Vec<&'a BTreeSet<task_key::TaskKey>>,
 }
 
-/// Figures for metrics.
+/// Counts for metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LossCounts {
-    /// The sign of each worker that was lost.
+    /// How the loss was detected, for each lost worker.
     pub evidence: Vec<LossEvidence>,
-    /// Jobs that were given up.
+    /// Jobs that were given up because workers crash under a task of theirs.
     pub n_given_up: u64,
 }
 
 impl core::PoolCore {
-    /// Takes note that a worker is lost with `runs` on it, and holds it against them.
+    /// Records the loss of a worker, and for each task in `runs` the probability that the task did not
+    /// cause it.
     pub(crate) fn record_worker_loss(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossEvidence,
+        evidence: LossEvidence,
         runs: &[task_key::TaskKey],
         now: Duration,
     ) {
         let runs = self.lost_runs(worker, runs, now);
-        self.log_loss(worker, sign, &runs, now);
-        self.loss_counts.evidence.push(sign);
+        self.log_loss(worker, evidence, &runs, now);
+        self.loss_counts.evidence.push(evidence);
         let Some(record) = self.workers.get(worker) else { return };
-        // A worker that leaves may go before the time that it has told.
+        // A worker that is leaving may stop earlier than it has announced.
         if record.leaves_at.is_some() {
             return;
         }
@@ -139,49 +149,55 @@
             let tasks = runs.iter().map(|it| it.task).collect();
             self.loss_history.record(last_contact_at, tasks, now);
         }
-        self.charge_all(worker, sign, &runs, now);
+        self.record_losses(worker, evidence, &runs, now);
         if let Some(record) = self.workers.get_mut(worker) {
             record.lost_runs = runs;
         }
     }
 
-    /// Takes note that a life of a worker is surely over.
+    /// Records that an incarnation of a worker has certainly ended, with `runs` on it.
     pub(crate) fn incarnation_ended(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossEvidence,
+        evidence: LossEvidence,
         runs: &[task_key::TaskKey],
         now: Duration,
     ) {
         let was_lost = self.workers.get(worker).is_some_and(|it| !it.lost_runs.is_empty());
-        self.update_loss_evidence(worker, sign, now);
+        self.update_loss_evidence(worker, evidence, now);
         if !was_lost || !runs.is_empty() {
-            self.record_worker_loss(worker, sign, runs, now);
+            self.record_worker_loss(worker, evidence, runs, now);
         }
     }
 
-    /// What is known of a worker that has been silent for long becomes surer: what ran there is charged
-    /// with more.
+    /// Records the loss of a silent worker once more after better evidence of it: its tasks are charged
+    /// with a lower probability of chance.
     pub(crate) fn update_loss_evidence(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossEvidence,
+        evidence: LossEvidence,
         now: Duration,
     ) {
         let Some(record) = self.workers.get_mut(worker) else { return };
-        let runs = match sign {
+        let runs = match evidence {
             LossEvidence::Silent | LossEvidence::CutOff => record.lost_runs.clone(),
             LossEvidence::Replaced | LossEvidence::Restarted => {
                 std::mem::take(&mut record.lost_runs)
             }
         };
         if !runs.is_empty() {
-            tracing::info!(worker, sign = sign.name(), n_runs = runs.len(), "loss is surer");
-            self.charge_all(worker, sign, &runs, now);
+            tracing::info!(
+                worker,
+                sign = evidence.name(),
+                n_runs = runs.len(),
+                "better evidence for the loss of a worker"
+            );
+            self.record_losses(worker, evidence, &runs, now);
         }
     }
 
-    /// Takes back what an attempt was charged with: its worker lists it, and lives.
+    /// Withdraws the loss recorded for an attempt, as its worker lists the attempt and so is alive.
+    /// Returns whether a loss was recorded.
     pub(crate) fn withdraw_loss(&mut self, key: task_key::TaskKey, attempt: u32) -> bool {
         let Some(task) = self.task_record_mut(key) else { return false };
         let is_changed = task.suspicion.withdraw_loss(attempt);
@@ -191,23 +207,23 @@
                 task = %key,
                 attempt,
                 is_suspect = task.suspicion.is_suspect(),
-                "loss is not held against the task any more: its worker lives"
+                "loss of a task withdrawn: its worker is alive"
             );
         }
         is_changed
     }
 
-    /// Begins to take note of losses, with those that an earlier scheduler has seen lately.
+    /// Begins to count losses, starting from those that an earlier scheduler saw recently.
     pub fn restore_loss_history(&mut self, inherited: Option<&model::RecentLosses>, now: Duration) {
         self.loss_history.begin(inherited, now);
     }
 
-    /// The losses of late, for a successor.
+    /// Losses within the time for which they are remembered, for a successor.
     pub fn recent_losses(&self, now: Duration) -> model::RecentLosses {
         self.loss_history.recent(now)
     }
 
-    /// Figures since the last call.
+    /// Returns the counts since the last call.
     pub fn take_loss_counts(&mut self) -> LossCounts {
         std::mem::take(&mut self.loss_counts)
     }
@@ -218,16 +234,17 @@
         runs: &[task_key::TaskKey],
         now: Duration,
     ) -> Vec<LostRun> {
-        let scene = self.scene_of(worker, now);
+        let concurrent = self.concurrent_losses(worker, now);
         let lost = runs.iter().filter_map(|key| {
             let job = self.jobs.get(&key.graph)?;
             let task = job.task(*key)?;
             let run = task.run.as_ref()?;
-            let latest_loss_offset =
-                job.has_comparable_run_time(*key).then(|| scene.lost_by.saturating_sub(run.since));
+            let latest_loss_offset = job
+                .has_comparable_run_time(*key)
+                .then(|| concurrent.lost_by.saturating_sub(run.since));
             let longest = latest_loss_offset.map(|it| task.suspicion.longest_run().max(it));
             let exposure = self.exposure(*key, now);
-            let early = longest.map_or(exposure, |it| it.min(exposure));
+            let early_exposure = longest.map_or(exposure, |it| it.min(exposure));
             Some(LostRun {
                 task: *key,
                 unit: job.unit_of(*key)?,
@@ -236,18 +253,28 @@
                 is_confirmed: run.is_confirmed,
                 is_suspect: task.suspicion.is_suspect(),
                 n_losses: task.suspicion.losses().len(),
-                background_probability: self.background_probability(&scene, *key, exposure, now),
-                early_background_probability: self.background_probability(&scene, *key, early, now),
-                run_share_at_loss: self.run_share_at_loss(&scene, *key, now),
+                background_probability: self.background_probability(
+                    &concurrent,
+                    *key,
+                    exposure,
+                    now,
+                ),
+                early_background_probability: self.background_probability(
+                    &concurrent,
+                    *key,
+                    early_exposure,
+                    now,
+                ),
+                run_share_at_loss: self.run_share_at_loss(&concurrent, *key, now),
                 latest_loss_offset,
             })
         });
         lost.collect()
     }
 
-    /// What surrounds the loss of a worker: the others that fell silent at about the same time, but for those
-    /// that a suspect explains.
-    fn scene_of(&self, worker: &ids::WorkerId, now: Duration) -> LossScene<'_> {
+    /// Collects the other workers that fell silent at about the same time, except those whose loss is
+    /// explained by a suspect.
+    fn concurrent_losses(&self, worker: &ids::WorkerId, now: Duration) -> ConcurrentLosses<'_> {
         let record = self.workers.get(worker);
         let last_contact_at = record.map_or(now, |it| it.answered_at);
         let silent_since =
@@ -259,71 +286,82 @@
                 && loss_history::may_share_cause(it.answered_at, last_contact_at)
                 && !self.has_suspect_alone(it.runs.iter().copied())
         });
-        LossScene { last_contact_at, lost_by, silent: silent.map(|(_, it)| &it.runs).collect() }
+        ConcurrentLosses {
+            last_contact_at,
+            lost_by,
+            silent: silent.map(|(_, it)| &it.runs).collect(),
+        }
     }
 
-    /// Chance that a task that is at risk for `exposure` was struck by what else was lost.
+    /// Probability that a task that runs for `exposure` loses its worker to whatever caused the other
+    /// losses.
     fn background_probability(
         &self,
-        scene: &LossScene,
+        concurrent: &ConcurrentLosses,
         key: task_key::TaskKey,
         exposure: Duration,
         now: Duration,
     ) -> f64 {
-        let silent = scene.silent.iter().filter(|it| !it.contains(&key));
-        let beside = loss_history::LossContext {
+        let silent = concurrent.silent.iter().filter(|it| !it.contains(&key));
+        let context = loss_history::LossContext {
             now,
-            last_contact_at: scene.last_contact_at,
+            last_contact_at: concurrent.last_contact_at,
             exposure,
             n_workers: self.workers.len(),
             n_silent: silent.count(),
             n_own_losses: self.n_losses_before(key),
         };
-        self.loss_history.background_probability(key, beside)
+        self.loss_history.background_probability(key, context)
     }
 
-    /// The share of its run time within which a task was struck.
-    fn run_share_at_loss(&self, scene: &LossScene, key: task_key::TaskKey, now: Duration) -> f64 {
+    /// Share of the expected run time of a task that had passed at the loss.
+    fn run_share_at_loss(
+        &self,
+        concurrent: &ConcurrentLosses,
+        key: task_key::TaskKey,
+        now: Duration,
+    ) -> f64 {
         let Some(run) = self.task_run(key) else { return 1.0 };
-        let ran = scene.lost_by.saturating_sub(run.since).as_secs_f64();
+        let ran = concurrent.lost_by.saturating_sub(run.since).as_secs_f64();
         let exposure = self.exposure(key, now).as_secs_f64();
         if exposure > 0.0 { (ran / exposure).min(1.0) } else { 1.0 }
     }
 
-    /// Chance that a task was struck at some time that is not known.
+    /// Probability that other losses explain the loss of a task's worker at an unknown time.
     pub(crate) fn background_probability_untimed(
         &self,
         key: task_key::TaskKey,
         now: Duration,
     ) -> f64 {
         let silent = self.workers.values().filter(|it| it.n_missed > 0);
-        let scene = LossScene {
+        let concurrent = ConcurrentLosses {
             last_contact_at: now,
             lost_by: now,
             silent: silent.map(|it| &it.runs).collect(),
         };
-        self.background_probability(&scene, key, self.exposure(key, now), now)
+        self.background_probability(&concurrent, key, self.exposure(key, now), now)
     }
 
-    /// Workers that were lost under a task before the attempt that is under way.
+    /// Number of workers lost under a task before its current attempt.
     fn n_losses_before(&self, key: task_key::TaskKey) -> usize {
         let Some(task) = self.jobs.get(&key.graph).and_then(|it| it.task(key)) else { return 0 };
         let losses = task.suspicion.losses().iter();
         losses.filter(|it| it.attempt != task.attempt).count()
     }
 
-    /// How long a task is at risk: until its end as its pace tells it, or as long as its class takes, or as
-    /// it ran. By the shortest, long tasks would be taken for culprits: they are struck most.
+    /// How long a task is at risk of a loss: the longest of its run time as projected from its progress,
+    /// the mean run time of its class, and the time that it ran. With the shortest of these, long tasks
+    /// would be taken for the cause, as they lose their workers most often.
     fn exposure(&self, key: task_key::TaskKey, now: Duration) -> Duration {
         let class = self.jobs.get(&key.graph).map(|it| it.class.as_str()).unwrap_or_default();
         let usual = self.run_times.mean(class);
         let Some(run) = self.task_run(key) else { return usual };
         let pace = run.pace.latest().filter(|it| *it > 0.0);
-        let whole = pace.map_or(Duration::ZERO, |it| Duration::from_secs_f64(100.0 / it));
-        whole.max(usual).max(now.saturating_sub(run.since))
+        let projected = pace.map_or(Duration::ZERO, |it| Duration::from_secs_f64(100.0 / it));
+        projected.max(usual).max(now.saturating_sub(run.since))
     }
 
-    /// Whether one unit runs alone, and is under suspicion.
+    /// Whether only one unit runs there, and is a suspect.
     fn has_suspect_alone(&self, mut runs: impl Iterator<Item = task_key::TaskKey>) -> bool {
         let unit_of = |it: task_key::TaskKey| self.jobs.get(&it.graph)?.unit_of(it);
         let Some(first) = runs.next() else { return false };
@@ -331,36 +369,36 @@
         unit.is_some_and(|it| self.has_suspect(it)) && runs.all(|it| unit_of(it) == unit)
     }
 
-    /// Whether a task is under suspicion.
+    /// Whether a task is a suspect.
     pub(crate) fn is_suspect(&self, key: task_key::TaskKey) -> bool {
         let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
         task.is_some_and(|it| it.suspicion.is_suspect())
     }
 
-    /// Whether the starts of a task are trials.
+    /// Whether a task may only be started in an isolated run.
     pub(crate) fn needs_isolation(&self, key: task_key::TaskKey) -> bool {
         let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
         task.is_some_and(|it| it.suspicion.needs_isolation())
     }
 
-    fn charge_all(
+    fn record_losses(
         &mut self,
         worker: &ids::WorkerId,
-        sign: LossEvidence,
+        evidence: LossEvidence,
         runs: &[LostRun],
         now: Duration,
     ) {
         for run in runs {
-            let loss = loss_of_run(run, runs, sign);
+            let loss = loss_of_run(run, runs, evidence);
             self.record_loss(run.task, loss, now);
             self.avoid_worker(run.task, worker);
-            if sign == LossEvidence::CutOff {
+            if evidence == LossEvidence::CutOff {
                 self.delay_restart(run.task, now);
             }
         }
     }
 
-    /// Holds a loss against a task, and gives its job up if there is no doubt left.
+    /// Records a loss for a task, and gives its job up if the task is proven to crash its workers.
     pub(crate) fn record_loss(
         &mut self,
         key: task_key::TaskKey,
@@ -370,7 +408,7 @@
         let Some(job) = self.jobs.get_mut(&key.graph).filter(|it| !it.has_ended()) else { return };
         let Some(task) = job.task_mut(key).filter(|it| !it.done) else { return };
         task.suspicion.record_loss(loss);
-        let is_proved = task.suspicion.is_proven_to_crash();
+        let is_proven = task.suspicion.is_proven_to_crash();
         if task.suspicion.is_suspect() {
             tracing::warn!(
                 job = format_args!("{:016x}", key.graph),
@@ -383,7 +421,7 @@
                 "task is under suspicion of crashing its workers"
             );
         }
-        if is_proved {
+        if is_proven {
             self.give_up(key, now);
         }
         self.mark_task_changed(key);
@@ -407,23 +445,23 @@
         self.stop_all(key.graph, now);
     }
 
-    /// Tells what ran there, and for how long: whether workers are lost by what they run shows only by
-    /// comparing.
+    /// Logs what ran on a lost worker, and for how long: only a comparison of several losses shows
+    /// whether a task causes them.
     fn log_loss(
         &self,
         worker: &ids::WorkerId,
-        sign: LossEvidence,
+        evidence: LossEvidence,
         runs: &[LostRun],
         now: Duration,
     ) {
-        let named = runs.iter().take(MOST_NAMED);
+        let named = runs.iter().take(MAX_LOGGED_TASKS);
         let named = named.map(|it| format!("{}#{} {} ms", it.task, it.attempt, it.ran.as_millis()));
         let tasks = named.collect::<Vec<_>>().join(", ");
         let record = self.workers.get(worker);
         let silent_ms = record.map(|it| now.saturating_sub(it.answered_at).as_millis() as u64);
         tracing::info!(
             worker,
-            sign = sign.name(),
+            sign = evidence.name(),
             n_runs = runs.len(),
             silent_ms,
             leaves = record.is_some_and(|it| it.leaves_at.is_some()),
@@ -433,29 +471,30 @@
     }
 }
 
-/// Whether a loss needs no other explanation: one unit ran there alone, and is under suspicion.
+/// Whether a suspect explains a loss: only one unit ran there, and it is a suspect.
 fn is_explained(runs: &[LostRun]) -> bool {
     let Some(first) = runs.first() else { return false };
     runs.iter().all(|it| it.unit == first.unit) && runs.iter().any(|it| it.is_suspect)
 }
 
-/// What a run on a lost worker is charged with.
-fn loss_of_run(run: &LostRun, runs: &[LostRun], sign: LossEvidence) -> suspicion::TaskLoss {
+/// The loss to record for a run on a lost worker.
+fn loss_of_run(run: &LostRun, runs: &[LostRun], evidence: LossEvidence) -> suspicion::TaskLoss {
     let others = || runs.iter().filter(|it| it.unit != run.unit);
     let n_suspects = others().filter(|it| it.is_suspect).count();
-    let weight = |it: &LostRun| if it.n_losses < run.n_losses { LESS_STRUCK_WEIGHT } else { 1.0 };
-    let rivals = others().map(weight).sum::<f64>();
-    let is_beside_suspect = !run.is_suspect && n_suspects > 0;
-    let by_others = rivals / (rivals + 1.0);
-    let start = if run.is_confirmed { 0.0 } else { UNSTARTED_ODDS };
-    let beside = if is_beside_suspect { BESIDE_SUSPECT_ODDS } else { 0.0 };
-    let cut_off = if sign == LossEvidence::CutOff { CUT_OFF_ODDS } else { 0.0 };
-    let by_sign = sign.survival_probability() * run.run_share_at_loss;
-    let chances = [run.early_background_probability, by_others, by_sign, start, beside];
+    let weight = |it: &LostRun| if it.n_losses < run.n_losses { FEWER_LOSSES_WEIGHT } else { 1.0 };
+    let others_weight = others().map(weight).sum::<f64>();
+    let is_next_to_suspect = !run.is_suspect && n_suspects > 0;
+    let by_others = others_weight / (others_weight + 1.0);
+    let unstarted = if run.is_confirmed { 0.0 } else { UNSTARTED_PROBABILITY };
+    let next_to_suspect = if is_next_to_suspect { NEXT_TO_SUSPECT_PROBABILITY } else { 0.0 };
+    let cut_off = if evidence == LossEvidence::CutOff { CUT_OFF_ALIVE_PROBABILITY } else { 0.0 };
+    let by_evidence = evidence.survival_probability() * run.run_share_at_loss;
+    let probabilities =
+        [run.early_background_probability, by_others, by_evidence, unstarted, next_to_suspect];
     suspicion::TaskLoss {
         attempt: run.attempt,
-        early_probability: chances.into_iter().fold(suspicion::MIN_PROBABILITY, f64::max),
-        anytime_probability: run.background_probability.max(beside).max(cut_off),
+        early_probability: probabilities.into_iter().fold(suspicion::MIN_PROBABILITY, f64::max),
+        anytime_probability: run.background_probability.max(next_to_suspect).max(cut_off),
         latest_loss_offset: run.latest_loss_offset,
     }
 }
--- a/crates/graph/src/suspicion.rs
+++ b/crates/graph/src/suspicion.rs
@@ -1,147 +1,155 @@
-//! How far a task is under suspicion of crashing the workers that start it.
+//! Estimates whether a task crashes the workers that start it.
 //!
-//! A task that crashes its worker leaves nobody to list its end, so that no limit of attempts bounds how
-//! often it starts: one notices by workers that are lost one after the other, each with all that runs
-//! there. What is left to go by is that workers are lost under it, and how likely that was by chance.
+//! When a task crashes its worker, no worker is left to report its end, so the limit of attempts does
+//! not apply to it: worker after worker is lost, each with all that runs there. The only evidence is the
+//! number of workers lost under the task, and the probability that these losses were chance.
 
 use std::time::Duration;
 
-/// Chance at which a loss counts at least: no single one proves anything.
+/// Lower bound of the probability of a loss: no single loss is proof.
 pub const MIN_PROBABILITY: f64 = 0.01;
 
-/// A task is given up once the chance of all that has struck it is lower than this, after two losses and
-/// after more, whenever in its runs they came. Two losses have to be by themselves, under a task that ran alone,
-/// while hardly any other worker was lost. The more there are, the less has to be known of each: the platform
-/// lets a task be started twice more when three workers have crashed under it, and of the first losses, amid an
-/// outage, little may be known, or nothing.
-const PROOF_ODDS: [f64; 2] = [2.0 * MIN_PROBABILITY * MIN_PROBABILITY, 0.001];
+/// A job is given up once the product of the probabilities of all losses of a task, at any time of its
+/// runs, is lower than this: first after two losses, then after more. Two losses are proof only if the
+/// task ran alone and hardly any other worker was lost. After more losses weaker evidence will do: the
+/// platform allows two more starts of a task after three workers have crashed under it, and little or
+/// nothing may be known of the first losses if they fell into an outage.
+const PROOF_PROBABILITY: [f64; 2] = [2.0 * MIN_PROBABILITY * MIN_PROBABILITY, 0.001];
 
-/// The same of the chance that all struck it so early, after four losses and after more. Among many tasks some are
-/// struck early in a row, so that it has to be lower.
-const EARLY_PROOF_ODDS: [f64; 2] = [0.000_001, 0.000_1];
+/// The same bounds for the probability that all losses came as early in the runs, first after four
+/// losses, then after more. They are lower, as among many tasks a few have several early losses in a row
+/// by chance.
+const EARLY_PROOF_PROBABILITY: [f64; 2] = [0.000_001, 0.000_1];
 
-/// Up to this chance what else was lost does not explain a loss. Above it, as when a rack loses power, a
-/// loss says so little that keeping what ran there apart would cost more than it tells.
-const UNEXPLAINED_ODDS: f64 = 0.25;
+/// A loss whose probability is higher than this is explained by other losses. Such a loss, as when a
+/// rack loses power, says so little about a task that an isolated run would cost more than it reveals.
+const MAX_UNEXPLAINED_PROBABILITY: f64 = 0.25;
 
-/// Up to this chance hardly anything else explains a loss; a task with a lower one is nearly proved.
-const STRONG_ODDS: f64 = 0.1;
+/// Below this probability hardly anything else explains a loss, and the task is close to proven.
+const STRONG_SUSPECT_PROBABILITY: f64 = 0.1;
 
-/// A task that crashes its workers does so at a like moment of each run: workers differ in pace by up to this
-/// factor...
-const MOMENT_SPREAD: f64 = 1.5;
+/// A task that crashes its workers does so after about the same work in each run; the speed of workers
+/// differs by up to this factor.
+const LOSS_OFFSET_SPREAD: f64 = 1.5;
 
-/// ...and it is known up to this when a run began, and when its worker was lost.
-const MOMENT_SLACK: Duration = Duration::from_millis(250);
+/// Error in the measured time from the start of a run to the loss of its worker.
+const LOSS_OFFSET_ERROR: Duration = Duration::from_millis(250);
 
-/// Losses of any kind after which the starts of a task are trials.
-const LOSSES_TO_TRIAL: usize = 2;
+/// Losses, explained or not, after which a task may only be started in isolated runs.
+const MIN_LOSSES_TO_ISOLATE: usize = 2;
 
-/// Most losses that are kept of a task, so that its row stays small: those that speak most against it.
-const MOST_KEPT: usize = 7;
+/// Maximum number of losses that are kept for a task, to keep its row small: the least probable ones.
+const MAX_KEPT_LOSSES: usize = 7;
 
-/// A worker that was lost under a task.
+/// The loss of a worker under a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskLoss {
     /// The attempt that ran there.
     pub attempt: u32,
-    /// Chance that a task that crashes nothing was struck as it was, so early in its run: by what else was
-    /// lost, by what else ran there, and by how sure it is that the worker crashed.
+    /// Probability that a task that crashes nothing loses its worker as early in its run. It takes in
+    /// other losses, other tasks on the worker, and the doubt whether the worker has crashed at all.
     pub early_probability: f64,
-    /// Chance that what else was lost struck it at any time of its run.
+    /// Probability that other losses explain this one at any time of the run.
     pub anytime_probability: f64,
-    /// How far into its run the worker was lost at the latest; nothing where that can't be compared with
-    /// other runs.
+    /// Upper bound of the time from the start of the run to the loss; `None` where it can't be compared
+    /// with that of other runs.
     pub latest_loss_offset: Option<Duration>,
 }
 
-/// What is held against a task.
+/// The losses of a task, and what speaks against it as their cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TaskSuspicion {
     losses: Vec<TaskLoss>,
-    /// The longest that a run of it was seen to go on.
-    survived: Duration,
-    /// The attempt of a start that is on record: should the scheduler go, its successor counts the start
-    /// unless it hears of its end.
+    /// The longest time that a run of the task was seen to last.
+    longest_survived: Duration,
+    /// The attempt whose start is saved: if the scheduler fails, its successor counts the start as a
+    /// loss unless a worker reports the end of the run.
     pub saved_attempt: Option<u32>,
-    /// The same as an earlier scheduler has left it.
+    /// The attempt whose start an earlier scheduler had saved.
     pub inherited_attempt: Option<u32>,
 }
 
 impl TaskSuspicion {
-    /// What was saved of a task.
-    pub fn restored(losses: Vec<TaskLoss>, survived: Duration) -> TaskSuspicion {
-        TaskSuspicion { losses, survived, ..TaskSuspicion::default() }
+    /// The suspicion of a task as it was saved.
+    pub fn restored(losses: Vec<TaskLoss>, longest_survived: Duration) -> TaskSuspicion {
+        TaskSuspicion { losses, longest_survived, ..TaskSuspicion::default() }
     }
 
-    /// What is held against it.
+    /// The recorded losses, in the order in which they were recorded.
     pub fn losses(&self) -> &[TaskLoss] {
         &self.losses
     }
 
-    /// The longest that a run of it was seen to go on.
+    /// The longest time that a run of the task was seen to last.
     pub fn longest_survived_run(&self) -> Duration {
-        self.survived
+        self.longest_survived
     }
 
-    /// A run of it was seen to go on for so long. It is not what ended others much sooner.
+    /// Records that a run lasted for `ran`. Losses much earlier in other runs then had another cause.
     pub fn record_survival(&mut self, ran: Duration) {
-        self.survived = self.survived.max(ran);
+        self.longest_survived = self.longest_survived.max(ran);
     }
 
-    /// Whether something is held against it that nothing else explains.
+    /// Whether the task has a loss that nothing else explains.
     pub fn is_suspect(&self) -> bool {
         self.n_unexplained() > 0
     }
 
-    /// Whether its starts are trials: apart from other work, and on record. What was struck several times,
-    /// amid whatever, runs alone at last; beside others each further loss would say as little.
+    /// Whether the task may only be started in isolated runs, saved before they are sent. A task with
+    /// several losses, explained or not, has to run alone in the end: next to other tasks each further
+    /// loss would say as little as those before.
     pub fn needs_isolation(&self) -> bool {
-        self.is_suspect() || self.counted().count() >= LOSSES_TO_TRIAL
+        self.is_suspect() || self.attributable().count() >= MIN_LOSSES_TO_ISOLATE
     }
 
-    /// Whether more than one loss speaks against it, or one under it alone.
+    /// Whether two losses are unexplained, or a single one is improbable by chance.
     pub fn is_strong_suspect(&self) -> bool {
-        self.n_unexplained() > 1 || (self.is_suspect() && self.early_probability() <= STRONG_ODDS)
+        self.n_unexplained() > 1
+            || (self.is_suspect() && self.early_probability() <= STRONG_SUSPECT_PROBABILITY)
     }
 
-    /// Whether it is taken to crash the workers that start it.
+    /// Whether the losses prove that the task crashes the workers that start it.
     pub fn is_proven_to_crash(&self) -> bool {
-        let n_losses = self.counted().count();
-        let is_below = |odds: f64, bounds: [f64; 2], least_losses: usize| {
+        let n_losses = self.attributable().count();
+        let is_below = |probability: f64, bounds: [f64; 2], least_losses: usize| {
             let n_more = n_losses.checked_sub(least_losses);
-            n_more.is_some_and(|it| odds < bounds[it.min(bounds.len() - 1)])
+            n_more.is_some_and(|it| probability < bounds[it.min(bounds.len() - 1)])
         };
-        let at_any_time =
-            self.counted().map(|it| it.early_probability.max(it.anytime_probability)).product();
-        is_below(at_any_time, PROOF_ODDS, 2)
-            || is_below(self.early_probability(), EARLY_PROOF_ODDS, 4)
+        let at_any_time = self
+            .attributable()
+            .map(|it| it.early_probability.max(it.anytime_probability))
+            .product();
+        is_below(at_any_time, PROOF_PROBABILITY, 2)
+            || is_below(self.early_probability(), EARLY_PROOF_PROBABILITY, 4)
     }
 
-    /// The longest that any run of it has lasted, as far as is known.
+    /// The longest known run of the task, by runs that were observed and by its losses.
     pub fn longest_run(&self) -> Duration {
-        let struck = self.counted().filter_map(|it| it.latest_loss_offset).max();
-        self.survived.max(struck.unwrap_or_default())
+        let longest_lost = self.attributable().filter_map(|it| it.latest_loss_offset).max();
+        self.longest_survived.max(longest_lost.unwrap_or_default())
     }
 
     fn n_unexplained(&self) -> usize {
-        self.counted().filter(|it| it.anytime_probability <= UNEXPLAINED_ODDS).count()
+        self.attributable()
+            .filter(|it| it.anytime_probability <= MAX_UNEXPLAINED_PROBABILITY)
+            .count()
     }
 
-    /// The losses that may be its doing: no run of it was seen to go on far beyond the moment of theirs.
-    fn counted(&self) -> impl Iterator<Item = &TaskLoss> {
-        let latest = |it: Duration| it.mul_f64(MOMENT_SPREAD) + MOMENT_SLACK;
-        self.losses
-            .iter()
-            .filter(move |it| it.latest_loss_offset.is_none_or(|by| latest(by) >= self.survived))
+    /// The losses that the task may have caused: those not much earlier than the longest run that it
+    /// survived.
+    fn attributable(&self) -> impl Iterator<Item = &TaskLoss> {
+        let latest = |it: Duration| it.mul_f64(LOSS_OFFSET_SPREAD) + LOSS_OFFSET_ERROR;
+        self.losses.iter().filter(move |it| {
+            it.latest_loss_offset.is_none_or(|by| latest(by) >= self.longest_survived)
+        })
     }
 
-    /// Chance of all that has struck it, if it crashes nothing.
+    /// Probability that a task that crashes nothing has all these losses, each as early in its run.
     pub fn early_probability(&self) -> f64 {
-        self.counted().map(|it| it.early_probability).product()
+        self.attributable().map(|it| it.early_probability).product()
     }
 
-    /// Takes in a loss. One of the same attempt counts once, by what is known best.
+    /// Records a loss. A further one of the same attempt replaces what is known less well of it.
     pub fn record_loss(&mut self, loss: TaskLoss) {
         if let Some(known) = self.losses.iter_mut().find(|it| it.attempt == loss.attempt) {
             known.early_probability = known.early_probability.min(loss.early_probability);
@@ -150,7 +158,7 @@
             return;
         }
         self.losses.push(loss);
-        if self.losses.len() > MOST_KEPT {
+        if self.losses.len() > MAX_KEPT_LOSSES {
             let weakest = (0..self.losses.len()).max_by(|one, other| {
                 self.losses[*one]
                     .early_probability
@@ -160,14 +168,14 @@
         }
     }
 
-    /// Takes back what an attempt was charged with, as its worker lives. Tells whether there was anything.
+    /// Withdraws the loss of an attempt, as its worker is alive. Returns whether a loss was recorded.
     pub fn withdraw_loss(&mut self, attempt: u32) -> bool {
         let n_before = self.losses.len();
         self.losses.retain(|it| it.attempt != attempt);
         self.losses.len() < n_before
     }
 
-    /// Takes the start of an attempt off the record, as its end is known. Tells whether it was there.
+    /// Removes the saved start of an attempt whose end is known. Returns whether it was saved.
     pub fn forget_attempt(&mut self, attempt: u32) -> bool {
         let before = (self.saved_attempt, self.inherited_attempt);
         self.saved_attempt = self.saved_attempt.filter(|it| *it != attempt);
