--- a/crates/graph/src/ack_window.rs
+++ b/crates/graph/src/ack_window.rs
@@ -1,25 +1,27 @@
-//! How long a worker is taken to be in the life in which it was found.
+//! Time after an answer of a worker during which ends may be acknowledged to it.
 
 use std::time::Duration;
 
-/// A worker that has answered is in the same life for this long. Workers were seen to start again 0.5 s
-/// after they had lost power, at the soonest; before a look to them does harm, a task must have been
-/// started there and have ended, too.
-const TRUSTED_FOR: Duration = Duration::from_millis(500);
+/// A worker that has answered is assumed to be in the same incarnation for this long. The soonest
+/// restart that was seen came 0.5 s after a loss of power. For an acknowledgement to do harm, a task
+/// must also have started and ended there since.
+const WINDOW: Duration = Duration::from_millis(500);
 
-/// The same behind a look that asked only, so that the next one may acknowledge, though it comes late: a
-/// scheduler whose looks are always late would never acknowledge anything. Such a look is given up after
-/// 0.5 s, and the ends that it lists are waited for as long to become durable; this is twice the two.
-const TRUSTED_ONCE_FOR: Duration = Duration::from_secs(2);
+/// The same time after a poll that acknowledged nothing although it could have, so that the next poll
+/// may acknowledge even if it comes late. Otherwise a scheduler whose polls are always late would never
+/// acknowledge anything. Such a poll times out after 0.5 s, and the ends that it lists take up to as
+/// long to become durable; this is twice the sum.
+const WINDOW_AFTER_VERIFYING: Duration = Duration::from_secs(2);
 
-/// What a look acknowledges.
+/// What a poll acknowledges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndAck {
-    /// No end is listed that could be.
+    /// Nothing: the worker lists no end that may be acknowledged.
     Nothing,
-    /// There is one, but nobody knows in which life the worker is.
+    /// Nothing yet: an end may be acknowledged, but the worker may have restarted, so its incarnation
+    /// has to be verified first.
     VerifyFirst,
-    /// All ends up to that number.
+    /// All ends up to this number.
     UpTo(u64),
 }
 
@@ -33,37 +35,38 @@
     }
 }
 
-/// What the last answered look at a worker tells of its life. Without it an acknowledgement reaches a
-/// worker that has started again while nobody looked: no look has failed then.
+/// Tracks how long the last answered poll proves the incarnation of a worker. Without this limit an
+/// acknowledgement could reach a worker that restarted while no polls were sent, so that none had
+/// failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AckWindow {
     until: Duration,
-    /// How long the last look may wait at the worker.
+    /// How long the worker may hold the last poll before it answers.
     wait: Duration,
-    /// Whether the last look asks only, although it had ends to acknowledge.
-    asks_only: bool,
+    /// Whether the last poll acknowledged nothing although there were ends to acknowledge.
+    verifies_only: bool,
 }
 
 impl AckWindow {
-    /// Whether a look at `now` may acknowledge ends.
+    /// Whether a poll sent at `now` may acknowledge ends.
     pub fn is_open(&self, now: Duration) -> bool {
         now <= self.until
     }
 
-    /// A look is about to be sent.
+    /// Records that a poll is about to be sent, which the worker may hold for `wait`.
     pub fn poll_sent(&mut self, wait: Duration, ack: EndAck) {
         self.wait = wait;
-        self.asks_only = ack == EndAck::VerifyFirst;
+        self.verifies_only = ack == EndAck::VerifyFirst;
     }
 
-    /// The worker has answered a look sent at `sent_at`.
+    /// Records the answer to a poll sent at `sent_at`.
     pub fn poll_answered(&mut self, sent_at: Duration, now: Duration) {
-        // The answer may have lain here for as long as this process stood still.
-        let given_at = now.min(sent_at + self.wait);
-        self.until = given_at + if self.asks_only { TRUSTED_ONCE_FOR } else { TRUSTED_FOR };
+        // If this process was suspended, the answer may have been received long before `now`.
+        let answered_at = now.min(sent_at + self.wait);
+        self.until = answered_at + if self.verifies_only { WINDOW_AFTER_VERIFYING } else { WINDOW };
     }
 
-    /// A call had no answer.
+    /// Records that a call to the worker had no answer: no end is acknowledged before the next answer.
     pub fn close(&mut self) {
         *self = AckWindow::default();
     }
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -1,7 +1,7 @@
-//! Workers that tasks avoid as they failed there, for a while.
+//! Time-limited avoidance of a worker by the tasks that failed on it.
 //!
-//! The worker may be the only one that has what a task needs: without an end the task would never start
-//! again.
+//! The avoided worker may be the only one that offers what a task needs: without a time limit the task
+//! would never start again.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::task_key;
 use crate::worker;
 
-/// A task keeps off the worker on which it failed last for this long. The platform takes a job as lost that
-/// stands still for 3 s although there is room.
-const AVOIDED_FOR: Duration = Duration::from_millis(2_000);
+/// A task avoids the worker on which it failed last for this long. The platform counts a job as lost
+/// that is idle for 3 s although capacity is free.
+const AVOIDANCE_TIME: Duration = Duration::from_millis(2_000);
 
-/// And for this long at most where room is scarce and another worker has what it needs, once that is free: on
-/// a worker that goes on failing its attempts would be used up.
-const LONGEST_AVOIDED: Duration = Duration::from_secs(10);
+/// Upper bound of that time if capacity is scarce and another worker, once it is free, offers what the
+/// task needs: on a worker that goes on failing tasks, the task would use up its attempts.
+const MAX_AVOIDANCE_TIME: Duration = Duration::from_secs(10);
 
-/// The end of an avoidance, unless the task fails again before.
+/// The end of an avoidance. It has no effect if the task has failed once more since.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AvoidanceEnd {
     at: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl core::PoolCore {
-    /// Has a task keep off the worker on which it has just failed.
+    /// Makes a task avoid the worker on which it has just failed.
     pub(crate) fn avoid_failed_worker(
         &mut self,
         key: task_key::TaskKey,
@@ -37,13 +37,14 @@
         now: Duration,
     ) {
         let Some(task) = self.task_record_mut(key) else { return };
-        let at = now + AVOIDED_FOR;
+        let at = now + AVOIDANCE_TIME;
         task.avoids = Some(worker.clone());
         task.avoids_until = at;
         self.avoidance_ends.push_back(AvoidanceEnd { at, since: now, task: key });
     }
 
-    /// Ends the avoidances that are due.
+    /// Ends the avoidances that are due, or extends them where the task had better wait for another
+    /// worker.
     pub(crate) fn expire_avoidances(&mut self, now: Duration) {
         while let Some(end) = self.avoidance_ends.front().copied().filter(|it| now >= it.at) {
             self.avoidance_ends.pop_front();
@@ -51,15 +52,16 @@
             if self.task_record_mut(end.task).filter(is_due).is_none() {
                 continue;
             }
-            if now < end.since + LONGEST_AVOIDED && self.awaits_another(end.task, now) {
-                self.avoidance_ends.push_back(AvoidanceEnd { at: now + AVOIDED_FOR, ..end });
+            if now < end.since + MAX_AVOIDANCE_TIME && self.awaits_another_worker(end.task, now) {
+                self.avoidance_ends.push_back(AvoidanceEnd { at: now + AVOIDANCE_TIME, ..end });
             } else if let Some(task) = self.task_record_mut(end.task) {
                 task.avoids = None;
             }
         }
     }
-    /// Whether room is scarce, and a task could run on another worker than the one that it avoids.
-    fn awaits_another(&self, key: task_key::TaskKey, now: Duration) -> bool {
+
+    /// Whether capacity is scarce and a worker other than the avoided one could run the task.
+    fn awaits_another_worker(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let (Some(step), Some(task)) = (job.step(key), job.task(key)) else { return false };
         let could_run = |id: &ids::WorkerId, it: &worker::WorkerRecord| {
--- a/crates/graph/src/exclusion_limit.rs
+++ b/crates/graph/src/exclusion_limit.rs
@@ -1,34 +1,35 @@
-//! How much of a pool may be out of use on a belief at a time.
+//! Limits the share of a pool that is excluded by inference at a time.
 //!
-//! What is believed of a worker is concluded from the tasks that run there. Concluded of most workers at a
-//! time, it is true of the tasks rather, and nothing would start anywhere.
+//! That a worker fails, stalls or is slow is inferred from the tasks on it. If the same is inferred of
+//! most workers, the tasks are the more likely cause, and with all these workers excluded nothing could
+//! start.
 
 use almondpass_schema::ids;
 
 use crate::core;
 use crate::worker;
 
-/// Of the workers of an upstream, one in so many may be out of use on one belief.
-const ONE_IN: usize = 2;
+/// Of this many workers of an upstream, one may be excluded for a given reason.
+const WORKERS_PER_EXCLUSION: usize = 2;
 
 impl core::PoolCore {
-    /// Whether a worker may be put out of use on a belief, beside those of its upstream of which it is
-    /// held already.
+    /// Whether a worker may be excluded for the reason that `is_excluded` tests, in addition to the workers
+    /// of its upstream that already are.
     pub(crate) fn can_exclude(
         &self,
         worker: &ids::WorkerId,
-        is_out: impl Fn(&worker::WorkerRecord) -> bool,
+        is_excluded: impl Fn(&worker::WorkerRecord) -> bool,
     ) -> bool {
         let Some(record) = self.workers.get(worker) else { return false };
-        if is_out(record) {
+        if is_excluded(record) {
             return true;
         }
         let upstream = &record.entry.upstream;
-        let alike = || {
+        let of_upstream = || {
             let usable = self.workers.values().filter(|it| it.listed && it.is_responsive());
             usable.filter(|it| it.entry.upstream == *upstream)
         };
-        let n_out = alike().filter(|it| is_out(it)).count();
-        (n_out + 1) * ONE_IN <= alike().count()
+        let n_excluded = of_upstream().filter(|it| is_excluded(it)).count();
+        (n_excluded + 1) * WORKERS_PER_EXCLUSION <= of_upstream().count()
     }
 }
--- a/crates/graph/src/health.rs
+++ b/crates/graph/src/health.rs
@@ -1,22 +1,22 @@
-//! Workers that fail or hang: what is believed of them, by evidence from different jobs.
+//! Pauses of workers on which tasks of different jobs fail or stall.
 
 use std::time::Duration;
 
 use almondpass_schema::ids;
 
-/// Failures of different jobs in a row, without one that ended well, after which a worker gets no
-/// tasks for a while. One may be the job's own fault; two jobs that both fail by their own fault
-/// on one worker are rare at the declared shares of 2 to 5%.
+/// Failures of different jobs in a row, with no success in between, after which a worker is paused. A
+/// single failure may be the job's own fault. Two jobs that both fail on one worker by their own fault
+/// are rare at the declared failure shares of 2 to 5%.
 const FAILURES_TO_PAUSE: u32 = 2;
 
-/// First pause of a worker that fails or hangs; it doubles with each further one. About the time
-/// for which such faults last on the users' days.
+/// First pause of a worker on which tasks fail or stall; it doubles with each further pause. About as
+/// long as such faults last on the users' days.
 const FIRST_PAUSE: Duration = Duration::from_secs(4);
 
 /// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(32);
+const MAX_PAUSE: Duration = Duration::from_secs(32);
 
-/// How a worker has been doing.
+/// Recent failures and pauses of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerHealth {
     failures: u32,
@@ -26,48 +26,48 @@
 }
 
 impl WorkerHealth {
-    /// A task ended well.
+    /// Records a success, which ends the row of failures.
     pub fn task_succeeded(&mut self) {
         self.failures = 0;
         self.pauses = 0;
         self.last_job = None;
     }
 
-    /// A task of `job` failed. Tells whether the worker is paused by it, which it is only if it can be
-    /// spared.
-    pub fn task_failed(&mut self, job: ids::GraphId, is_spare: bool, now: Duration) -> bool {
+    /// Records a failure of a task of `job`. Returns whether it pauses the worker, which needs
+    /// `can_exclude`: the pool can do without it.
+    pub fn task_failed(&mut self, job: ids::GraphId, can_exclude: bool, now: Duration) -> bool {
         if self.last_job == Some(job) {
             return false;
         }
         self.last_job = Some(job);
         self.failures += 1;
-        if self.failures < FAILURES_TO_PAUSE || !is_spare {
+        if self.failures < FAILURES_TO_PAUSE || !can_exclude {
             return false;
         }
         self.pause(now);
         true
     }
 
-    /// A task stood still. The worker is paused by it if it can be spared.
-    pub fn task_stalled(&mut self, is_spare: bool, now: Duration) {
+    /// Records a stalled task, which pauses the worker if the pool can do without it (`can_exclude`).
+    pub fn task_stalled(&mut self, can_exclude: bool, now: Duration) {
         self.failures += 1;
-        if is_spare {
+        if can_exclude {
             self.pause(now);
         }
     }
 
-    /// Whether it gets no tasks for now.
+    /// Whether the worker gets no new tasks at `now`.
     pub fn is_paused(&self, now: Duration) -> bool {
         now < self.paused_until
     }
 
-    /// Whether it has failed and not yet ended a task well since; it is used last.
+    /// Whether a task failed or stalled since the last success. Such a worker is used last.
     pub fn has_recent_failures(&self) -> bool {
         self.failures > 0
     }
 
     fn pause(&mut self, now: Duration) {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.pauses.min(8)).min(LONGEST_PAUSE);
+        let pause = FIRST_PAUSE.saturating_mul(1 << self.pauses.min(8)).min(MAX_PAUSE);
         self.paused_until = now + pause;
         self.pauses += 1;
     }
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -1,4 +1,5 @@
-//! Room for urgent work: stopping what is worth least, and keeping the room until it is taken.
+//! Preemption for urgent work: stops the least valuable work, and keeps its resources until the urgent
+//! work takes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,48 +14,48 @@
 use crate::task_key;
 use crate::worker;
 
-/// Priority of the work that may stop other work.
+/// Priority of the jobs that may preempt others.
 pub(crate) const URGENT_PRIORITY: u32 = 0;
 
-/// Units for which room is sought in one turn; the next turn follows within milliseconds. Each goes
-/// over all workers and what runs there.
-const CLEARED_A_TURN: u32 = 8;
+/// Maximum number of units per round for which preemption is tried, as each try goes over all workers
+/// and their runs. The next round follows within milliseconds.
+const MAX_TRIES_PER_ROUND: u32 = 8;
 
-/// Part of the bound of a guarantee that is left for clearing its room beside the time that a stop
-/// takes: finding the plan, the stops' way, the starts' way, and one member that has to start anew.
+/// Part of the reclaim bound of a guarantee that is reserved for preemption, in addition to the time of
+/// a stop: making the plan, delivering the stops and the starts, and one restart of a gang member.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(700);
 
-/// Room is kept for a unit this much longer than a stop takes.
-const CLAIM_SLACK: Duration = Duration::from_millis(800);
+/// Freed resources are kept for a unit this much longer than a stop takes.
+const CLAIM_MARGIN: Duration = Duration::from_millis(800);
 
-/// Core-milliseconds for each thousandth of a core that a stopped task costs beyond the work it
-/// loses: the time to find a place again and to restore, as measured on the users' sites (0.1 to
-/// 0.6 s) and a look.
-const RESTART_MS: u64 = 1_000;
+/// Cost of the restart of a stopped task, in milliseconds, which count for each core that it uses. It is
+/// added to the work that the task loses, and covers a new placement, the restore of the checkpoint (0.1
+/// to 0.6 s as measured on the users' sites) and a poll.
+const RESTART_COST_MS: u64 = 1_000;
 
-/// Work of accounts above their guarantee is stopped for urgent work within a guarantee only where
-/// nothing less urgent will do: it costs this many times as much.
-const URGENT_COST: u64 = 20;
+/// Factor on the cost of stopping urgent work of accounts above their guarantee, so that it is stopped
+/// for urgent work within a guarantee only where stopping less urgent work is not enough.
+const URGENT_COST_FACTOR: u64 = 20;
 
-/// Urgent work outside a guarantee may cost other callers at most this many times its own work. Under
-/// full load what is thrown away is missing to others: one plan stopped 47 tasks, 3,192 core-seconds,
-/// for a job of seven tasks. Two times its work serves alike; no limit serves 0.016 of worth less (40
-/// paired days, error 0.007).
-const MOST_COST: u64 = 3;
+/// Maximum cost of a preemption for urgent work outside a guarantee, as a multiple of its own work.
+/// Under full load, lost work is missed by others: one plan stopped 47 tasks, 3,192 core-seconds, for a
+/// job of seven tasks. A limit of two times its work does as well; no limit serves 0.016 less of the
+/// worth (40 paired days, error 0.007).
+const MAX_COST_FACTOR: u64 = 3;
 
-/// A task at this percentage is nearly done; stopping it costs three times as much.
-const NEARLY_DONE: u32 = 75;
+/// A task at or above this percentage is nearly done; stopping it costs three times as much.
+const NEARLY_DONE_PERCENT: u32 = 75;
 
-/// What is left to clear in one turn.
+/// Preemption state of one scheduling round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PreemptionRound {
-    /// Units for which room is being cleared already.
+    /// Units for which resources are being freed already.
     claimed: BTreeSet<task_key::UnitKey>,
-    /// Units for which room may still be sought.
+    /// Number of units for which preemption may still be tried.
     n_left: u32,
-    /// What may be stopped for work within a guarantee, once it was needed.
+    /// Units that may be stopped for work within a guarantee; `None` until first needed.
     for_guaranteed: Option<preemption_plan::VictimSet>,
-    /// What may be stopped for other urgent work, once it was needed.
+    /// Units that may be stopped for other urgent work; `None` until first needed.
     for_others: Option<preemption_plan::VictimSet>,
 }
 
@@ -65,18 +66,18 @@
         }
     }
 
-    /// What one turn may clear.
+    /// Starts the preemption state of a round.
     pub(crate) fn preemption_round(&self) -> PreemptionRound {
         let claims = self.workers.values().flat_map(|it| &it.claims);
         let claimed = claims.map(|it| it.unit).collect();
-        PreemptionRound { claimed, n_left: CLEARED_A_TURN, ..PreemptionRound::default() }
+        PreemptionRound { claimed, n_left: MAX_TRIES_PER_ROUND, ..PreemptionRound::default() }
     }
 
-    /// Stops less urgent work for an urgent unit that found no room. Each task of a step is
-    /// cleared for at once: one after the other they would wait for a stop each, and a guarantee
-    /// would come back late. Where it would cost too much the unit waits, and reserves nothing: one
-    /// urgent gang after the other would keep those behind it off what is free (at four times the
-    /// load of a full day 0.30 instead of 0.37 of worth).
+    /// Stops less urgent work for an urgent unit that could not be placed. It is tried for each task of
+    /// a step in the same round: one task after the other would each wait for a stop, and the guarantee
+    /// would be met late. If preemption would cost too much, the unit waits without a reservation. With
+    /// reservations, one urgent gang after the other would keep later units off the free capacity (at
+    /// four times the load of a full day 0.30 instead of 0.37 of the worth was served).
     pub(crate) fn preempt_for_urgent(
         &mut self,
         unit: task_key::UnitKey,
@@ -88,10 +89,10 @@
             return;
         }
         round.n_left -= 1;
-        self.clear_for(unit, candidates, round, now);
+        self.preempt_for(unit, candidates, round, now);
     }
 
-    fn clear_for(
+    fn preempt_for(
         &mut self,
         unit: task_key::UnitKey,
         candidates: &mut [candidate::WorkerCandidate],
@@ -99,14 +100,18 @@
         now: Duration,
     ) {
         let is_guaranteed = self.is_within_guarantee(unit.graph);
-        let pool = if is_guaranteed { &mut round.for_guaranteed } else { &mut round.for_others };
-        let pool = pool.get_or_insert_with(|| self.victim_pool(is_guaranteed, candidates, now));
+        let victim_set =
+            if is_guaranteed { &mut round.for_guaranteed } else { &mut round.for_others };
+        let victim_set =
+            victim_set.get_or_insert_with(|| self.victim_set(is_guaranteed, candidates, now));
         let Some(request) = self.placement_request(unit, candidates, now) else { return };
-        let Some(plan) = preemption_plan::cheapest_plan(candidates, pool, &request) else { return };
-        if plan.cost > self.most_cost(unit, &request, now) {
+        let Some(plan) = preemption_plan::cheapest_plan(candidates, victim_set, &request) else {
+            return;
+        };
+        if plan.cost > self.max_cost(unit, &request, now) {
             return;
         }
-        let kept = plan
+        let kept_resources = plan
             .candidates
             .iter()
             .map(|it| request.kept_resources(&candidates[*it]))
@@ -120,16 +125,16 @@
             "room is cleared for urgent work"
         );
         for victim in &plan.victims {
-            for key in self.unit_tasks(pool.unit(*victim)) {
+            for key in self.unit_tasks(victim_set.unit(*victim)) {
                 self.stop_run(key, now);
             }
-            pool.stop(*victim);
+            victim_set.mark_stopping(*victim);
         }
-        // What is stopping is not the same in the other pool any more.
+        // The victims that are now stopping have to be left out of the other set as well.
         let other = if is_guaranteed { &mut round.for_others } else { &mut round.for_guaranteed };
         *other = None;
-        let until = now + self.timing.stop_timeout + CLAIM_SLACK;
-        for (index, room) in plan.candidates.into_iter().zip(kept) {
+        let until = now + self.timing.stop_timeout + CLAIM_MARGIN;
+        for (index, room) in plan.candidates.into_iter().zip(kept_resources) {
             candidates[index].claims.push((unit, room));
             if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
                 record.claims.push(worker::ResourceClaim { unit, room, until });
@@ -137,10 +142,10 @@
         }
     }
 
-    /// Most work that may be thrown away for a unit, in core-milliseconds. A guarantee is owed its room
-    /// at any cost, and in time: only for the first part of its bound is the cheaper way tried,
-    /// which is waiting for work that ends.
-    fn most_cost(
+    /// Maximum cost of a preemption for a unit, in core-milliseconds. Work within a guarantee gets its
+    /// resources at any cost before its reclaim bound. Only in the first part of the bound does the cost
+    /// limit apply, as waiting for other work to end is cheaper.
+    fn max_cost(
         &self,
         unit: task_key::UnitKey,
         request: &candidate::PlacementRequest,
@@ -154,24 +159,28 @@
         }
         let run = self.run_times.mean(&job.class).as_millis() as u64;
         let own = run * u64::from(request.n_tasks) * (request.per_task.weight() / 1_000).max(1);
-        MOST_COST * own
+        MAX_COST_FACTOR * own
     }
 
-    /// Room of tasks that are being stopped, by berth.
-    fn freeing(&self, candidates: &[candidate::WorkerCandidate]) -> Vec<resources::Resources> {
-        let on_berth = |it: &candidate::WorkerCandidate| {
+    /// Resources of tasks that are being stopped, by candidate.
+    fn resources_being_freed(
+        &self,
+        candidates: &[candidate::WorkerCandidate],
+    ) -> Vec<resources::Resources> {
+        let on_candidate = |it: &candidate::WorkerCandidate| {
             let runs = self.workers.get(&it.place.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
                 .flatten()
                 .filter(|key| self.task_run(**key).is_some_and(|it| it.phase.is_stopping()));
-            stopping.fold(resources::Resources::default(), |sum, key| sum.plus(self.room_of(*key)))
+            stopping
+                .fold(resources::Resources::default(), |sum, key| sum.plus(self.resources_of(*key)))
         };
-        candidates.iter().map(on_berth).collect()
+        candidates.iter().map(on_candidate).collect()
     }
 
-    /// Units that may be stopped for urgent work, which is within its account's guarantee or not.
-    fn victim_pool(
+    /// Units that may be stopped for urgent work that is within its account's guarantee, or not.
+    fn victim_set(
         &self,
         is_guaranteed: bool,
         candidates: &[candidate::WorkerCandidate],
@@ -187,20 +196,24 @@
                 if is_urgent && (!is_guaranteed || is_protected) {
                     continue;
                 }
-                let factor = if is_urgent { URGENT_COST } else { 1 };
+                let factor = if is_urgent { URGENT_COST_FACTOR } else { 1 };
                 let Some(cost) = self.stop_cost(*key, now) else { continue };
                 let Some(victim) = job.unit_of(*key) else { continue };
                 let entry = victims.entry(victim).or_insert_with(|| {
                     preemption_plan::PreemptionVictim { unit: victim, cost: 0, runs: Vec::new() }
                 });
                 entry.cost += factor * cost;
-                entry.runs.push((index, self.room_of(*key)));
+                entry.runs.push((index, self.resources_of(*key)));
             }
         }
-        preemption_plan::VictimSet::new(self.freeing(candidates), victims.into_values().collect())
+        preemption_plan::VictimSet::new(
+            self.resources_being_freed(candidates),
+            victims.into_values().collect(),
+        )
     }
 
-    /// Work that stopping a run throws away; nothing where it is stopping already.
+    /// Cost of stopping a run, in core-milliseconds; `None` if it is stopping already or its start is
+    /// unconfirmed.
     fn stop_cost(&self, key: task_key::TaskKey, now: Duration) -> Option<u64> {
         let run = self.task_run(key)?;
         if run.phase.is_stopping() || matches!(run.phase, job::RunPhase::Unclear { .. }) {
@@ -208,26 +221,26 @@
         }
         let saves = self.jobs.get(&key.graph)?.step(key)?.spec.saves;
         let ran = now.saturating_sub(run.since).as_millis() as u64;
-        // A stop saves a task that saves checkpoints.
+        // A task that saves checkpoints saves one when it is stopped, and loses no work.
         let lost = if saves { 0 } else { ran };
-        let weight = self.room_of(key).weight() / 1_000;
-        let cost = (lost + RESTART_MS) * weight.max(1);
-        Some(if run.percent >= NEARLY_DONE { 3 * cost } else { cost })
+        let weight = self.resources_of(key).weight() / 1_000;
+        let cost = (lost + RESTART_COST_MS) * weight.max(1);
+        Some(if run.percent >= NEARLY_DONE_PERCENT { 3 * cost } else { cost })
     }
 
-    fn room_of(&self, key: task_key::TaskKey) -> resources::Resources {
+    fn resources_of(&self, key: task_key::TaskKey) -> resources::Resources {
         let step = self.jobs.get(&key.graph).and_then(|it| it.step(key));
         step.map(job::StepRecord::task_resources).unwrap_or_default()
     }
 
-    /// Whether the account of a job needs no more for its urgent work than is guaranteed to it, as of
-    /// the beginning of the turn.
+    /// Whether the urgent work of the job's account needs no more than the guarantee of the account, as
+    /// of the beginning of the round.
     pub(crate) fn is_within_guarantee(&self, graph: ids::GraphId) -> bool {
         let account = self.jobs.get(&graph).and_then(|it| it.account.as_ref());
         account.is_some_and(|it| self.within_guarantee.contains(it))
     }
 
-    /// Accounts whose urgent work needs no more than is guaranteed to them.
+    /// Accounts whose urgent work needs no more accelerators than are guaranteed to them.
     pub(crate) fn accounts_within_guarantee(&self) -> BTreeSet<ids::AccountId> {
         let mut needs = BTreeMap::<&str, u32>::new();
         let urgent = self.active_jobs().filter(|(_, it)| it.priority == URGENT_PRIORITY);
--- a/crates/graph/src/preemption_plan.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -1,4 +1,4 @@
-//! Which running work makes room for urgent work: the least that is lost.
+//! Chooses the running work to stop for urgent work, at the least cost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,36 +11,38 @@
 pub struct PreemptionVictim {
     /// The unit.
     pub unit: task_key::UnitKey,
-    /// Work that would be lost, in core-milliseconds; with what a new start costs.
+    /// Cost of stopping the unit, in core-milliseconds: the work lost and the cost of its restart.
     pub cost: u64,
-    /// Where it holds room: berth and room, one for each task.
+    /// Index of the candidate and resources used there, for each task.
     pub runs: Vec<(usize, resources::Resources)>,
 }
 
-/// What a reclaim does.
+/// The victims to stop for a unit, and its placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PreemptionPlan {
-    /// Victims by index.
+    /// Indices of the victims.
     pub victims: BTreeSet<usize>,
-    /// Berths on which the unit will run, one for each task.
+    /// Indices of the candidates on which the unit will run, one for each task.
     pub candidates: Vec<usize>,
-    /// Work that is lost, in core-milliseconds, with what the new starts cost.
+    /// Cost of stopping the victims, in core-milliseconds.
     pub cost: u64,
 }
 
-/// Chooses whom to stop for `ask`, at least cost.
+/// Returns the plan of least cost that lets the requested unit run; `None` if stopping work does not
+/// help.
 pub fn cheapest_plan(
     candidates: &[candidate::WorkerCandidate],
-    pool: &VictimSet,
+    victim_set: &VictimSet,
     request: &candidate::PlacementRequest,
 ) -> Option<PreemptionPlan> {
-    let groups = berth_groups(candidates, request);
-    let plans = groups.iter().filter_map(|it| plan_within(it, candidates, pool, request));
+    let groups = candidate_groups(candidates, request);
+    let plans = groups.iter().filter_map(|it| plan_within(it, candidates, victim_set, request));
     plans.min_by_key(|it| it.cost)
 }
 
-/// Sets of berths within one of which the unit has to lie: a rack each where that matters.
-fn berth_groups(
+/// Groups of candidates, within one of which the unit has to be placed: a group for each rack if the
+/// request is bound to a rack.
+fn candidate_groups(
     candidates: &[candidate::WorkerCandidate],
     request: &candidate::PlacementRequest,
 ) -> Vec<Vec<usize>> {
@@ -60,50 +62,52 @@
 fn plan_within(
     group: &[usize],
     candidates: &[candidate::WorkerCandidate],
-    pool: &VictimSet,
+    victim_set: &VictimSet,
     request: &candidate::PlacementRequest,
 ) -> Option<PreemptionPlan> {
-    let mut state = PlanState::new(group, candidates, pool, request);
+    let mut state = PlanState::new(group, candidates, victim_set, request);
     let mut placed = Vec::<usize>::new();
     for _ in 0..request.n_tasks {
-        placed.push(state.take_cheapest()?);
+        placed.push(state.place_cheapest()?);
     }
-    let cost = state.stopped.iter().map(|it| pool.victims[*it].cost).sum();
+    let cost = state.stopped.iter().map(|it| victim_set.victims[*it].cost).sum();
     Some(PreemptionPlan { victims: state.stopped, candidates: placed, cost })
 }
 
-/// Units that may be stopped, where each holds room, and the room of those that are stopping. Made
-/// once a turn: it goes over all that runs.
+/// The units that may be stopped, by candidate, and the resources being freed. It is built once per
+/// round, as this goes over all runs.
 #[derive(Clone, Debug, Default)]
 pub struct VictimSet {
     victims: Vec<PreemptionVictim>,
-    /// Victims with room there, the cheapest for their room last.
-    by_berth: Vec<Vec<(usize, resources::Resources)>>,
-    /// Room of tasks that are stopping already, by berth.
+    /// Index of each victim on a candidate and the resources that it frees there, the one with the
+    /// lowest cost for its resources last.
+    by_candidate: Vec<Vec<(usize, resources::Resources)>>,
+    /// Resources of tasks that are being stopped, by candidate.
     freeing: Vec<resources::Resources>,
-    /// Victims that were asked to stop since.
+    /// Indices of victims that were asked to stop since the set was built.
     stopping: BTreeSet<usize>,
 }
 
 impl VictimSet {
-    /// The victims on `n_berths` berths; `freeing` is room of tasks that are stopping already, by berth.
+    /// Indexes `victims` by candidate; `freeing` has the resources of tasks that are being stopped, by
+    /// candidate.
     pub fn new(freeing: Vec<resources::Resources>, victims: Vec<PreemptionVictim>) -> VictimSet {
-        let mut by_berth = vec![BTreeMap::<usize, resources::Resources>::new(); freeing.len()];
+        let mut by_candidate = vec![BTreeMap::<usize, resources::Resources>::new(); freeing.len()];
         for (victim, it) in victims.iter().enumerate() {
-            for (candidate, room) in &it.runs {
-                let freed = by_berth[*candidate].entry(victim).or_default();
-                *freed = freed.plus(*room);
+            for (candidate, held) in &it.runs {
+                let freed = by_candidate[*candidate].entry(victim).or_default();
+                *freed = freed.plus(*held);
             }
         }
-        let sorted = by_berth.into_iter().map(|it| {
-            let mut on_berth = it.into_iter().collect::<Vec<_>>();
-            on_berth.sort_by_key(|(victim, freed)| {
+        let sorted = by_candidate.into_iter().map(|it| {
+            let mut on_candidate = it.into_iter().collect::<Vec<_>>();
+            on_candidate.sort_by_key(|(victim, freed)| {
                 std::cmp::Reverse(victims[*victim].cost / freed.weight().max(1))
             });
-            on_berth
+            on_candidate
         });
-        let by_berth = sorted.collect();
-        VictimSet { victims, by_berth, freeing, stopping: BTreeSet::new() }
+        let by_candidate = sorted.collect();
+        VictimSet { victims, by_candidate, freeing, stopping: BTreeSet::new() }
     }
 
     /// The unit of a victim.
@@ -111,28 +115,29 @@
         self.victims[victim].unit
     }
 
-    /// A victim is being stopped: its room comes free, and it can't be stopped again.
-    pub fn stop(&mut self, victim: usize) {
+    /// Marks a victim as stopping: its resources count as being freed, and it can't be chosen again.
+    pub fn mark_stopping(&mut self, victim: usize) {
         if !self.stopping.insert(victim) {
             return;
         }
-        for (candidate, room) in &self.victims[victim].runs {
-            self.freeing[*candidate] = self.freeing[*candidate].plus(*room);
+        for (candidate, held) in &self.victims[victim].runs {
+            self.freeing[*candidate] = self.freeing[*candidate].plus(*held);
         }
     }
 }
 
-/// A plan for a group of berths, as far as it is made.
+/// A partial plan for a group of candidates.
 struct PlanState<'a> {
     candidates: &'a [candidate::WorkerCandidate],
-    pool: &'a VictimSet,
+    victim_set: &'a VictimSet,
     request: &'a candidate::PlacementRequest<'a>,
-    /// What is in use on each berth of the group, less what the plan frees and with what it takes. What is
-    /// free follows from it: a worker whose room has shrunk may have more in use than it offers.
+    /// Resources in use on each candidate of the group, without those that the plan frees, and with
+    /// those that it takes. The free resources are derived from them: on a worker whose capacity has
+    /// shrunk, more may be in use than it offers.
     used: BTreeMap<usize, resources::Resources>,
-    /// How many tasks the plan places on each berth of the group.
+    /// Number of tasks that the plan places on each candidate of the group.
     n_placed: BTreeMap<usize, u32>,
-    /// The cheapest way to run one more task on each berth of the group that can.
+    /// The cheapest way to run one more task on each candidate, where there is one.
     options: BTreeMap<usize, PlanOption>,
     stopped: BTreeSet<usize>,
 }
@@ -146,13 +151,13 @@
     fn new(
         group: &[usize],
         candidates: &'a [candidate::WorkerCandidate],
-        pool: &'a VictimSet,
+        victim_set: &'a VictimSet,
         request: &'a candidate::PlacementRequest<'a>,
     ) -> PlanState<'a> {
-        let used_on = |index: usize| candidates[index].used.minus(pool.freeing[index]);
+        let used_on = |index: usize| candidates[index].used.minus(victim_set.freeing[index]);
         let mut state = PlanState {
             candidates,
-            pool,
+            victim_set,
             request,
             used: group.iter().map(|it| (*it, used_on(*it))).collect(),
             n_placed: BTreeMap::new(),
@@ -160,22 +165,22 @@
             stopped: BTreeSet::new(),
         };
         for index in group {
-            state.renew_option(*index);
+            state.update_option(*index);
         }
         state
     }
 
-    /// Places a task where it costs least; the berth, if there is any.
-    fn take_cheapest(&mut self) -> Option<usize> {
+    /// Places a task where it costs least, and returns the index of the candidate.
+    fn place_cheapest(&mut self) -> Option<usize> {
         let cheapest = self.options.iter().min_by_key(|(index, it)| (it.cost, **index));
         let index = cheapest.map(|(index, _)| *index)?;
         let option = self.options.remove(&index)?;
         let mut changed = BTreeSet::from([index]);
         for victim in option.victims {
             self.stopped.insert(victim);
-            for (candidate, room) in &self.pool.victims[victim].runs {
+            for (candidate, held) in &self.victim_set.victims[victim].runs {
                 if let Some(used) = self.used.get_mut(candidate) {
-                    *used = used.minus(*room);
+                    *used = used.minus(*held);
                     changed.insert(*candidate);
                 }
             }
@@ -184,41 +189,44 @@
             *used = used.plus(self.request.per_task);
         }
         *self.n_placed.entry(index).or_default() += 1;
-        changed.into_iter().for_each(|it| self.renew_option(it));
+        changed.into_iter().for_each(|it| self.update_option(it));
         Some(index)
     }
 
-    fn renew_option(&mut self, index: usize) {
+    fn update_option(&mut self, index: usize) {
         match self.option_on(index) {
             Some(option) => self.options.insert(index, option),
             None => self.options.remove(&index),
         };
     }
 
-    /// The cheapest way to run one more task there, if there is any.
+    /// The cheapest way to run one more task on a candidate.
     fn option_on(&self, index: usize) -> Option<PlanOption> {
         let candidate = &self.candidates[index];
-        // The limit per worker has to hold with the tasks of this plan, whose room is taken here.
+        // Compares the limit of an empty worker with the tasks of this plan, whose resources are taken
+        // into account below.
         let limit = self.request.count_on(index, candidate, candidate.place.capacity);
         if limit <= self.n_placed.get(&index).copied().unwrap_or_default() {
             return None;
         }
         let mut used = self.used.get(&index).copied()?;
         let mut option = PlanOption { cost: 0, victims: Vec::new() };
-        let is_there = |it: &&(usize, resources::Resources)| {
-            !self.stopped.contains(&it.0) && !self.pool.stopping.contains(&it.0)
+        let is_available = |it: &&(usize, resources::Resources)| {
+            !self.stopped.contains(&it.0) && !self.victim_set.stopping.contains(&it.0)
         };
-        let mut on_berth = self.pool.by_berth[index].iter().rev().filter(is_there);
+        let mut on_candidate =
+            self.victim_set.by_candidate[index].iter().rev().filter(is_available);
         while !self.fits(index, used) {
-            let (victim, freed) = on_berth.next()?;
+            let (victim, freed) = on_candidate.next()?;
             used = used.minus(*freed);
-            option.cost += self.pool.victims[*victim].cost;
+            option.cost += self.victim_set.victims[*victim].cost;
             option.victims.push(*victim);
         }
         Some(option)
     }
 
-    /// Whether one more task fits on a berth with that much in use. One that runs apart needs it empty.
+    /// Whether one more task fits on a candidate with `used` in use. An isolated run needs an empty
+    /// worker.
     fn fits(&self, index: usize, used: resources::Resources) -> bool {
         let candidate = &self.candidates[index];
         let free = candidate.place.capacity.minus(used);
--- a/crates/graph/src/resources.rs
+++ b/crates/graph/src/resources.rs
@@ -1,9 +1,9 @@
-//! What a worker offers and a task needs.
+//! Resources that a worker offers and a task needs.
 
 use almondpass_schema::model;
 
-/// Processor time counted for one accelerator when work is weighed, in thousandths of a core: the
-/// users price an accelerator like eight cores.
+/// Weight of one accelerator when amounts of work are compared, in thousandths of a core: the users
+/// price an accelerator like eight cores.
 const ACCELERATOR_WEIGHT: u64 = 8_000;
 
 /// Amounts of the three resources of a worker.
@@ -13,12 +13,12 @@
     pub cpu_milli: u32,
     /// Megabytes.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of whole accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// What each task of `step` needs.
+    /// Resources that each task of `step` needs.
     pub fn of_step(step: &model::GraphStep) -> Resources {
         Resources {
             cpu_milli: step.cpu_milli,
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Whether this much is available in `free`.
+    /// Whether `free` holds at least this much of each resource.
     pub fn fits_in(self, free: Resources) -> bool {
         self.cpu_milli <= free.cpu_milli
             && self.memory_mb <= free.memory_mb
             && self.accelerators <= free.accelerators
     }
 
-    /// How many times this fits in `free`.
+    /// How many times this fits in `free`; `u32::MAX` if nothing is needed.
     pub fn count_in(self, free: Resources) -> u32 {
         let times = |needed: u32, available: u32| available.checked_div(needed).unwrap_or(u32::MAX);
         times(self.cpu_milli, free.cpu_milli)
@@ -42,7 +42,7 @@
             .min(times(self.accelerators, free.accelerators))
     }
 
-    /// The sum.
+    /// The sum of each resource, saturating.
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The difference, at least zero in each resource.
+    /// The difference of each resource, at least zero.
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// One figure for comparing amounts of work, in thousandths of a core.
+    /// A single figure to compare amounts of work, in thousandths of a core. Memory does not count.
     pub fn weight(self) -> u64 {
         u64::from(self.cpu_milli) + ACCELERATOR_WEIGHT * u64::from(self.accelerators)
     }
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that turn slow, and urgent work on them.
+//! Detection of slow workers, and moves of urgent tasks off them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,32 +11,32 @@
 use crate::preemption;
 use crate::task_key;
 
-/// A worker whose tasks are slow gets no new ones for this long behind the last sign; then the
-/// next ones show whether it still is.
+/// A slow worker gets no new tasks for this long after the last slow reading; the next tasks then show
+/// whether it is still slow.
 const SLOW_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// An urgent unit moves off a slow worker only within this time of its start. Later it would be
-/// late in either place, and the slowness passes.
-const MOVES_WITHIN: Duration = Duration::from_millis(1_800);
+/// An urgent unit moves off a slow worker only within this time after its start. A later move would not
+/// end sooner, as workers are slow for a limited time.
+const MAX_AGE_TO_MOVE: Duration = Duration::from_millis(1_800);
 
-/// Attempts after which an urgent unit stays where it is.
-const MOST_MOVES: u32 = 3;
+/// Number of attempts after which an urgent unit is not moved any more.
+const MAX_ATTEMPTS_TO_MOVE: u32 = 3;
 
-/// Siblings whose median pace is believed.
-const N_SIBLINGS: usize = 2;
+/// Minimum number of siblings with a known pace for their median to be used.
+const MIN_SIBLINGS: usize = 2;
 
 impl core::PoolCore {
-    /// Judges a worker by the pace of what runs there.
+    /// Marks a worker as slow, or not, by the pace of the tasks on it.
     pub(crate) fn detect_slow_worker(&mut self, worker: &ids::WorkerId, now: Duration) {
         let Some(record) = self.workers.get(worker) else { return };
         let verdicts = record.runs.iter().map(|it| self.pace_of(*it)).collect::<Vec<_>>();
-        // One task at its usual pace clears the worker: a gang is as slow as its slowest member,
-        // wherever that is.
+        // One task at its usual pace is proof that the worker is not slow. A slow task is none that it
+        // is: a gang is as slow as its slowest member, on whichever worker that runs.
         let is_slow = verdicts.contains(&pace::PaceVerdict::Slow)
             && !verdicts.contains(&pace::PaceVerdict::Normal);
-        let is_spare = is_slow && self.can_exclude(worker, |it| now < it.slow_until);
+        let can_mark_slow = is_slow && self.can_exclude(worker, |it| now < it.slow_until);
         let Some(record) = self.workers.get_mut(worker) else { return };
-        if is_spare {
+        if can_mark_slow {
             if now >= record.slow_until {
                 tracing::info!(worker, n_runs = verdicts.len(), "worker is slow");
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Stops urgent units that progress far too slowly, so that they start elsewhere.
+    /// Stops urgent tasks whose pace is far too low, so that they start on other workers.
     pub(crate) fn move_urgent_off_slow_workers(&mut self, now: Duration) {
         let keys = self.workers.values().flat_map(|it| it.runs.iter().copied());
         let moving = keys.filter(|it| self.should_move(*it, now)).collect::<BTreeSet<_>>();
@@ -66,14 +66,17 @@
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let Some(run) = self.task_run(key) else { return false };
         let is_running = matches!(run.phase, job::RunPhase::Running { .. });
-        if job.priority != preemption::URGENT_PRIORITY || !is_running || run.attempt >= MOST_MOVES {
+        if job.priority != preemption::URGENT_PRIORITY
+            || !is_running
+            || run.attempt >= MAX_ATTEMPTS_TO_MOVE
+        {
             return false;
         }
-        let is_young = now <= run.since + MOVES_WITHIN;
+        let is_recent = now <= run.since + MAX_AGE_TO_MOVE;
         let is_slow = self.pace_of(key) == pace::PaceVerdict::Slow;
         let mean = self.run_times.mean(&job.class);
-        let anew = self.timing.stop_timeout + mean + mean / 4;
-        is_young && is_slow && run.pace.time_left().is_some_and(|it| it > anew)
+        let restart_time = self.timing.stop_timeout + mean + mean / 4;
+        is_recent && is_slow && run.pace.time_left().is_some_and(|it| it > restart_time)
     }
 
     fn pace_of(&self, key: task_key::TaskKey) -> pace::PaceVerdict {
@@ -84,12 +87,12 @@
         let by_class = pace::UsualPace { siblings: None, class: self.class_pace(key) };
         match run.pace.verdict(by_class) {
             pace::PaceVerdict::Normal => pace::PaceVerdict::Normal,
-            // The siblings tell more, and cost more to look at.
-            unsure => match self.sibling_pace(key) {
+            // The pace of siblings is the better measure, but costs more to compute.
+            verdict => match self.sibling_pace(key) {
                 Some(siblings) => {
                     run.pace.verdict(pace::UsualPace { siblings: Some(siblings), ..by_class })
                 }
-                None => unsure,
+                None => verdict,
             },
         }
     }
@@ -101,7 +104,7 @@
         Some(100.0 / mean.as_secs_f64().max(0.001))
     }
 
-    /// How many times as long a run takes where it is.
+    /// Factor by which a run takes longer where it is: above 1 if it is away from its data.
     pub(crate) fn remote_run_time_factor(&self, key: task_key::TaskKey) -> f64 {
         let is_remote = self.task_run(key).is_some_and(|it| it.is_remote);
         if is_remote { self.timing.remote_factor } else { 1.0 }
@@ -114,6 +117,6 @@
         let runs = others.filter_map(|(_, it)| it.run.as_ref());
         let mut paces = runs.filter_map(|it| it.pace.latest()).collect::<Vec<_>>();
         paces.sort_by(f64::total_cmp);
-        (paces.len() >= N_SIBLINGS).then(|| paces[paces.len() / 2])
+        (paces.len() >= MIN_SIBLINGS).then(|| paces[paces.len() / 2])
     }
 }
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -1,9 +1,10 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! Ends are numbered from 1 in each life of a worker, its clock starts anew, and it has seen no token.
-//! What is kept of one life and used for the next does harm in silence: ends are passed over as known
-//! and acknowledged unseen, so that work that is done runs again; leases are reckoned by a clock that
-//! is gone. So whatever is kept belongs to a life, and goes with it.
+//! In each incarnation a worker numbers the ends of tasks from 1, its clock starts again, and it has
+//! received no fencing token. State of one incarnation that was used for the next would cause silent
+//! faults: ends would be skipped as known and acknowledged unread, so that completed work runs again,
+//! and leases would be computed by a clock that no longer exists. So all state kept of a worker belongs
+//! to one incarnation and is dropped with it.
 
 use std::time::Duration;
 
@@ -16,33 +17,35 @@
 use crate::pace;
 use crate::worker;
 
-/// In which life a worker has answered.
+/// The incarnation of a worker that gave an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerIncarnation {
-    /// In the one that is known.
+    /// The recorded incarnation.
     Known,
-    /// In one that is over; the answer was overtaken by one of the known life.
+    /// An earlier incarnation; an answer of the recorded one has overtaken this answer.
     Earlier,
-    /// In a later one.
+    /// A later incarnation, which is not recorded yet.
     Later,
 }
 
 impl worker::WorkerRecord {
-    /// In which life the worker gave an answer to a look sent at `sent_at`.
+    /// Determines which incarnation of the worker answered a poll sent at `sent_at`.
     pub(crate) fn incarnation_of_answer(
         &self,
         listed: &order::PollReply,
         sent_at: Duration,
     ) -> AnswerIncarnation {
-        let (Some(told), Some(known)) = (listed.incarnation, self.incarnation) else {
-            // Where lives are not told apart, the clock tells: within one it never falls behind.
-            let is_behind = self.clock.shows_reset(listed.clock_ms, sent_at);
-            return if is_behind { AnswerIncarnation::Later } else { AnswerIncarnation::Known };
+        let (Some(reported), Some(known)) = (listed.incarnation, self.incarnation) else {
+            // If the platform reports no incarnations, the clock decides: within one incarnation it
+            // never goes back.
+            let is_reset = self.clock.shows_reset(listed.clock_ms, sent_at);
+            return if is_reset { AnswerIncarnation::Later } else { AnswerIncarnation::Known };
         };
-        if told == known {
+        if reported == known {
             return AnswerIncarnation::Known;
         }
-        // Not by which number is higher: the clock of the day may be set back between two lives.
+        // The numbers of incarnations are not compared: the wall clock they are taken from may be set
+        // back.
         if sent_at < self.incarnation_since {
             AnswerIncarnation::Earlier
         } else {
@@ -50,22 +53,22 @@
         }
     }
 
-    /// Whether the list speaks of the life that answers. A later one may be of another kind and size,
-    /// so that until its own entry is read no task is known to fit there. An entry that tells no life,
-    /// of a worker that does, is not the worker's own.
+    /// Whether the worker list describes the incarnation that answers. A later incarnation may be of
+    /// another type and size, so no task is known to fit until its own entry is read. An entry without
+    /// an incarnation, for a worker that reports one, was not written by that worker.
     pub(crate) fn is_listed_incarnation(&self) -> bool {
         self.incarnation.is_none() || self.entry.incarnation == self.incarnation
     }
 
-    /// The record of a later life, of which nothing is known but the list's entry. The runs stay until
-    /// it is settled for each that it does not take effect in the later life.
-    fn renewed(
+    /// The record of a later incarnation, with nothing but the entry in the worker list and the runs.
+    /// Each run stays until it is certain not to take effect in the later incarnation.
+    fn of_later_incarnation(
         &mut self,
         generation: u32,
         incarnation: Option<ids::Incarnation>,
         now: Duration,
     ) -> Self {
-        let is_of_entry = self.entry.incarnation == incarnation;
+        let has_own_entry = self.entry.incarnation == incarnation;
         worker::WorkerRecord {
             entry: std::mem::take(&mut self.entry),
             place: std::mem::take(&mut self.place),
@@ -73,7 +76,7 @@
             listed: self.listed,
             entry_current_at: self.entry_current_at,
             entry_read_at: self.entry_read_at,
-            leaves_at: self.leaves_at.filter(|_| is_of_entry),
+            leaves_at: self.leaves_at.filter(|_| has_own_entry),
             incarnation,
             incarnation_since: now,
             runs: std::mem::take(&mut self.runs),
@@ -85,7 +88,7 @@
 }
 
 impl core::PoolCore {
-    /// Forgets what belonged to the former life of a worker that answers in a later one.
+    /// Drops the state of the earlier incarnation of a worker that answers in a later one.
     pub(crate) fn worker_restarted(
         &mut self,
         worker: &ids::WorkerId,
@@ -106,18 +109,18 @@
             "worker has started again"
         );
         self.newest_generation += 1;
-        *record = record.renewed(self.newest_generation, listed.incarnation, now);
+        *record = record.of_later_incarnation(self.newest_generation, listed.incarnation, now);
         self.n_restarts += 1;
-        self.carry_runs_over(worker, now);
-        // With a higher token: from its answer on, nothing that was sent to the former life takes
-        // effect in this one.
+        self.carry_over_runs(worker, now);
+        // The poll carries a higher fencing token: once it is answered, the later incarnation refuses
+        // all that was sent to the earlier one.
         self.order_poll(worker);
     }
 
-    /// Readies the runs of a worker for its later life. A start may have reached that before any look
-    /// did, or may yet: a stop that the former life has answered bars nothing there. And progress counts
-    /// by the clock of the later life.
-    fn carry_runs_over(&mut self, worker: &ids::WorkerId, now: Duration) {
+    /// Prepares the runs of a worker for its later incarnation. A start may reach that incarnation
+    /// before or after the first poll does, so a stop that the earlier incarnation answered is sent
+    /// again. Progress is measured by the clock of the later incarnation.
+    fn carry_over_runs(&mut self, worker: &ids::WorkerId, now: Duration) {
         let Some(record) = self.workers.get(worker) else { return };
         for key in record.runs.clone() {
             let task = self.jobs.get_mut(&key.graph).and_then(|it| it.task_mut(key));
@@ -133,14 +136,14 @@
         }
     }
 
-    /// Workers found to have started again since the last call, for metrics.
+    /// Number of workers found to have restarted since the last call, for metrics.
     pub fn take_n_restarts(&mut self) -> u64 {
         std::mem::take(&mut self.n_restarts)
     }
 
-    /// Whether an order was given to a life of its worker that is over, or a start has waited for half of
-    /// its term; the other half is left for its way. It must not leave any more: a later life would carry
-    /// it out, while its task may run elsewhere.
+    /// Whether an order was given to an incarnation that has ended, or a start has waited for half of
+    /// its term, as the other half is reserved for its delivery. Such an order must not be sent: a later
+    /// incarnation would carry it out, while its task may run elsewhere.
     pub fn is_outdated(&self, order: &order::PoolOrder, now: Duration) -> bool {
         let (worker, generation) = match order {
             order::PoolOrder::Start(start)
@@ -155,7 +158,7 @@
         !self.is_current_generation(worker, generation)
     }
 
-    /// Whether the worker is in that life of it.
+    /// Whether `generation` is the number of the recorded incarnation.
     pub(crate) fn is_current_generation(&self, worker: &ids::WorkerId, generation: u32) -> bool {
         self.workers.get(worker).is_some_and(|it| it.generation == generation)
     }
