--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -136,7 +136,7 @@
         let until = now + self.timing.stop_timeout + CLAIM_MARGIN;
         for (index, room) in plan.candidates.into_iter().zip(kept_resources) {
             candidates[index].claims.push((unit, room));
-            if let Some(record) = self.workers.get_mut(&candidates[index].place.worker) {
+            if let Some(record) = self.workers.get_mut(&candidates[index].profile.worker) {
                 record.claims.push(worker::ResourceClaim { unit, room, until });
             }
         }
@@ -168,7 +168,7 @@
         candidates: &[candidate::WorkerCandidate],
     ) -> Vec<resources::Resources> {
         let on_candidate = |it: &candidate::WorkerCandidate| {
-            let runs = self.workers.get(&it.place.worker).map(|it| &it.runs);
+            let runs = self.workers.get(&it.profile.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
                 .flatten()
@@ -188,7 +188,7 @@
     ) -> preemption_plan::VictimSet {
         let mut victims = BTreeMap::<task_key::UnitKey, preemption_plan::PreemptionVictim>::new();
         for (index, candidate) in candidates.iter().enumerate() {
-            let Some(record) = self.workers.get(&candidate.place.worker) else { continue };
+            let Some(record) = self.workers.get(&candidate.profile.worker) else { continue };
             for key in &record.runs {
                 let Some(job) = self.jobs.get(&key.graph) else { continue };
                 let is_urgent = job.priority == URGENT_PRIORITY;
@@ -220,7 +220,7 @@
             return None;
         }
         let saves = self.jobs.get(&key.graph)?.step(key)?.spec.saves;
-        let ran = now.saturating_sub(run.since).as_millis() as u64;
+        let ran = now.saturating_sub(run.tracked_since).as_millis() as u64;
         // A task that saves checkpoints saves one when it is stopped, and loses no work.
         let lost = if saves { 0 } else { ran };
         let weight = self.resources_of(key).weight() / 1_000;
--- a/crates/graph/src/preemption_plan.rs
+++ b/crates/graph/src/preemption_plan.rs
@@ -205,7 +205,7 @@
         let candidate = &self.candidates[index];
         // Compares the limit of an empty worker with the tasks of this plan, whose resources are taken
         // into account below.
-        let limit = self.request.count_on(index, candidate, candidate.place.capacity);
+        let limit = self.request.count_on(index, candidate, candidate.profile.capacity);
         if limit <= self.n_placed.get(&index).copied().unwrap_or_default() {
             return None;
         }
@@ -229,7 +229,7 @@
     /// worker.
     fn fits(&self, index: usize, used: resources::Resources) -> bool {
         let candidate = &self.candidates[index];
-        let free = candidate.place.capacity.minus(used);
+        let free = candidate.profile.capacity.minus(used);
         let n_placed = self.n_placed.get(&index).copied().unwrap_or_default();
         let is_empty = n_placed > 0 || used == resources::Resources::default();
         let left = candidate.available_to(self.request.unit, free);
--- a/crates/graph/src/reservation.rs
+++ b/crates/graph/src/reservation.rs
@@ -44,7 +44,7 @@
 
     fn n_if_empty(&self, index: usize) -> u32 {
         let it = &self.candidates[index];
-        self.request.count_on(index, it, it.place.capacity)
+        self.request.count_on(index, it, it.profile.capacity)
     }
 
     /// The candidates among which the unit has to be placed.
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -72,7 +72,7 @@
         {
             return false;
         }
-        let is_recent = now <= run.since + MAX_AGE_TO_MOVE;
+        let is_recent = now <= run.tracked_since + MAX_AGE_TO_MOVE;
         let is_slow = self.pace_of(key) == pace::PaceVerdict::Slow;
         let mean = self.run_times.mean(&job.class);
         let restart_time = self.timing.stop_timeout + mean + mean / 4;
