--- a/crates/graph/tests/pool/reservations.rs
+++ b/crates/graph/tests/pool/reservations.rs
@@ -1,14 +1,14 @@
-//! Room that gathers for units that wait.
+//! Free capacity that is reserved for waiting units.
 
 use almondpass_graph::order;
 use almondpass_schema::model;
 
 use crate::support;
 
-/// Small tasks of a class below don't start on the worker that a gang waits for, and the gang starts
+/// Small tasks of a less urgent class don't start on the worker that a gang waits for. The gang starts
 /// once the other worker is free as well.
 #[test]
-fn room_gathers_for_a_gang() {
+fn free_workers_are_reserved_for_a_gang() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::whole_workers(1)));
     let first = bench.run_round_and_start();
@@ -23,10 +23,10 @@
     assert_eq!(starts.iter().map(|it| it.task.graph).collect::<Vec<_>>(), [2, 2]);
 }
 
-/// Of the workers that could hold it, a unit reserves the one that lacks least; the room of the others
-/// stays open to the classes below.
+/// Of the workers that could hold a unit, the unit reserves the one that lacks the least; less urgent
+/// classes may use the others.
 #[test]
-fn other_room_stays_open() {
+fn workers_without_a_reservation_stay_available() {
     let mut bench = support::PoolBench::new(3);
     for (graph, accelerators) in [(1, 8), (2, 6), (3, 4)] {
         let step = model::GraphStep { accelerators, ..support::tasks(1) };
@@ -39,9 +39,9 @@
     assert_eq!(starts.iter().map(|it| it.task.graph).collect::<Vec<_>>(), [5, 5]);
 }
 
-/// A unit that no rack could ever hold reserves nothing.
+/// A unit that fits into no rack, even an empty one, reserves nothing.
 #[test]
-fn what_could_never_fit_reserves_nothing() {
+fn a_unit_that_can_never_fit_reserves_nothing() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::gang(support::whole_workers(3))));
     bench.admit(2, support::job(2, support::tasks(4)));
@@ -49,12 +49,12 @@
     assert_eq!(starts.iter().map(|it| it.task.graph).collect::<Vec<_>>(), [2; 4]);
 }
 
-/// Symptom: tasks ran away from their data, for three times as long, and ended later than those that
-/// had waited. Sequence: all workers of the rack are busy; the task waits for the mean run time of
-/// its class and starts in another rack. Cause: the wait did not go by what the other place costs,
-/// two more run times. One of 5 s, which is assumed of unknown classes, waits for 10 s.
+/// Failure: tasks ran away from their data, took three times as long, and completed later than those
+/// that had waited. All workers of the rack are busy; the task waited for the mean run time of its class
+/// and started in another rack. The wait did not depend on the cost of a remote run, two more run times.
+/// So a task of 5 s, as assumed for unknown classes, waits for 10 s.
 #[test]
-fn a_task_waits_for_its_rack_as_long_as_another_place_costs() {
+fn a_task_waits_for_its_rack_as_long_as_a_remote_run_would_cost() {
     let mut bench = support::PoolBench::new(16);
     let near = |n| model::GraphStep { rack: Some("r0".to_owned()), ..support::whole_workers(n) };
     bench.admit(1, support::job(1, near(8)));
@@ -75,11 +75,11 @@
     assert_eq!(n_waits, 20);
 }
 
-/// Symptom: on heavy days jobs of the least urgent class lay for 50 s with one task left to run.
-/// Sequence: one gang after the other reserves what comes free. Cause: what is reserved was kept from
-/// the classes below without end. Now it is for the slack of a job, 10 s where its class is unknown.
+/// Failure: on days of high load jobs of the least urgent class waited for 50 s with one task left to
+/// run. One gang after the other reserves what comes free, and reservations held against less urgent
+/// classes without a time limit. The limit is the slack of the waiting job, 10 s for an unknown class.
 #[test]
-fn reserved_room_is_not_kept_from_others_for_ever() {
+fn a_reservation_yields_to_a_job_that_waited_for_its_slack() {
     let mut bench = support::PoolBench::new(2);
     bench.core.set_wall_time(bench.now);
     bench.admit(1, support::job(1, support::whole_workers(1)));
--- a/crates/graph/tests/pool/slowness.rs
+++ b/crates/graph/tests/pool/slowness.rs
@@ -7,11 +7,10 @@
 
 use crate::support;
 
-/// Symptom: gangs were stopped as hanging and started again from nothing. Sequence: one member is
-/// on a slow worker; the others have done their share and wait at 100 percent.
-/// Cause: progress that can't go on was taken for progress that stands still.
+/// Failure: gangs were stopped as stalled and lost all their work. One member is on a slow worker, while
+/// the others have completed their share and wait at 100 percent. The wait was taken for a stall.
 #[test]
-fn a_member_that_waits_for_its_gang_does_not_hang() {
+fn a_member_that_waits_for_its_gang_is_not_stalled() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::gang(support::whole_workers(2))));
     let starts = bench.run_round_and_start();
@@ -29,7 +28,7 @@
 }
 
 #[test]
-fn a_task_that_stands_still_is_stopped() {
+fn a_stalled_task_is_stopped() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
@@ -43,21 +42,21 @@
     assert_eq!(n_stops, 1);
 }
 
-/// Symptom: a task that works for ten minutes was stopped as hanging every three seconds, and never
-/// ended. Sequence: it takes six seconds for one percent, and its worker lists whole percent. Cause:
-/// progress was expected as often as of tasks that take seconds.
+/// Failure: a task of ten minutes was stopped as stalled every three seconds, and never completed. It
+/// takes six seconds for one percent, and its worker lists whole percent. Progress was expected as often
+/// as of tasks that take seconds.
 #[test]
 fn a_long_task_is_not_stopped() {
     check_long_task(600_000);
 }
 
-/// The estimates of callers are far off.
+/// Estimates of callers may be far too short.
 #[test]
-fn a_long_task_with_a_short_estimate_ends() {
+fn a_long_task_with_a_short_estimate_completes() {
     check_long_task(1_000);
 }
 
-/// A task of ten minutes, listed every second, with an estimate in milliseconds.
+/// Runs a task of ten minutes, polled every second, with an estimate of its run time in milliseconds.
 fn check_long_task(estimate_ms: u32) {
     let mut bench = support::PoolBench::new(1);
     let step = model::GraphStep { estimate_ms, ..support::tasks(1) };
@@ -91,12 +90,11 @@
     panic!("stopped {n_ends} times");
 }
 
-/// Symptom: after a takeover sound workers were taken for slow ones, and urgent work stopped far
-/// more than it was worth. Sequence: a scheduler takes over; tasks that it finds end a moment
-/// later. Cause: their run times were counted from when they were found, so that the usual run
-/// time of their class seemed a tenth of what it is.
+/// Failure: after a takeover normal workers were marked slow, and far too much urgent work was stopped.
+/// Tasks that the new scheduler finds end a moment later. Their run times were counted from when they
+/// were found, so the mean run time of their class came out at a tenth of its value.
 #[test]
-fn runs_found_at_a_takeover_do_not_tell_how_long_their_class_takes() {
+fn runs_found_at_a_takeover_do_not_count_for_the_mean_run_time() {
     let mut bench = support::PoolBench::with_unanswered_workers(2, Duration::ZERO);
     bench.inherit(1, support::job(1, support::tasks(8)), None);
     let found = |task| order::StartOrder {
@@ -119,10 +117,10 @@
     assert_eq!(bench.core.usual_run_time("class-1"), None);
 }
 
-/// Symptom: urgent gangs were stopped on sound workers. Sequence: a busy scheduler takes an answer
-/// in a second after the worker gave it. Cause: the pace was reckoned by the scheduler's clock.
+/// Failure: urgent gangs were stopped on normal workers. A busy scheduler processes an answer a second
+/// after the worker gave it. The pace was computed by the scheduler's clock.
 #[test]
-fn an_answer_that_is_taken_in_late_makes_no_worker_slow() {
+fn an_answer_that_is_processed_late_marks_no_worker_slow() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(0, support::whole_workers(4)));
     let starts = bench.run_round_and_start();
@@ -135,7 +133,8 @@
             bench.answer_poll(support::index_of(&start.worker), &[run], &[]);
         }
     }
-    // What the first worker said half a second after the start comes with what the others say now.
+    // The first worker's answer of half a second after the start is processed after later answers of the
+    // others.
     let listed = order::PollReply {
         incarnation: None,
         clock_ms: (asked + Duration::from_millis(500)).as_millis() as u64,
@@ -148,11 +147,11 @@
     assert_eq!(support::stops(&bench.run_round()), []);
 }
 
-/// Symptom: urgent gangs were stopped on sound workers. Sequence: the last member of a gang starts
-/// late; a worker is looked at just after that, the others later. Cause: the time in which the gang
-/// could not work yet was counted as work, for one member more than for the others.
+/// Failure: urgent gangs were stopped on normal workers. The last member of a gang starts late, and one
+/// worker is polled right after that, the others later. The time in which the gang could not work yet
+/// was counted as work, more of it for one member than for the others.
 #[test]
-fn a_gang_that_began_late_makes_no_worker_slow() {
+fn a_gang_that_starts_late_marks_no_worker_slow() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(0, support::gang(support::whole_workers(4))));
     let starts = support::starts(&bench.run_round());
@@ -162,9 +161,9 @@
     }
     bench.advance(800);
     bench.confirm_start(&starts[0]);
-    // It works from then on, for 2.5 s in all.
-    let looks = [(0, 1_300, 20), (1, 1_400, 24), (2, 1_400, 24), (3, 1_400, 24)];
-    for (member, millis, percent) in looks {
+    // The gang works from now on, and takes 2.5 s.
+    let answers = [(0, 1_300, 20), (1, 1_400, 24), (2, 1_400, 24), (3, 1_400, 24)];
+    for (member, millis, percent) in answers {
         bench.now = asked + Duration::from_millis(millis);
         let start = &starts[member];
         let run = support::listed_run(start, percent);
@@ -173,7 +172,7 @@
     assert_eq!(support::stops(&bench.run_round()), []);
 }
 
-/// Readings of a run in milliseconds and percent, and what they say of its worker.
+/// Checks the verdict for readings of one run, each in milliseconds and percent.
 fn check_pace(readings: &[(u64, u32)], usual: pace::UsualPace, expected: pace::PaceVerdict) {
     let mut run = pace::RunPace::new(Duration::ZERO, 0);
     for (millis, percent) in readings {
@@ -191,28 +190,28 @@
     };
 }
 
-const NOTHING: pace::UsualPace = pace::UsualPace { siblings: None, class: None };
-/// Of tasks that take 2.5 s.
-const CLASS: pace::UsualPace = pace::UsualPace { siblings: None, class: Some(40.0) };
-/// Of tasks that take ten minutes.
-const LONG_CLASS: pace::UsualPace = pace::UsualPace { siblings: None, class: Some(1.0 / 6.0) };
-const SIBLINGS: pace::UsualPace = pace::UsualPace { siblings: Some(40.0), class: Some(40.0) };
+const NO_USUAL_PACE: pace::UsualPace = pace::UsualPace { siblings: None, class: None };
+/// A class of tasks that take 2.5 s.
+const CLASS_PACE: pace::UsualPace = pace::UsualPace { siblings: None, class: Some(40.0) };
+/// A class of tasks that take ten minutes.
+const LONG_CLASS_PACE: pace::UsualPace = pace::UsualPace { siblings: None, class: Some(1.0 / 6.0) };
+const SIBLING_PACE: pace::UsualPace = pace::UsualPace { siblings: Some(40.0), class: Some(40.0) };
 
 paces! {
-    nothing_is_said_before_a_reading: [(100, 4)], CLASS => Unknown;
-    a_run_at_the_pace_of_its_class: [(500, 20)], CLASS => Normal;
-    the_longest_urgent_task_is_not_slow: [(500, 6), (1_000, 12)], CLASS => Unknown;
-    a_run_at_a_fifth_of_the_pace: [(500, 4), (1_000, 8)], CLASS => Slow;
-    a_run_that_has_lost_its_own_pace: [(1_000, 40), (2_000, 48)], NOTHING => Slow;
-    a_member_that_falls_behind_its_gang: [(500, 7)], SIBLINGS => Slow;
-    a_member_on_the_slower_kind_of_worker: [(500, 15)], SIBLINGS => Normal;
-    /// A task that resumes stands still until its checkpoint is restored.
-    a_run_that_restores_its_checkpoint: [(500, 0), (800, 0)], CLASS => Unknown;
-    /// Whole percent come every six seconds, and a look every second.
+    unknown_before_the_first_reading: [(100, 4)], CLASS_PACE => Unknown;
+    a_run_at_the_pace_of_its_class: [(500, 20)], CLASS_PACE => Normal;
+    the_longest_urgent_task_is_not_slow: [(500, 6), (1_000, 12)], CLASS_PACE => Unknown;
+    a_run_at_a_fifth_of_the_pace: [(500, 4), (1_000, 8)], CLASS_PACE => Slow;
+    a_run_far_below_its_own_best_pace: [(1_000, 40), (2_000, 48)], NO_USUAL_PACE => Slow;
+    a_member_that_falls_behind_its_gang: [(500, 7)], SIBLING_PACE => Slow;
+    a_member_on_the_slower_type_of_worker: [(500, 15)], SIBLING_PACE => Normal;
+    /// A task that resumes makes no progress until its checkpoint is restored.
+    a_run_that_restores_its_checkpoint: [(500, 0), (800, 0)], CLASS_PACE => Unknown;
+    /// A percent is gained every six seconds, and the worker is polled every second.
     a_run_of_ten_minutes_between_two_percent:
-        [(1_000, 0), (7_000, 1), (8_000, 1), (9_000, 1)], LONG_CLASS => Unknown;
-    a_run_of_ten_minutes: [(6_000, 1), (60_000, 10)], LONG_CLASS => Normal;
-    nothing_is_said_before_the_first_percent_of_an_unknown_class: [(1_000, 0), (2_000, 0)], NOTHING => Unknown;
-    /// A member that has done its share waits at 100 percent.
-    a_member_that_waits: [(500, 30), (1_000, 100), (1_500, 100)], CLASS => Normal;
+        [(1_000, 0), (7_000, 1), (8_000, 1), (9_000, 1)], LONG_CLASS_PACE => Unknown;
+    a_run_of_ten_minutes: [(6_000, 1), (60_000, 10)], LONG_CLASS_PACE => Normal;
+    unknown_before_the_first_percent_of_an_unknown_class: [(1_000, 0), (2_000, 0)], NO_USUAL_PACE => Unknown;
+    /// A member of a gang that has completed its share waits at 100 percent.
+    a_member_that_waits: [(500, 30), (1_000, 100), (1_500, 100)], CLASS_PACE => Normal;
 }
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -1,4 +1,4 @@
-//! Tasks under which workers are lost: what is held against them, and what is not.
+//! Losses of workers, and which tasks are suspected of crashing them.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::support;
 
-/// The only task of a job.
+/// The key of the only task of a job.
 fn first_task(graph: u64) -> task_key::TaskKey {
     task_key::TaskKey { graph, occurrence: 0, step: 0, task: 0 }
 }
 
-/// Another worker answers at the address of a worker, and the list has it.
-fn replace(bench: &mut support::PoolBench, index: usize) {
+/// Replaces a worker: another worker answers at its address, and has an entry in the worker list.
+fn replace_worker(bench: &mut support::PoolBench, index: usize) {
     let address = support::worker_entry(index).address;
     bench.core.worker_replaced(&support::worker_id(index), &address, bench.now);
     bench.core.update_worker(support::worker_id(index), support::worker_entry(index), bench.now);
@@ -25,16 +25,21 @@
     bench.core.summary().n_suspects
 }
 
-/// Turns, saves and turns again, as a suspect starts once that is on record. All starts succeed.
-fn turn_on_record(bench: &mut support::PoolBench) -> Vec<order::StartOrder> {
+/// Runs a round, saves, and runs another round, as a suspect starts only once its start is saved. All
+/// starts succeed.
+fn run_rounds_with_save(bench: &mut support::PoolBench) -> Vec<order::StartOrder> {
     let mut starts = bench.run_round_and_start();
     bench.save();
     starts.extend(bench.run_round_and_start());
     starts
 }
 
-/// Lets the workers of a pool answer that run what was started, and pass for a while.
-fn pass_with(bench: &mut support::PoolBench, starts: &[order::StartOrder], n_workers: usize) {
+/// Advances the time by 100 ms, and lets all workers list the runs that were started on them.
+fn answer_with_runs(
+    bench: &mut support::PoolBench,
+    starts: &[order::StartOrder],
+    n_workers: usize,
+) {
     bench.advance(100);
     for index in 0..n_workers {
         let here = starts.iter().filter(|it| support::index_of(&it.worker) == index);
@@ -43,16 +48,16 @@
     }
 }
 
-/// One worker after the other is lost under a task that runs alone there: it is given up once two are,
-/// and its caller learns why.
+/// A job fails once two workers were lost under its task, which ran alone on each, and its state names
+/// the cause.
 #[test]
-fn a_task_that_loses_its_workers_alone_is_given_up() {
+fn a_job_fails_once_two_workers_are_lost_under_its_isolated_task() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..2 {
-        let start = turn_on_record(&mut bench).remove(0);
+        let start = run_rounds_with_save(&mut bench).remove(0);
         bench.advance(3_000);
-        replace(&mut bench, support::index_of(&start.worker));
+        replace_worker(&mut bench, support::index_of(&start.worker));
     }
     bench.save();
     let shown = bench.core.state_of(1).map(|it| (it.state, it.failure));
@@ -61,76 +66,79 @@
     assert_eq!(bench.core.take_loss_counts().n_given_up, 1);
 }
 
-/// A task is given up for early losses although a run of it was seen to go on far longer.
+/// Failure: a job was given up for early losses of its task, although a run of the task was seen to last
+/// far longer.
 #[test]
-fn a_task_that_ran_on_before_is_not_given_up_for_early_losses() {
+fn early_losses_do_not_count_after_a_longer_run() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     for ran_ms in [4_000, 300, 500, 200] {
-        let starts = turn_on_record(&mut bench);
-        pass_with(&mut bench, &starts, 16);
+        let starts = run_rounds_with_save(&mut bench);
+        answer_with_runs(&mut bench, &starts, 16);
         bench.advance(ran_ms);
         if ran_ms > 1_000 {
-            pass_with(&mut bench, &starts, 16);
+            answer_with_runs(&mut bench, &starts, 16);
         }
-        replace(&mut bench, support::index_of(&starts[0].worker));
+        replace_worker(&mut bench, support::index_of(&starts[0].worker));
     }
     bench.save();
     assert_eq!(bench.core.state_of(1).map(|it| it.state), Some(model::GraphState::Running));
 }
 
-/// Idle workers of a pool of four are lost one after the other, for 21 s.
-fn lose_others(bench: &mut support::PoolBench) {
+/// Replaces idle workers of a pool of four, one after the other for 21 s.
+fn replace_idle_workers(bench: &mut support::PoolBench) {
     for other in 0..8 {
         bench.advance(2_600);
         (0..4).for_each(|it| bench.answer_poll(it, &[], &[]));
-        replace(bench, other % 4);
+        replace_worker(bench, other % 4);
     }
     bench.advance(2_600);
     (0..4).for_each(|it| bench.answer_poll(it, &[], &[]));
 }
 
-/// Losses right behind each start of a task are put down to the many workers that are lost all the while.
+/// Failure: losses right after each start of a task were attributed to the high rate of other losses at
+/// the time.
 #[test]
-fn losses_right_behind_each_start_are_proof_amid_many_others() {
+fn losses_right_after_each_start_are_proof_despite_many_others() {
     let mut bench = support::PoolBench::new(4);
-    lose_others(&mut bench);
+    replace_idle_workers(&mut bench);
     bench.admit(1, support::job(1, support::tasks(1)));
     for _ in 0..5 {
-        let Some(start) = turn_on_record(&mut bench).pop() else { break };
+        let Some(start) = run_rounds_with_save(&mut bench).pop() else { break };
         bench.advance(150);
-        replace(&mut bench, support::index_of(&start.worker));
-        lose_others(&mut bench);
+        replace_worker(&mut bench, support::index_of(&start.worker));
+        replace_idle_workers(&mut bench);
     }
     bench.save();
     let cause = Some(model::FailureCause::CrashesWorkers);
     assert_eq!(bench.core.state_of(1).map(|it| it.failure), Some(cause));
 }
 
-/// What ran beside a task that was given up is not: it was struck once, and ends well apart.
+/// A task that ran next to one that crashes its workers is not given up: it lost one worker, and
+/// completes in an isolated run.
 #[test]
-fn what_ran_beside_is_not_given_up() {
+fn a_task_next_to_a_crashing_one_is_not_given_up() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     bench.admit(2, support::job(1, support::tasks(1)));
     let starts = bench.run_round_and_start();
     assert_eq!(starts[0].worker, starts[1].worker);
     bench.advance(3_000);
-    replace(&mut bench, support::index_of(&starts[0].worker));
+    replace_worker(&mut bench, support::index_of(&starts[0].worker));
     assert_eq!(n_suspects(&bench), 2);
 
     for _ in 0..2 {
-        let starts = turn_on_record(&mut bench);
+        let starts = run_rounds_with_save(&mut bench);
         let of = |graph| starts.iter().find(|it| it.task == first_task(graph)).cloned();
         let first = of(1).expect("a start");
         if let Some(second) = of(2) {
             assert_ne!(first.worker, second.worker);
-            pass_with(&mut bench, &starts, 16);
+            answer_with_runs(&mut bench, &starts, 16);
             let end = support::listed_end(1, &second, order::EndKind::Done);
             bench.answer_poll(support::index_of(&second.worker), &[], &[end]);
         }
         bench.advance(3_000);
-        replace(&mut bench, support::index_of(&first.worker));
+        replace_worker(&mut bench, support::index_of(&first.worker));
     }
     bench.save();
     let state = |graph| bench.core.state_of(graph).map(|it| it.state);
@@ -138,9 +146,10 @@
     assert_eq!(state(2), Some(model::GraphState::Completed));
 }
 
-/// A worker that was cut off for longer than its lease lists what ran there, and has not crashed.
+/// A worker that was cut off for longer than its lease still lists the end of its task, so it has not
+/// crashed.
 #[test]
-fn a_worker_that_lives_on_is_held_against_nobody() {
+fn a_loss_is_withdrawn_when_the_worker_answers_again() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
@@ -156,9 +165,9 @@
     assert_eq!(n_suspects(&bench), 0);
 }
 
-/// A worker that is silent, but whose entry is kept up, is cut off from here.
+/// A silent worker whose entry is still updated is more likely cut off from this scheduler than crashed.
 #[test]
-fn a_silent_worker_that_is_listed_puts_nobody_under_suspicion() {
+fn a_silent_worker_in_the_worker_list_makes_no_suspect() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
@@ -169,9 +178,9 @@
     assert!(bench.core.summary().n_waiting + bench.core.summary().n_running > 0);
 }
 
-/// A worker that leaves may go sooner than it has told.
+/// A worker that leaves may stop before the time that it announced.
 #[test]
-fn a_worker_that_was_leaving_is_held_against_nobody() {
+fn the_loss_of_a_leaving_worker_makes_no_suspect() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
@@ -184,10 +193,10 @@
     assert_eq!(n_suspects(&bench), 0);
 }
 
-/// Work that was struck by one power loss after the other is not given up: half of the workers each
-/// time.
+/// Jobs that lose their workers in eight power losses in a row, each of half of the pool, are not given
+/// up.
 #[test]
-fn power_losses_are_held_against_nobody() {
+fn power_losses_make_no_suspects() {
     let mut bench = support::PoolBench::new(16);
     for graph in 1..=16 {
         bench.admit(graph, support::job(0, support::whole_workers(1)));
@@ -195,18 +204,18 @@
     let mut starts = bench.run_round_and_start();
     assert_eq!(starts.len(), 16);
     for _ in 0..8 {
-        pass_with(&mut bench, &starts, 16);
+        answer_with_runs(&mut bench, &starts, 16);
         let struck = starts.iter().filter(|it| it.task.graph <= 8).cloned().collect::<Vec<_>>();
         for start in &struck {
             bench.core.poll_missed(&start.worker);
         }
         bench.advance(600);
         for start in &struck {
-            replace(&mut bench, support::index_of(&start.worker));
+            replace_worker(&mut bench, support::index_of(&start.worker));
         }
         starts.retain(|it| it.task.graph > 8);
         bench.save();
-        let again = turn_on_record(&mut bench);
+        let again = run_rounds_with_save(&mut bench);
         assert_eq!(again.len(), 8);
         starts.extend(again);
     }
@@ -215,71 +224,73 @@
     assert!(states.into_iter().all(|it| it == Some(model::GraphState::Running)));
 }
 
-/// A suspect starts on an empty worker, and nothing starts beside it.
+/// A suspect starts on an empty worker, and nothing starts next to it.
 #[test]
-fn a_suspect_runs_apart() {
+fn a_suspect_runs_isolated() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(1)));
     let first = bench.run_round_and_start().remove(0);
     bench.admit(2, support::job(1, support::tasks(1)));
     let other = bench.run_round_and_start().remove(0);
     bench.advance(1_000);
-    replace(&mut bench, support::index_of(&first.worker));
-    let starts = turn_on_record(&mut bench);
+    replace_worker(&mut bench, support::index_of(&first.worker));
+    let starts = run_rounds_with_save(&mut bench);
     let suspect = starts.iter().find(|it| it.task == first_task(1)).expect("a start").clone();
     let beside = starts.iter().filter(|it| it.worker == suspect.worker);
     assert_eq!(beside.count(), 1);
     assert_eq!(first.worker, other.worker);
-    // Eight workers' worth of small tasks finds room on the others only.
+    // Tasks that would fill eight workers fit only on the other workers.
     bench.admit(3, support::job(0, support::tasks(64)));
     let starts = bench.run_round_and_start();
     assert!(!starts.is_empty());
     assert!(starts.iter().all(|it| it.worker != suspect.worker));
 }
 
-/// Where no worker comes free for it, a suspect starts beside other work within the time that the
-/// platform allows a job to stand still.
+/// If no worker becomes empty, a suspect starts next to other work before the platform counts its job as
+/// lost for being idle.
 #[test]
-fn a_suspect_does_not_wait_without_end() {
+fn a_suspect_starts_next_to_other_work_after_a_timeout() {
     let mut bench = support::PoolBench::new(4);
     bench.admit(1, support::job(1, support::tasks(24)));
     let starts = bench.run_round_and_start();
     bench.advance(500);
     let lost = support::index_of(&starts[0].worker);
-    replace(&mut bench, lost);
+    replace_worker(&mut bench, lost);
     let running = starts.into_iter().filter(|it| support::index_of(&it.worker) != lost);
     let running = running.collect::<Vec<_>>();
     let mut again = Vec::new();
     for _ in 0..25 {
         let all = running.iter().chain(&again).cloned().collect::<Vec<_>>();
-        pass_with(&mut bench, &all, 4);
+        answer_with_runs(&mut bench, &all, 4);
         bench.core.set_wall_time(bench.now);
-        again.extend(turn_on_record(&mut bench));
+        again.extend(run_rounds_with_save(&mut bench));
     }
     assert_eq!(again.len() + running.len(), 24);
 }
 
-/// A job stands still for 2 s more on an idle pool, as other suspects have the workers that are kept for them.
+/// Failure: a job was idle for 2 s longer on an idle pool, as other suspects had the workers that are
+/// kept for suspects.
 #[test]
-fn a_suspect_of_a_standing_job_runs_apart_at_once() {
+fn a_suspect_of_an_idle_job_runs_isolated_at_once() {
     let mut bench = support::PoolBench::new(8);
     bench.admit(1, support::job(1, support::tasks(7)));
     bench.admit(2, support::job(1, support::tasks(1)));
     let lost = support::index_of(&bench.run_round_and_start()[0].worker);
     bench.advance(1_000);
-    replace(&mut bench, lost);
-    let mut starts = turn_on_record(&mut bench);
+    replace_worker(&mut bench, lost);
+    let mut starts = run_rounds_with_save(&mut bench);
     for _ in 0..10 {
-        pass_with(&mut bench, &starts, 8);
-        starts.extend(turn_on_record(&mut bench));
+        answer_with_runs(&mut bench, &starts, 8);
+        starts.extend(run_rounds_with_save(&mut bench));
     }
-    let standing = starts.iter().find(|it| it.task == first_task(2)).expect("a start");
-    assert_eq!(starts.iter().filter(|it| it.worker == standing.worker).count(), 1);
+    let of_idle_job = starts.iter().find(|it| it.task == first_task(2)).expect("a start");
+    assert_eq!(starts.iter().filter(|it| it.worker == of_idle_job.worker).count(), 1);
 }
 
-/// Suspects run beside others right behind an outage, as if they had waited for workers of their own meanwhile.
+/// Failure: suspects ran next to other tasks right after an outage, as the outage counted as waiting for
+/// an empty worker.
 #[test]
-fn suspects_wait_to_run_apart_behind_an_outage() {
+fn suspects_wait_for_isolated_runs_after_an_outage() {
     let mut bench = support::PoolBench::new(3);
     bench.admit(1, support::job(1, support::tasks(5)));
     let starts = bench.run_round_and_start();
@@ -287,12 +298,12 @@
     bench.admit(2, support::job(1, support::tasks(8)));
     let mut running = bench.run_round_and_start();
     running.retain(|it| support::index_of(&it.worker) != lost);
-    replace(&mut bench, lost);
+    replace_worker(&mut bench, lost);
     let mut n_starts = Vec::new();
     for millis in [5_000, 500, 500, 500, 500, 500] {
         bench.advance(millis);
-        pass_with(&mut bench, &running, 3);
-        let starts = turn_on_record(&mut bench);
+        answer_with_runs(&mut bench, &running, 3);
+        let starts = run_rounds_with_save(&mut bench);
         n_starts.push(starts.iter().filter(|it| it.task.graph == 1).count());
         running.extend(starts);
     }
@@ -300,40 +311,39 @@
     assert!(n_starts[4..].iter().sum::<usize>() > 0, "{n_starts:?}");
 }
 
-/// What is held against a task outlives the scheduler.
+/// Recorded losses are saved, and a successor adds to them.
 #[test]
-fn a_successor_goes_on_counting() {
+fn a_successor_adds_to_the_recorded_losses() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
     bench.advance(3_000);
-    replace(&mut bench, support::index_of(&start.worker));
+    replace_worker(&mut bench, support::index_of(&start.worker));
     bench.save();
 
     let mut next = support::PoolBench::new(16);
     next.inherit(1, support::job(1, support::tasks(1)), bench.saved.remove(&1));
     assert_eq!(n_suspects(&next), 1);
-    let start = turn_on_record(&mut next).remove(0);
+    let start = run_rounds_with_save(&mut next).remove(0);
     next.advance(3_000);
-    replace(&mut next, support::index_of(&start.worker));
+    replace_worker(&mut next, support::index_of(&start.worker));
     next.save();
     assert_eq!(next.core.state_of(1).map(|it| it.state), Some(model::GraphState::Failed));
 }
 
-/// Symptom: a scheduler that goes while a worker is down under a suspect leaves no trace of that loss. A
-/// start on record that no worker tells of counts for the successor, and one that a worker lists does
-/// not.
+/// Failure: if the scheduler failed while a worker was down under a suspect, the loss left no trace. The
+/// successor counts a saved start as a loss if no worker lists it, and does not if one does.
 #[test]
-fn a_start_on_record_that_nobody_lists_is_counted() {
+fn a_saved_start_that_no_worker_lists_counts_as_a_loss() {
     let mut bench = support::PoolBench::new(16);
     bench.admit(1, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
     bench.advance(3_000);
-    replace(&mut bench, support::index_of(&start.worker));
-    let second = turn_on_record(&mut bench).remove(0);
+    replace_worker(&mut bench, support::index_of(&start.worker));
+    let second = run_rounds_with_save(&mut bench).remove(0);
     let saved = bench.saved.remove(&1).expect("a start on record");
     let n_losses = |bench: &mut support::PoolBench| {
-        turn_on_record(bench);
+        run_rounds_with_save(bench);
         let rows = bench.saved.remove(&1).map(|it| format!("{it:?}")).unwrap_or_default();
         rows.matches("odds_ppm").count()
     };
--- a/crates/graph/tests/pool/urgent.rs
+++ b/crates/graph/tests/pool/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent work, and what it may ask of other work.
+//! Capacity for urgent work: workers kept empty, and preemption of other work.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::support;
 
-/// Stopping other work takes longer than urgent work may wait: some workers are kept empty.
+/// Some workers are kept empty, as stopping other work takes longer than urgent work may wait.
 #[test]
 fn workers_are_kept_empty_for_urgent_work() {
     let mut bench = support::PoolBench::new(48);
@@ -19,11 +19,11 @@
     assert_eq!(support::stops(&orders), []);
 }
 
-/// Symptom: a gang that is not urgent waited for 20 s although workers were free. Sequence: urgent
-/// work comes all the time, so that workers are kept empty all the time. Cause: the wait had no
-/// bound below the time in which such a job is worth something.
+/// Failure: a gang that is not urgent waited for 20 s although workers were free. Urgent work arrives
+/// all the time, so some workers are always kept empty. The time limit of the wait was longer than the
+/// time in which such a job has any worth.
 #[test]
-fn what_is_kept_empty_does_not_starve_a_gang() {
+fn workers_kept_empty_do_not_starve_a_gang() {
     let mut bench = support::PoolBench::new(8);
     bench.admit(1, support::job(1, support::gang(support::whole_workers(8))));
     assert_eq!(support::starts(&bench.run_round()), []);
@@ -36,9 +36,9 @@
     assert_eq!(support::starts(&bench.run_round()).len(), 8);
 }
 
-/// A pool that is full makes room for urgent work, and what was stopped starts again.
+/// Urgent work in a full pool preempts other work, and the stopped tasks start again later.
 #[test]
-fn urgent_work_takes_room_from_other_work() {
+fn urgent_work_preempts_other_work() {
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(1, support::tasks(8)));
     let running = bench.run_round_and_start();
@@ -60,9 +60,9 @@
     assert_eq!(starts.len(), 2);
 }
 
-/// The room that is cleared goes to whom it is cleared for.
+/// Freed resources are kept for the unit that other work was stopped for.
 #[test]
-fn cleared_room_is_not_taken_by_others() {
+fn freed_resources_go_to_the_preempting_unit() {
     let mut bench = support::PoolBench::new(1);
     bench.admit(1, support::job(2, support::tasks(8)));
     let running = bench.run_round_and_start();
@@ -80,12 +80,11 @@
     assert_eq!(support::starts(&bench.run_round()), []);
 }
 
-/// Symptom: tasks were started and stopped again in the same turn, up to a hundred times for one
-/// job. Sequence: an urgent gang needs two workers, one of which is free; less urgent tasks wait.
-/// Cause: room for urgent work was sought after all other units had been placed, so that these took
-/// the free worker first.
+/// Failure: tasks were started and stopped again in the same round, up to a hundred times for one job.
+/// An urgent gang needs two workers, one of which is free, while less urgent tasks wait. Preemption was
+/// tried after all other units had been placed, so these took the free worker first.
 #[test]
-fn less_urgent_work_does_not_start_where_room_is_needed_at_once() {
+fn less_urgent_work_does_not_take_a_worker_that_an_urgent_gang_needs() {
     let mut bench = support::PoolBench::new(2);
     bench.admit(1, support::job(1, support::whole_workers(1)));
     assert_eq!(bench.run_round_and_start().len(), 1);
@@ -98,21 +97,21 @@
     assert_eq!(stopped.iter().map(|it| it.task.graph).collect::<Vec<_>>(), [1]);
 }
 
-/// A pool whose workers all run one gang.
-struct CostlyPool {
+/// A pool of eight workers that all run members of one gang.
+struct GangPool {
     bench: support::PoolBench,
     running: Vec<order::StartOrder>,
 }
 
-impl CostlyPool {
-    /// The account of the urgent work to come has `guaranteed` accelerators.
-    fn new(guaranteed: u32) -> CostlyPool {
+impl GangPool {
+    /// Starts the gang; the account of the later urgent work is guaranteed `guaranteed` accelerators.
+    fn new(guaranteed: u32) -> GangPool {
         let mut bench = support::PoolBench::new(8);
         bench.core.set_catalog(Arc::new(catalog::PoolCatalog {
             guaranteed: [("lab".to_owned(), guaranteed)].into(),
             ..catalog::PoolCatalog::default()
         }));
-        let mut pool = CostlyPool { bench, running: Vec::new() };
+        let mut pool = GangPool { bench, running: Vec::new() };
         pool.bench.admit(1, support::job(1, support::gang(support::whole_workers(8))));
         while pool.running.is_empty() {
             pool.pass(1_000, 0);
@@ -121,7 +120,7 @@
         pool
     }
 
-    /// Time passes, and all workers list what they run.
+    /// Advances the time, and lets all workers list what they run.
     fn pass(&mut self, millis: u64, percent: u32) {
         self.bench.advance(millis);
         self.bench.core.set_wall_time(self.bench.now);
@@ -132,36 +131,35 @@
         }
     }
 
-    /// An urgent job of one whole worker comes; tasks that are stopped for it.
+    /// Admits an urgent job that needs one whole worker, and returns the number of tasks stopped for it.
     fn n_stopped_for_urgent(&mut self) -> usize {
         self.bench.admit(2, support::job(0, support::whole_workers(1)));
         support::stops(&self.bench.run_round()).len()
     }
 }
 
-/// Symptom: 47 tasks, 3,192 core-seconds, were stopped for an urgent job of seven tasks. Sequence: all
-/// workers run long gangs; an urgent job comes. Cause: the least costly plan was carried out at any
-/// cost.
+/// Failure: 47 tasks, 3,192 core-seconds, were stopped for an urgent job of seven tasks. All workers run
+/// long gangs when the urgent job arrives. The cheapest plan was carried out whatever its cost.
 #[test]
-fn urgent_work_outside_a_guarantee_does_not_cost_more_than_it_gains() {
-    let mut pool = CostlyPool::new(0);
+fn preemption_outside_a_guarantee_is_limited_by_its_cost() {
+    let mut pool = GangPool::new(0);
     pool.pass(3_000, 30);
     assert_eq!(pool.n_stopped_for_urgent(), 0);
     pool.pass(2_500, 55);
     assert_eq!(support::stops(&pool.bench.run_round()), []);
 }
 
-/// What has just started is stopped all the same.
+/// Work that has just started is cheap to stop.
 #[test]
-fn urgent_work_takes_room_that_costs_little() {
-    let mut pool = CostlyPool::new(0);
+fn urgent_work_preempts_work_that_has_just_started() {
+    let mut pool = GangPool::new(0);
     assert_eq!(pool.n_stopped_for_urgent(), 8);
 }
 
-/// A guarantee is back within its bound, whatever it costs, but not before the cheaper way was tried.
+/// A guarantee is met within its bound whatever the cost, but first the unit waits for a cheaper way.
 #[test]
-fn a_guarantee_is_owed_its_room_at_any_cost() {
-    let mut pool = CostlyPool::new(8);
+fn a_guarantee_is_met_at_any_cost_before_its_bound() {
+    let mut pool = GangPool::new(8);
     pool.pass(3_000, 30);
     assert_eq!(pool.n_stopped_for_urgent(), 0);
     pool.pass(1_800, 48);
