--- a/crates/graph/src/ack_window.rs
+++ b/crates/graph/src/ack_window.rs
@@ -18,7 +18,7 @@
 pub enum EndAck {
     /// Nothing: the worker lists no end that may be acknowledged.
     Nothing,
-    /// Nothing yet: an end may be acknowledged, but the worker may have restarted, so its incarnation
+    /// Nothing yet: there are ends to acknowledge, but the worker may have restarted, so its incarnation
     /// has to be verified first.
     VerifyFirst,
     /// All ends up to this number.
--- a/crates/graph/src/avoidance.rs
+++ b/crates/graph/src/avoidance.rs
@@ -23,8 +23,8 @@
 /// The end of an avoidance. It has no effect if the task has failed once more since.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AvoidanceEnd {
-    at: Duration,
-    since: Duration,
+    ends_at: Duration,
+    began_at: Duration,
     task: task_key::TaskKey,
 }
 
@@ -37,23 +37,25 @@
         now: Duration,
     ) {
         let Some(task) = self.task_record_mut(key) else { return };
-        let at = now + AVOIDANCE_TIME;
+        let ends_at = now + AVOIDANCE_TIME;
         task.avoids = Some(worker.clone());
-        task.avoids_until = at;
-        self.avoidance_ends.push_back(AvoidanceEnd { at, since: now, task: key });
+        task.avoids_until = ends_at;
+        self.avoidance_ends.push_back(AvoidanceEnd { ends_at, began_at: now, task: key });
     }
 
     /// Ends the avoidances that are due, or extends them where the task had better wait for another
     /// worker.
     pub(crate) fn expire_avoidances(&mut self, now: Duration) {
-        while let Some(end) = self.avoidance_ends.front().copied().filter(|it| now >= it.at) {
+        while let Some(end) = self.avoidance_ends.front().copied().filter(|it| now >= it.ends_at) {
             self.avoidance_ends.pop_front();
             let is_due = |it: &&mut job::TaskRecord| now >= it.avoids_until;
             if self.task_record_mut(end.task).filter(is_due).is_none() {
                 continue;
             }
-            if now < end.since + MAX_AVOIDANCE_TIME && self.awaits_another_worker(end.task, now) {
-                self.avoidance_ends.push_back(AvoidanceEnd { at: now + AVOIDANCE_TIME, ..end });
+            if now < end.began_at + MAX_AVOIDANCE_TIME && self.awaits_another_worker(end.task, now)
+            {
+                self.avoidance_ends
+                    .push_back(AvoidanceEnd { ends_at: now + AVOIDANCE_TIME, ..end });
             } else if let Some(task) = self.task_record_mut(end.task) {
                 task.avoids = None;
             }
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -41,8 +41,8 @@
     tasks: &[job::TaskRecord],
     candidates: &[candidate::WorkerCandidate],
 ) -> bool {
-    let n_closed = candidates.iter().filter(|it| it.is_exclusive).count();
-    let has_spare_worker = n_closed < (candidates.len() / WORKERS_PER_WEAK_SUSPECT).max(1);
+    let n_exclusive = candidates.iter().filter(|it| it.is_exclusive).count();
+    let has_spare_worker = n_exclusive < (candidates.len() / WORKERS_PER_WEAK_SUSPECT).max(1);
     has_spare_worker || tasks.iter().any(|it| it.suspicion.is_strong_suspect())
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl core::PoolCore {
-    /// Saves the next start of a unit if one of its tasks needs isolation. Returns whether the unit may
-    /// be started: the start is saved, or needs not be.
+    /// Saves the next start of a unit if one of its tasks needs isolation, and first records losses
+    /// for starts that an earlier scheduler had saved. Returns whether the unit may be started.
     pub(crate) fn ensure_start_saved(&mut self, unit: task_key::UnitKey, now: Duration) -> bool {
         // Fast path: nearly all of the many waiting units have no recorded loss.
         let has_losses = |it: &job::TaskRecord| {
--- a/crates/graph/src/loss_history.rs
+++ b/crates/graph/src/loss_history.rs
@@ -101,10 +101,10 @@
         let by_common_cause = (n_concurrent + context.n_silent) as f64 / (n_workers - 1.0);
         let worker_seconds = n_workers * self.counted_for(context.now).as_secs_f64().max(1.0);
         // If the task crashes nothing, its earlier losses are evidence of the rate like any others.
-        let seen = others().count() as f64 + context.n_own_losses as f64 + ASSUMED_LOSSES;
+        let n_counted = others().count() as f64 + context.n_own_losses as f64 + ASSUMED_LOSSES;
         // The rate is raised by one standard deviation, as a few losses give only a rough estimate. Too
         // low a rate would make the scheduler give up jobs whose tasks lost their workers by chance.
-        let rate = (seen + seen.sqrt()) / worker_seconds;
+        let rate = (n_counted + n_counted.sqrt()) / worker_seconds;
         let by_rate = 1.0 - (-rate * context.exposure.as_secs_f64()).exp();
         by_common_cause.max(by_rate).min(1.0)
     }
--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -22,8 +22,8 @@
 /// Probability that a silent worker is alive although it is no longer in the worker list.
 const SILENT_ALIVE_PROBABILITY: f64 = 0.2;
 
-/// Probability that a silent worker is alive while it is still in the worker list: it still has contact
-/// with others.
+/// Probability that a silent worker is alive while its entry in the worker list is still updated, so that
+/// it has contact with others.
 const CUT_OFF_ALIVE_PROBABILITY: f64 = 0.5;
 
 /// Probability that a worker was lost before it received a start that it has not confirmed.
@@ -96,8 +96,8 @@
     /// Probability that other losses explain this one, at any time of the run, estimated when the worker
     /// was lost.
     pub background_probability: f64,
-    /// Probability that other losses explain one as early in the run as the latest loss so far under
-    /// this task, this one included.
+    /// Probability that other losses explain a loss within the time of the longest known run of the task,
+    /// this one included.
     pub early_background_probability: f64,
     /// Share of the expected run time that had passed at the loss. A worker is cut off at any time of a
     /// run with equal probability, so the probability of an early one is in proportion to this share.
--- a/crates/graph/src/preemption.rs
+++ b/crates/graph/src/preemption.rs
@@ -134,10 +134,10 @@
         let other = if is_guaranteed { &mut round.for_others } else { &mut round.for_guaranteed };
         *other = None;
         let until = now + self.timing.stop_timeout + CLAIM_MARGIN;
-        for (index, room) in plan.candidates.into_iter().zip(kept_resources) {
-            candidates[index].claims.push((unit, room));
+        for (index, kept) in plan.candidates.into_iter().zip(kept_resources) {
+            candidates[index].claims.push((unit, kept));
             if let Some(record) = self.workers.get_mut(&candidates[index].profile.worker) {
-                record.claims.push(worker::ResourceClaim { unit, resources: room, until });
+                record.claims.push(worker::ResourceClaim { unit, resources: kept, until });
             }
         }
     }
@@ -157,9 +157,10 @@
         if is_guaranteed && now + margin >= job.admitted_at + self.timing.reclaim {
             return u64::MAX;
         }
-        let run = self.run_times.mean(&job.class).as_millis() as u64;
-        let own = run * u64::from(request.n_tasks) * (request.per_task.weight() / 1_000).max(1);
-        MAX_COST_FACTOR * own
+        let mean_run_ms = self.run_times.mean(&job.class).as_millis() as u64;
+        let own_work =
+            mean_run_ms * u64::from(request.n_tasks) * (request.per_task.weight() / 1_000).max(1);
+        MAX_COST_FACTOR * own_work
     }
 
     /// Resources of tasks that are being stopped, by candidate.
@@ -167,7 +168,7 @@
         &self,
         candidates: &[candidate::WorkerCandidate],
     ) -> Vec<resources::Resources> {
-        let on_candidate = |it: &candidate::WorkerCandidate| {
+        let freed_on = |it: &candidate::WorkerCandidate| {
             let runs = self.workers.get(&it.profile.worker).map(|it| &it.runs);
             let stopping = runs
                 .into_iter()
@@ -176,7 +177,7 @@
             stopping
                 .fold(resources::Resources::default(), |sum, key| sum.plus(self.resources_of(*key)))
         };
-        candidates.iter().map(on_candidate).collect()
+        candidates.iter().map(freed_on).collect()
     }
 
     /// Units that may be stopped for urgent work that is within its account's guarantee, or not.
--- a/crates/graph/src/slow_workers.rs
+++ b/crates/graph/src/slow_workers.rs
@@ -26,12 +26,13 @@
 const MIN_SIBLINGS: usize = 2;
 
 impl core::PoolCore {
-    /// Marks a worker as slow, or not, by the pace of the tasks on it.
+    /// Marks a worker as slow if the pace of the tasks on it shows so and the pool can do without it.
     pub(crate) fn detect_slow_worker(&mut self, worker: &ids::WorkerId, now: Duration) {
         let Some(record) = self.workers.get(worker) else { return };
         let verdicts = record.runs.iter().map(|it| self.pace_of(*it)).collect::<Vec<_>>();
-        // One task at its usual pace is proof that the worker is not slow. A slow task is none that it
-        // is: a gang is as slow as its slowest member, on whichever worker that runs.
+        // One task at its usual pace is proof that the worker is not slow. A slow task alone
+        // does not prove the opposite: a gang is as slow as its slowest member, on whichever worker that
+        // runs.
         let is_slow = verdicts.contains(&pace::PaceVerdict::Slow)
             && !verdicts.contains(&pace::PaceVerdict::Normal);
         let can_mark_slow = is_slow && self.can_exclude(worker, |it| now < it.slow_until);
@@ -104,7 +105,8 @@
         Some(100.0 / mean.as_secs_f64().max(0.001))
     }
 
-    /// Factor by which a run takes longer where it is: above 1 if it is away from its data.
+    /// Factor by which a run takes longer on its worker: above 1 if the worker is remote from the
+    /// task's data.
     pub(crate) fn remote_run_time_factor(&self, key: task_key::TaskKey) -> f64 {
         let is_remote = self.task_run(key).is_some_and(|it| it.is_remote);
         if is_remote { self.timing.remote_factor } else { 1.0 }
--- a/crates/graph/src/suspicion.rs
+++ b/crates/graph/src/suspicion.rs
@@ -111,8 +111,8 @@
     /// Whether the losses prove that the task crashes the workers that start it.
     pub fn is_proven_to_crash(&self) -> bool {
         let n_losses = self.attributable().count();
-        let is_below = |probability: f64, bounds: [f64; 2], least_losses: usize| {
-            let n_more = n_losses.checked_sub(least_losses);
+        let is_below = |probability: f64, bounds: [f64; 2], min_losses: usize| {
+            let n_more = n_losses.checked_sub(min_losses);
             n_more.is_some_and(|it| probability < bounds[it.min(bounds.len() - 1)])
         };
         let at_any_time = self
@@ -138,9 +138,9 @@
     /// The losses that the task may have caused: those not much earlier than the longest run that it
     /// survived.
     fn attributable(&self) -> impl Iterator<Item = &TaskLoss> {
-        let latest = |it: Duration| it.mul_f64(LOSS_OFFSET_SPREAD) + LOSS_OFFSET_ERROR;
+        let max_offset = |it: Duration| it.mul_f64(LOSS_OFFSET_SPREAD) + LOSS_OFFSET_ERROR;
         self.losses.iter().filter(move |it| {
-            it.latest_loss_offset.is_none_or(|by| latest(by) >= self.longest_survived)
+            it.latest_loss_offset.is_none_or(|by| max_offset(by) >= self.longest_survived)
         })
     }
 
@@ -149,7 +149,8 @@
         self.attributable().map(|it| it.early_probability).product()
     }
 
-    /// Records a loss. A further one of the same attempt replaces what is known less well of it.
+    /// Records a loss. A further loss of the same attempt counts once, with the lower probabilities of the
+    /// two.
     pub fn record_loss(&mut self, loss: TaskLoss) {
         if let Some(known) = self.losses.iter_mut().find(|it| it.attempt == loss.attempt) {
             known.early_probability = known.early_probability.min(loss.early_probability);
--- a/crates/graph/src/worker_restarts.rs
+++ b/crates/graph/src/worker_restarts.rs
@@ -142,7 +142,8 @@
     }
 
     /// Whether an order was given to an incarnation that has ended, or a start has waited for half of
-    /// its term, as the other half is reserved for its delivery. Such an order must not be sent: a later
+    /// the start timeout, as the other half is reserved for its delivery. Such an order must not be sent: a
+    /// later
     /// incarnation would carry it out, while its task may run elsewhere.
     pub fn is_outdated(&self, order: &order::PoolOrder, now: Duration) -> bool {
         let (worker, generation) = match order {
--- a/crates/graph/tests/pool/restarts.rs
+++ b/crates/graph/tests/pool/restarts.rs
@@ -171,7 +171,7 @@
     assert_eq!(last_seen(&mut bench), 0);
     bench.admit(2, support::job(1, support::tasks(1)));
     let start = bench.run_round_and_start().remove(0);
-    assert!(start.deadline_ms < 10_000, "a deadline by the former clock: {}", start.deadline_ms);
+    assert!(start.deadline_ms < 10_000, "a deadline by the earlier clock: {}", start.deadline_ms);
     bench.advance(500);
     let end = support::listed_end(1, &start, order::EndKind::Done);
     let began = bench.now - Duration::from_millis(600);
@@ -482,7 +482,7 @@
     assert_eq!(restart_delay(FIRST_INCARNATION, false), Some(13_000));
 }
 
-/// A start that has waited for longer than half of its term is not sent any more: there is no bound on
+/// A start that has waited for longer than half of the start timeout is not sent any more: there is no bound on
 /// the time at which a later incarnation would receive it.
 #[test]
 fn a_start_that_has_waited_for_too_long_is_outdated() {
@@ -563,7 +563,7 @@
     assert_eq!(support::starts(&bench.run_round())[0].attempt, 2);
 }
 
-/// A successor looks for a worker at the address in the roster. A worker that restarted at another
+/// A successor contacts a worker at the address in the roster. A worker that restarted at another
 /// address gets no tasks before the roster has that address.
 #[test]
 fn a_worker_that_has_moved_is_saved_in_the_roster_first() {
@@ -578,7 +578,7 @@
     bench.save();
     assert_eq!(support::starts(&bench.run_round())[0].address, "127.0.0.1:9999");
     // An answer of any other worker at the earlier address does not apply to this one.
-    let former = support::worker_entry(0).address;
-    bench.core.worker_replaced(&support::worker_id(0), &former, bench.now);
+    let earlier_address = support::worker_entry(0).address;
+    bench.core.worker_replaced(&support::worker_id(0), &earlier_address, bench.now);
     assert!(bench.core.worker_ids().any(|it| *it == support::worker_id(0)));
 }
--- a/crates/graph/tests/pool/suspicions.rs
+++ b/crates/graph/tests/pool/suspicions.rs
@@ -205,19 +205,20 @@
     assert_eq!(starts.len(), 16);
     for _ in 0..8 {
         answer_with_runs(&mut bench, &starts, 16);
-        let struck = starts.iter().filter(|it| it.task.graph <= 8).cloned().collect::<Vec<_>>();
-        for start in &struck {
+        let lost_starts =
+            starts.iter().filter(|it| it.task.graph <= 8).cloned().collect::<Vec<_>>();
+        for start in &lost_starts {
             bench.core.poll_missed(&start.worker);
         }
         bench.advance(600);
-        for start in &struck {
+        for start in &lost_starts {
             replace_worker(&mut bench, support::index_of(&start.worker));
         }
         starts.retain(|it| it.task.graph > 8);
         bench.save();
-        let again = run_rounds_with_save(&mut bench);
-        assert_eq!(again.len(), 8);
-        starts.extend(again);
+        let restarts = run_rounds_with_save(&mut bench);
+        assert_eq!(restarts.len(), 8);
+        starts.extend(restarts);
     }
     assert_eq!(n_suspects(&bench), 0);
     let states = (1..=16).map(|it| bench.core.state_of(it).map(|it| it.state));
@@ -236,8 +237,8 @@
     replace_worker(&mut bench, support::index_of(&first.worker));
     let starts = run_rounds_with_save(&mut bench);
     let suspect = starts.iter().find(|it| it.task == first_task(1)).expect("a start").clone();
-    let beside = starts.iter().filter(|it| it.worker == suspect.worker);
-    assert_eq!(beside.count(), 1);
+    let on_same_worker = starts.iter().filter(|it| it.worker == suspect.worker);
+    assert_eq!(on_same_worker.count(), 1);
     assert_eq!(first.worker, other.worker);
     // Tasks that would fill eight workers fit only on the other workers.
     bench.admit(3, support::job(0, support::tasks(64)));
@@ -258,14 +259,14 @@
     replace_worker(&mut bench, lost);
     let running = starts.into_iter().filter(|it| support::index_of(&it.worker) != lost);
     let running = running.collect::<Vec<_>>();
-    let mut again = Vec::new();
+    let mut restarts = Vec::new();
     for _ in 0..25 {
-        let all = running.iter().chain(&again).cloned().collect::<Vec<_>>();
+        let all = running.iter().chain(&restarts).cloned().collect::<Vec<_>>();
         answer_with_runs(&mut bench, &all, 4);
         bench.core.set_wall_time(bench.now);
-        again.extend(run_rounds_with_save(&mut bench));
+        restarts.extend(run_rounds_with_save(&mut bench));
     }
-    assert_eq!(again.len() + running.len(), 24);
+    assert_eq!(restarts.len() + running.len(), 24);
 }
 
 /// Failure: a job was idle for 2 s longer on an idle pool, as other suspects had the workers that are
@@ -341,7 +342,7 @@
     bench.advance(3_000);
     replace_worker(&mut bench, support::index_of(&start.worker));
     let second = run_rounds_with_save(&mut bench).remove(0);
-    let saved = bench.saved.remove(&1).expect("a start on record");
+    let saved = bench.saved.remove(&1).expect("a saved start");
     let n_losses = |bench: &mut support::PoolBench| {
         run_rounds_with_save(bench);
         let rows = bench.saved.remove(&1).map(|it| format!("{it:?}")).unwrap_or_default();
