--- a/crates/graph/tests/pool/urgent.rs
+++ b/crates/graph/tests/pool/urgent.rs
@@ -36,7 +36,8 @@
     assert_eq!(support::starts(&bench.run_round()).len(), 8);
 }
 
-/// Urgent work in a full pool preempts other work, and the stopped tasks start again later.
+/// Urgent work in a full pool preempts other work, and starts on the freed resources before the stopped
+/// tasks start again.
 #[test]
 fn urgent_work_preempts_other_work() {
     let mut bench = support::PoolBench::new(1);
