--- a/crates/graph/src/losses.rs
+++ b/crates/graph/src/losses.rs
@@ -207,7 +207,7 @@
                 task = %key,
                 attempt,
                 is_suspect = task.suspicion.is_suspect(),
-                "loss of a task withdrawn: its worker is alive"
+                "loss is not held against the task any more: its worker lives"
             );
         }
         is_changed
