--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -1,4 +1,4 @@
-//! Job graphs as the scheduler keeps them.
+//! The scheduler's records of job graphs, their steps, tasks and runs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,94 +13,99 @@
 use crate::task_key;
 use crate::wait_timer;
 
-/// An accepted job graph and how far it is.
+/// An accepted job graph and its progress.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// Class under which it was handed in.
+    /// Class under which the job was submitted.
     pub class: ids::ClassName,
-    /// Whose it is.
+    /// Client account that submitted the job.
     pub account: Option<ids::AccountId>,
-    /// Whose workers run it.
+    /// Upstream whose workers run the job.
     pub upstream: ids::UpstreamName,
-    /// 0 is the most urgent.
+    /// Priority of the job; 0 is the most urgent.
     pub priority: u32,
-    /// Failures of one task or gang after which the job has failed.
+    /// Number of failures of one task or gang at which the job has failed.
     pub max_attempts: u32,
-    /// Handed to each task.
+    /// Body that is sent with the start of each task.
     pub body: Arc<str>,
-    /// The steps of the first run, then those of the second, and so on.
+    /// All steps: those of the first run of the schedule, then those of the second, and so on.
     pub steps: Vec<StepRecord>,
-    /// Steps of one run.
+    /// Number of steps in one run of the schedule.
     pub steps_per_run: u32,
-    /// When the runs are due; nothing where there is one, at once.
+    /// When the runs are due; `None` for a job that runs once, at once.
     pub schedule: Option<model::RunSchedule>,
-    /// Accepted before this tenure: tasks may run that this scheduler does not know of yet.
+    /// Whether the job was accepted before this tenure: some of its tasks may run without this
+    /// scheduler knowing of them yet.
     pub inherited: bool,
-    /// When this scheduler learned of it.
+    /// When this scheduler admitted the job.
     pub admitted_at: Duration,
-    /// When this scheduler learned of its end.
+    /// When this scheduler found that the job has ended.
     pub ended_at: Option<Duration>,
-    /// Since when it waits, behind the beginning or the end of its last run, and what was told of that.
+    /// Time for which the job has waited since a run of it last began or ended, and when this wait
+    /// is logged next.
     pub wait: wait_timer::WaitTimer,
-    /// Whether any task was ever started.
+    /// Whether any task of the job has ever been started.
     pub started: bool,
-    /// How far it is.
+    /// Current state of the job; a change of it may not be saved yet.
     pub state: model::GraphState,
-    /// Why it has failed, if it has.
+    /// Why the job has failed; `None` unless `state` is failed.
     pub failure: Option<model::FailureCause>,
-    /// How far it is as far as a successor would read it; the only state that callers are told
-    /// when it is an end.
+    /// State of the job in the store, as a successor would read it. A job is reported to callers as
+    /// ended only once this state says so.
     pub durable_state: model::GraphState,
 }
 
-/// A step and how far it is.
+/// A step of a job graph and its progress.
 #[derive(Clone, Debug)]
 pub struct StepRecord {
-    /// What was handed in.
+    /// The step as submitted.
     pub spec: model::GraphStep,
-    /// The tasks.
+    /// The tasks of the step, by task number.
     pub tasks: Vec<TaskRecord>,
-    /// Failures of the gang.
+    /// Failed attempts of the gang as a whole; unused for a step that is no gang.
     pub gang_failures: FailedAttempts,
 }
 
-/// A task and how far it is.
+/// A task and its progress.
 #[derive(Clone, Debug, Default)]
 pub struct TaskRecord {
-    /// Where it runs, or may.
+    /// The run of the task that is in progress or may be; it occupies resources of its worker.
     pub run: Option<TaskRun>,
-    /// Whether it has ended well.
+    /// Whether the task has ended successfully.
     pub done: bool,
     /// Highest attempt that may have been ordered.
     pub attempt: u32,
-    /// Highest attempt that is known to be over.
+    /// Highest attempt that is known to have ended.
     pub ended_attempt: u32,
-    /// Its failures.
+    /// Failed attempts of the task; unused for a member of a gang.
     pub failures: FailedAttempts,
-    /// Newest checkpoint.
+    /// Newest checkpoint, from which the next attempt resumes.
     pub checkpoint: Option<Arc<str>>,
-    /// How often it was stopped because it stood still.
+    /// How often the task was stopped because its progress stalled.
     pub n_stalls: u32,
-    /// Worker on which it failed last, which it avoids.
+    /// Worker on which the task failed last and which it avoids until `avoids_until`.
     pub avoids: Option<ids::WorkerId>,
-    /// Until when it does.
+    /// End of the avoidance of that worker.
     pub avoids_until: Duration,
-    /// Since when it waits.
+    /// When the task last began to wait for a start.
     pub waiting_since: Duration,
-    /// What speaks for it that it crashes the workers that start it.
+    /// Evidence that the task crashes the workers that start it.
     pub suspicion: suspicion::TaskSuspicion,
-    /// Workers that were lost under it, and may be what is wrong.
+    /// Workers that were lost while they ran this task. Its next runs avoid them, as the worker may
+    /// be at fault rather than the task.
     pub lost_workers: BTreeSet<ids::WorkerId>,
-    /// It does not start before: whether the worker under it is lost will be surer soon.
+    /// The task does not start before this time: by then it is clearer whether the worker of its
+    /// last run is lost.
     pub held_until: Duration,
-    /// Since when it could run apart, as far as its start and its room go; before `waits_since` where it could not yet.
+    /// When the task last became ready for an isolated run, with nothing missing but free
+    /// resources. Earlier than `waiting_since` if it has not become ready during the current wait.
     pub isolatable_since: Duration,
-    /// The change that puts its next start on record.
+    /// The row change that saves the next start of the task.
     pub start_change: Option<save_queue::RowChange>,
 }
 
-/// The attempts that failed. Each counts once although a worker may list its end to two
-/// schedulers, and in whatever order the ends are listed: a worker that was cut off lists an early
+/// The attempts that failed. Each attempt counts once, although a worker may list its end to two
+/// schedulers. The ends may be listed in any order: a worker that was cut off lists an early
 /// attempt late.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FailedAttempts {
@@ -110,77 +115,79 @@
 /// One attempt of a task on a worker.
 #[derive(Clone, Debug)]
 pub struct TaskRun {
-    /// The worker.
+    /// Worker that runs the attempt.
     pub worker: ids::WorkerId,
-    /// Number of the attempt.
+    /// Number of the attempt; unique within the task.
     pub attempt: u32,
-    /// How far the orders for it are.
+    /// State of the start and stop orders for this run.
     pub phase: RunPhase,
-    /// What bounds its start, where this scheduler has ordered it.
+    /// Latest time at which the start may take effect; `None` if an earlier scheduler ordered the
+    /// run.
     pub start_deadline: Option<StartDeadline>,
-    /// Whether the worker has said that it has, or had, it.
+    /// Whether the worker has confirmed that it has, or had, this run.
     pub is_confirmed: bool,
-    /// Whether it was told of as unsettled for too long.
+    /// Whether the run was already reported as unconfirmed for too long; each run is reported once.
     pub is_reported_overdue: bool,
-    /// Whether the known life of the worker has said so. Else a later one may have it, under a lease
-    /// by another clock.
+    /// Whether the known incarnation of the worker has confirmed the run. Otherwise a later
+    /// incarnation may have it, under a lease by another clock.
     pub is_confirmed_by_incarnation: bool,
-    /// Whether it takes longer here, away from its data or from its gang.
+    /// Whether the run takes longer because it is away from its data or from the rest of its gang.
     pub is_remote: bool,
-    /// Whether it was here from its beginning, so that its end tells how long its class takes.
+    /// Whether the attempt began without a checkpoint, under this scheduler, so that its duration
+    /// is a sample of its class's run time.
     pub is_from_scratch: bool,
-    /// When it was ordered, or found.
+    /// When this scheduler ordered the run, or found it on the worker.
     pub tracked_since: Duration,
     /// Progress that the worker reported last, in percent.
     pub percent: u32,
-    /// When the progress last changed.
+    /// When the reported progress last changed.
     pub percent_changed_at: Duration,
-    /// How fast it progresses.
+    /// Rate of progress, from the progress reports.
     pub pace: pace::RunPace,
-    /// What the clock of the worker showed when it was first known to have it.
+    /// Reading of the worker's clock when the worker was first known to have the run.
     pub first_confirmed_clock: Option<Duration>,
 }
 
-/// Until when a start may take effect.
+/// Latest time at which a start may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartDeadline {
-    /// The life of the worker that it was meant for, as the scheduler counts.
+    /// Generation of the worker's incarnation for which the start was meant.
     pub generation: u32,
-    /// On the clock of that life: the start is refused behind it.
+    /// Time on the clock of that incarnation after which it refuses the start, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// How far the orders for a run are.
+/// State of the start and stop orders for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
     /// The start was sent and is not answered yet.
     Ordered,
-    /// The worker has it; confirmed at that time.
+    /// The worker has confirmed the run.
     Running {
         /// When the worker first confirmed it.
         confirmed_at: Duration,
     },
-    /// The start had no answer: it may run, start later, or never.
+    /// The start had no answer: the run may be in progress, start later, or never start.
     Unclear {
-        /// When that became known.
+        /// When the scheduler stopped expecting an answer.
         since: Duration,
     },
-    /// It is to stop.
+    /// A stop of the run was ordered.
     Stopping {
         /// When the stop was last sent.
         asked_at: Duration,
-        /// When the worker answered a stop.
+        /// When the worker first answered a stop.
         acked_at: Option<Duration>,
     },
 }
 
 impl RunPhase {
-    /// Whether the worker has it, as far as is known.
+    /// Whether the worker has confirmed the run and no stop was ordered.
     pub fn is_running(self) -> bool {
         matches!(self, RunPhase::Running { .. })
     }
 
-    /// A short name, for logs and metrics.
+    /// Name of the phase in log fields and metric labels.
     pub fn name(self) -> &'static str {
         match self {
             RunPhase::Ordered => "ordered",
@@ -190,29 +197,29 @@
         }
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop of the run was ordered.
     pub fn is_stopping(self) -> bool {
         matches!(self, RunPhase::Stopping { .. })
     }
 }
 
 impl FailedAttempts {
-    /// Failures of these attempts.
+    /// Restores the count from the saved attempt numbers.
     pub fn from_attempts(attempts: Vec<u32>) -> FailedAttempts {
         FailedAttempts { attempts }
     }
 
-    /// The attempts that failed.
+    /// Numbers of the failed attempts, in the order in which their ends were listed.
     pub fn attempts(&self) -> &[u32] {
         &self.attempts
     }
 
-    /// How many failed.
+    /// Number of failed attempts, to be compared with the job's `max_attempts`.
     pub fn count(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// Counts the failure of `attempt`, unless it was counted before.
+    /// Adds a failed attempt. Returns false if the attempt was already recorded.
     pub fn record(&mut self, attempt: u32) -> bool {
         if self.attempts.contains(&attempt) {
             return false;
@@ -223,12 +230,13 @@
 }
 
 impl JobRecord {
-    /// Whether nothing of it is to run any more.
+    /// Whether the job is completed, failed or cancelled, so that none of its tasks starts any
+    /// more.
     pub fn has_ended(&self) -> bool {
         !matches!(self.state, model::GraphState::Pending | model::GraphState::Running)
     }
 
-    /// Whether all steps that `step` waits for are done, in the same run.
+    /// Whether all steps that `step` depends on are done, within the same run of the schedule.
     pub fn is_ready(&self, step: usize) -> bool {
         let first = step - step % self.steps_per_run.max(1) as usize;
         let after = &self.steps[step].spec.after;
@@ -236,7 +244,8 @@
         before.all(|it| it.is_some_and(StepRecord::is_done))
     }
 
-    /// When the run of `step` is due, as time since 1970.
+    /// When the schedule's run that contains `step` is due, as time since 1970; zero without a
+    /// schedule.
     pub fn due(&self, step: usize) -> Duration {
         let Some(schedule) = &self.schedule else { return Duration::ZERO };
         let run = step as u64 / u64::from(self.steps_per_run.max(1));
@@ -244,19 +253,20 @@
         Duration::from_millis(schedule.first_ms.saturating_add(interval_ms))
     }
 
-    /// Index of the step of a task, over all runs.
+    /// Index of a task's step in `steps`, over all runs of the schedule; `None` if the job has no
+    /// such step.
     pub fn step_index(&self, key: task_key::TaskKey) -> Option<u32> {
         let index = key.occurrence.checked_mul(self.steps_per_run)?.checked_add(key.step)?;
         (key.step < self.steps_per_run && (index as usize) < self.steps.len()).then_some(index)
     }
 
-    /// Name of a task of the step with that index.
+    /// Key of a task in the step with that index in `steps`.
     pub fn task_key(&self, graph: ids::GraphId, index: u32, task: u32) -> task_key::TaskKey {
         let per_run = self.steps_per_run.max(1);
         task_key::TaskKey { graph, occurrence: index / per_run, step: index % per_run, task }
     }
 
-    /// What a task is placed with: its gang, or itself.
+    /// The unit with which a task is placed: its whole gang, or the task alone.
     pub fn unit_of(&self, key: task_key::TaskKey) -> Option<task_key::UnitKey> {
         let step = self.step_index(key)?;
         let is_gang = self.steps.get(step as usize)?.spec.gang;
@@ -264,41 +274,41 @@
         Some(task_key::UnitKey { graph: key.graph, step, task })
     }
 
-    /// The step of a task, where there is one.
+    /// The step that contains a task; `None` if the job has no such step.
     pub fn step(&self, key: task_key::TaskKey) -> Option<&StepRecord> {
         self.steps.get(self.step_index(key)? as usize)
     }
 
-    /// The step of a task, where there is one.
+    /// Mutable access to the step that contains a task; `None` if the job has no such step.
     pub fn step_mut(&mut self, key: task_key::TaskKey) -> Option<&mut StepRecord> {
         let index = self.step_index(key)?;
         self.steps.get_mut(index as usize)
     }
 
-    /// The task, where there is one.
+    /// Mutable access to a task; `None` if the job has no such task.
     pub fn task_mut(&mut self, key: task_key::TaskKey) -> Option<&mut TaskRecord> {
         self.step_mut(key)?.tasks.get_mut(key.task as usize)
     }
 
-    /// The task, where there is one.
+    /// The record of a task; `None` if the job has no such task.
     pub fn task(&self, key: task_key::TaskKey) -> Option<&TaskRecord> {
         self.step(key)?.tasks.get(key.task as usize)
     }
 
-    /// Whether moments of the run of a task compare with those of its other runs: it began anew, by itself and
-    /// near its data.
+    /// Whether the run time of a task's current run can be compared with that of its other runs:
+    /// the run began without a checkpoint, outside a gang, and near its data.
     pub fn has_comparable_run_time(&self, key: task_key::TaskKey) -> bool {
         let Some(step) = self.step(key).filter(|it| !it.spec.gang) else { return false };
         let run = step.tasks.get(key.task as usize).and_then(|it| it.run.as_ref());
         run.is_some_and(|it| it.is_from_scratch && !it.is_remote)
     }
 
-    /// The runs of its tasks.
+    /// All runs of the job's tasks that are in progress or may be.
     pub fn runs(&self) -> impl Iterator<Item = &TaskRun> {
         self.steps.iter().flat_map(|it| &it.tasks).filter_map(|it| it.run.as_ref())
     }
 
-    /// Accelerators that all tasks of one run need together.
+    /// Accelerators needed to run all tasks of one run of the schedule at the same time.
     pub fn accelerators(&self) -> u32 {
         let of_run = self.steps.iter().take(self.steps_per_run as usize);
         of_run.map(|it| it.spec.tasks * it.spec.accelerators).sum()
@@ -306,24 +316,24 @@
 }
 
 impl StepRecord {
-    /// A step of which nothing has run.
+    /// A step none of whose tasks has started; they wait from `now` on.
     pub fn new(spec: model::GraphStep, now: Duration) -> StepRecord {
         let task = TaskRecord { waiting_since: now, ..TaskRecord::default() };
         let tasks = vec![task; spec.tasks as usize];
         StepRecord { spec, tasks, gang_failures: FailedAttempts::default() }
     }
 
-    /// Whether all tasks have ended well.
+    /// Whether all tasks of the step have ended successfully.
     pub fn is_done(&self) -> bool {
         self.tasks.iter().all(|it| it.done)
     }
 
-    /// What each task needs.
+    /// Resources that each task of the step needs.
     pub fn task_resources(&self) -> resources::Resources {
         resources::Resources::of_step(&self.spec)
     }
 
-    /// Highest attempt of any task; the members of a gang share it.
+    /// Highest attempt of any task of the step; all members of a gang have the same attempt number.
     pub fn highest_attempt(&self) -> u32 {
         self.tasks.iter().map(|it| it.attempt).max().unwrap_or_default()
     }
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! What time brings: lapsed leases, stops to repeat, workers that leave, gangs that have lost a
-//! member. Calls what is done for tasks that stand still or are slow.
+//! Periodic maintenance: lapsed leases, stops that have to be repeated, workers that are leaving,
+//! and gangs that have lost a member. Also starts the checks for stalled tasks and slow workers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,41 +12,43 @@
 use crate::losses;
 use crate::task_key;
 
-/// Time is taken note of this often: it goes over all runs, and turns come with each event.
-const KEEP_UP_INTERVAL: Duration = Duration::from_millis(40);
+/// Minimum interval between two maintenance passes. A pass goes over all runs, and a round follows
+/// each event, so that not every round can afford one.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Wait before an unanswered stop is sent again.
-const STOP_AGAIN: Duration = Duration::from_millis(400);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A stop that was answered takes at most the platform's bound; if the end is not listed this much
-/// later, it is sent again.
-const STOP_SLACK: Duration = Duration::from_millis(600);
+/// A task ends within the platform's stop timeout after its stop was answered. If its end is not
+/// listed this long after that, the stop is sent again.
+const STOPPED_END_SLACK: Duration = Duration::from_millis(600);
 
-/// Kept for a worker's write of its entry.
-const ENTRY_MARGIN: Duration = Duration::from_millis(300);
+/// Allowance for the time in which a worker's write of its entry takes effect.
+const ENTRY_WRITE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Kept for stopping a task before its worker leaves, beyond the time that a stop takes.
+/// Allowance for stopping a task before its worker leaves, beyond the platform's stop timeout.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
 impl core::PoolCore {
-    /// Takes note of the passage of time. Comes first in a turn.
+    /// Runs one maintenance pass if the last one is long enough ago. Comes first in each round.
     pub(crate) fn run_maintenance(&mut self, now: Duration) {
-        if now < self.last_maintenance_at + KEEP_UP_INTERVAL {
+        if now < self.last_maintenance_at + MAINTENANCE_INTERVAL {
             return;
         }
         self.last_maintenance_at = now;
         self.expire_avoidances(now);
-        self.drop_lapsed(now);
+        self.release_lapsed(now);
         self.settle_overdue(now);
         self.repeat_stops(now);
         self.stop_stalled(now);
         self.move_urgent_off_slow_workers(now);
-        self.clear_leaving(now);
-        self.repair_gangs(now);
+        self.stop_runs_before_leaving(now);
+        self.stop_broken_gangs(now);
     }
 
-    /// Frees what ran on workers whose lease has surely lapsed, and forgets workers that are gone.
-    fn drop_lapsed(&mut self, now: Duration) {
+    /// Releases the runs on workers whose lease has surely lapsed, and removes such workers if they
+    /// are not listed any more.
+    fn release_lapsed(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(_, it)| {
             it.n_missed > 0 && now >= it.clock.lapses_at() && (it.fenced || now >= self.settles_at)
         });
@@ -54,8 +56,8 @@
         for worker in silent {
             let Some(record) = self.workers.get(&worker) else { continue };
             let listed = record.listed;
-            let (lapsed, left) = record.runs.iter().copied().partition::<Vec<_>, _>(|key| {
-                self.is_of_known_life(*key) || self.has_surely_lapsed(*key, now)
+            let (lapsed, remaining) = record.runs.iter().copied().partition::<Vec<_>, _>(|key| {
+                self.is_bound_to_known_incarnation(*key) || self.has_surely_lapsed(*key, now)
             });
             if !lapsed.is_empty() {
                 let sign = if listed {
@@ -68,7 +70,7 @@
             for key in lapsed {
                 self.release_run(key, now);
             }
-            if !left.is_empty() {
+            if !remaining.is_empty() {
                 continue;
             }
             if !listed {
@@ -79,9 +81,10 @@
         }
     }
 
-    /// Whether a run is over on a worker whose lease has lapsed by the clock that is known. Where that
-    /// life has not said that it has the run, a later one may: it took the start as late as that may
-    /// come, with a deadline far ahead on its own clock, and shortened it to the longest lease.
+    /// Whether a run is over on a worker whose lease has lapsed by the known clock. If the known
+    /// incarnation has not confirmed the run, a later one may have it: at worst that incarnation
+    /// accepted the start at the last moment, with a deadline far ahead on its own clock, which it
+    /// shortened to the longest lease.
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.task_run(key) else { return true };
         let longest = lease_clock::max_local_span(self.timing.longest_lease);
@@ -89,24 +92,28 @@
             || now >= run.tracked_since + self.timing.start_timeout + longest
     }
 
-    /// Whether no life behind the known one of its worker can have taken a start: it would have told of itself
-    /// in the list by the time up to which that was read.
-    fn is_of_known_life(&self, key: task_key::TaskKey) -> bool {
+    /// Whether no incarnation after the known one can have accepted the start of a run: it would
+    /// have written an entry of its own by the time up to which the platform's list was read.
+    fn is_bound_to_known_incarnation(&self, key: task_key::TaskKey) -> bool {
         let Some(run) = self.task_run(key) else { return false };
         let (Some(start), Some(worker)) = (run.start_deadline, self.workers.get(&run.worker))
         else {
             return false;
         };
-        let is_told_life =
+        let is_entry_incarnation =
             worker.incarnation.is_some() && worker.entry_incarnation == worker.incarnation;
-        let told_by =
-            run.tracked_since + self.timing.start_timeout + self.timing.heartbeat + ENTRY_MARGIN;
-        is_told_life && start.generation == worker.generation && self.list_read_at >= told_by
+        let listed_by = run.tracked_since
+            + self.timing.start_timeout
+            + self.timing.heartbeat
+            + ENTRY_WRITE_MARGIN;
+        is_entry_incarnation
+            && start.generation == worker.generation
+            && self.list_read_at >= listed_by
     }
 
     fn repeat_stops(&mut self, now: Duration) {
-        let patience = self.timing.stop_timeout + STOP_SLACK;
-        let mut again = Vec::new();
+        let stopped_end_timeout = self.timing.stop_timeout + STOPPED_END_SLACK;
+        let mut stops_due = Vec::new();
         for (id, worker) in &self.workers {
             if worker.n_missed > 0 {
                 continue;
@@ -115,18 +122,19 @@
                 let run = self.jobs.get(&key.graph).and_then(|it| it.task(*key));
                 let Some(run) = run.and_then(|it| it.run.as_ref()) else { continue };
                 let job::RunPhase::Stopping { asked_at, acked_at } = run.phase else { continue };
-                let wait = if acked_at.is_some() { patience } else { STOP_AGAIN };
+                let wait =
+                    if acked_at.is_some() { stopped_end_timeout } else { STOP_RETRY_INTERVAL };
                 if now >= asked_at + wait {
-                    again.push((id.clone(), *key, run.attempt, acked_at));
+                    stops_due.push((id.clone(), *key, run.attempt, acked_at));
                 }
             }
         }
-        for (worker, key, attempt, acked_at) in again {
+        for (worker, key, attempt, acked_at) in stops_due {
             if let Some(job) = self.jobs.get_mut(&key.graph)
                 && let Some(run) = job.task_mut(key).and_then(|it| it.run.as_mut())
             {
-                // An answer to an earlier stop counts on: a look that was sent behind it settles
-                // the run, and may take longer than the wait before the next stop.
+                // The time of the first answered stop is kept. A poll sent after that answer
+                // settles the run, and may take longer than the wait before the next stop.
                 run.phase = job::RunPhase::Stopping { asked_at: now, acked_at };
             }
             self.order_stop(worker, key, attempt);
@@ -134,7 +142,7 @@
     }
 
     /// Stops tasks that would not end before their worker leaves.
-    fn clear_leaving(&mut self, now: Duration) {
+    fn stop_runs_before_leaving(&mut self, now: Duration) {
         let leaving = self.workers.iter().filter(|(_, it)| it.leaves_at.is_some());
         let leaving = leaving.map(|(id, it)| (id.clone(), it.leaves_at, it.runs.clone()));
         for (worker, leaves_at, runs) in leaving.collect::<Vec<_>>() {
@@ -145,7 +153,7 @@
                         job = format_args!("{:016x}", key.graph),
                         task = %key,
                         worker,
-                        "task is moved off a worker that leaves"
+                        "stopping a task on a worker that is leaving"
                     );
                     self.stop_run(key, now);
                 }
@@ -153,7 +161,8 @@
         }
     }
 
-    /// Whether a run would go on behind `leaves_at`, less the time for stopping it.
+    /// Whether a run would still be in progress at `leaves_at`, less the time that stopping it
+    /// takes.
     fn outlasts(&self, key: task_key::TaskKey, leaves_at: Duration, now: Duration) -> bool {
         let Some(run) = self.task_run(key) else { return false };
         if run.phase.is_stopping() {
@@ -163,8 +172,9 @@
         now + self.expected_time_left(key, now) + margin > leaves_at
     }
 
-    /// Stops the other members of a gang that has lost one, so that it can start again as a whole.
-    fn repair_gangs(&mut self, now: Duration) {
+    /// Stops the remaining members of a gang that has lost one, so that the whole gang can start
+    /// again.
+    fn stop_broken_gangs(&mut self, now: Duration) {
         let settled = self.settled(now);
         let mut broken = BTreeSet::<(ids::GraphId, usize)>::new();
         for (graph, job) in self.active_jobs() {
@@ -172,7 +182,7 @@
                 continue;
             }
             for (index, step) in job.steps.iter().enumerate() {
-                if step.spec.gang && !step.is_done() && is_broken(step) {
+                if step.spec.gang && !step.is_done() && is_gang_broken(step) {
                     broken.insert((graph, index));
                 }
             }
@@ -185,13 +195,14 @@
         }
     }
 
-    /// How much longer a run is expected to take.
+    /// Time that a run is expected to take from now on: by its rate of progress, or else by the
+    /// mean run time of its class.
     pub(crate) fn expected_time_left(&self, key: task_key::TaskKey, now: Duration) -> Duration {
         let Some(run) = self.task_run(key) else { return Duration::ZERO };
         let ran = now.saturating_sub(run.tracked_since);
         if let Some(pace) = run.pace.latest().filter(|it| *it > 0.0) {
-            let left = f64::from(100 - run.percent.min(100)) / pace;
-            return Duration::from_secs_f64(left)
+            let remaining = f64::from(100 - run.percent.min(100)) / pace;
+            return Duration::from_secs_f64(remaining)
                 .saturating_sub(now.saturating_sub(run.percent_changed_at));
         }
         let class = self.jobs.get(&key.graph).map(|it| it.class.as_str()).unwrap_or_default();
@@ -208,15 +219,16 @@
     }
 }
 
-/// Whether some members are present, but not all of them, in one attempt, and soundly.
-fn is_broken(step: &job::StepRecord) -> bool {
+/// Whether a step has runs, but not those of all members in one attempt, each confirmed or ordered
+/// and none being stopped.
+fn is_gang_broken(step: &job::StepRecord) -> bool {
     let runs = || step.tasks.iter().filter_map(|it| it.run.as_ref());
     let n_present = runs().count();
     let is_partial = n_present > 0 && n_present < step.tasks.len();
     let attempt = runs().map(|it| it.attempt).max();
-    let is_odd = runs().any(|it| {
+    let is_inconsistent = runs().any(|it| {
         let is_unclear = matches!(it.phase, job::RunPhase::Unclear { .. });
         Some(it.attempt) != attempt || it.phase.is_stopping() || is_unclear
     });
-    is_partial || is_odd
+    is_partial || is_inconsistent
 }
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -1,4 +1,5 @@
-//! What workers list: the truth about what runs where.
+//! Polls of workers and their answers. A worker's answer lists its runs and ends, and overrides
+//! what the scheduler has recorded of that worker.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,52 +16,56 @@
 use crate::worker;
 use crate::worker_restarts;
 
-/// A worker with tasks is looked at this often even if nothing ends, to see progress and hangs.
-const BUSY_WAIT: Duration = Duration::from_millis(1_000);
+/// Interval of polls to a worker with tasks, unless an end makes it answer earlier; bounds how late
+/// progress and stalls are noticed.
+const BUSY_POLL_WAIT: Duration = Duration::from_millis(1_000);
 
-/// A worker with urgent tasks is looked at this often: whether it has turned slow has to show while
-/// there is time to start them elsewhere.
-const URGENT_WAIT: Duration = Duration::from_millis(500);
+/// Interval of polls to a worker with urgent tasks. It has to show that the worker has become slow
+/// while there is time to start them elsewhere.
+const URGENT_POLL_WAIT: Duration = Duration::from_millis(500);
 
-/// An idle worker is looked at this often; the longest wait that workers allow is 2 s.
-const IDLE_WAIT: Duration = Duration::from_millis(2_000);
+/// Interval of polls to an idle worker; the longest wait that workers allow is 2 s.
+const IDLE_POLL_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Up to this many workers are looked at as often as the waits say; more of them less often, so that
-/// the looks stay within what a small instance can do: 100 a second take 8 ms of a core.
-const FEW_WORKERS: u32 = 100;
+/// Up to this many workers are polled at the intervals above. With more workers the intervals grow
+/// in proportion, so that the polls stay within what a small instance can do: 100 polls a second
+/// take 8 ms of a core.
+const FULL_RATE_WORKERS: u32 = 100;
 
-/// A start counts as refused for its deadline this much behind it: what runs and what the clock shows may
-/// not be of quite the same moment.
+/// A start counts as refused for its deadline only this long after the deadline: the worker's list
+/// of runs and its clock reading may not be taken at quite the same moment.
 pub(crate) const START_DEADLINE_SLACK: Duration = Duration::from_millis(100);
 
-/// Wait before a stop is sent again to a worker that lists the run still.
-const STRAY_AGAIN: Duration = Duration::from_millis(500);
+/// Interval between stops of an unwanted run that the worker still lists.
+const UNWANTED_STOP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl core::PoolCore {
-    /// How to look at a worker next; nothing where it is no longer known.
+    /// The next poll to send to a worker; `None` if the worker is not known any more.
     pub fn next_poll(
         &mut self,
         worker: &ids::WorkerId,
         now: Duration,
     ) -> Option<order::PollRequest> {
         let lease = self.timing.lease;
-        let busy_wait = if self.has_urgent(worker) { URGENT_WAIT } else { BUSY_WAIT };
+        let busy_wait =
+            if self.has_urgent_task(worker) { URGENT_POLL_WAIT } else { BUSY_POLL_WAIT };
         let n_workers = self.workers.len() as u32;
-        let busy_wait = (busy_wait * n_workers.max(FEW_WORKERS) / FEW_WORKERS).min(IDLE_WAIT);
+        let busy_wait =
+            (busy_wait * n_workers.max(FULL_RATE_WORKERS) / FULL_RATE_WORKERS).min(IDLE_POLL_WAIT);
         let record = self.workers.get_mut(worker)?;
-        // To a worker that does not answer no new deadline is sent: it would move the moment
-        // on from which its tasks have surely lapsed.
+        // A worker that does not answer gets no new deadline: it would postpone the time at which
+        // its tasks have surely lapsed.
         let answers = record.is_responsive();
         let deadline_ms = if answers { record.clock.deadline_in(now, lease) } else { None };
         let ack = record.next_ack(now);
         let has_runs = !record.runs.is_empty() || !record.unwanted_runs.is_empty();
         let wait = match (answers, has_runs) {
-            // Ends that are not durable yet are listed again at once.
+            // Ends that are not durable yet stay unacknowledged, so the worker lists them again at once.
             _ if !record.unsaved_ends.is_empty() => Duration::ZERO,
             _ if ack == ack_window::EndAck::VerifyFirst => Duration::ZERO,
             (false, _) => Duration::ZERO,
             (true, true) => busy_wait,
-            (true, false) => IDLE_WAIT,
+            (true, false) => IDLE_POLL_WAIT,
         };
         record.incarnation_trust.poll_sent(wait, ack);
         Some(order::PollRequest {
@@ -72,18 +77,18 @@
         })
     }
 
-    fn has_urgent(&self, worker: &ids::WorkerId) -> bool {
+    fn has_urgent_task(&self, worker: &ids::WorkerId) -> bool {
         let runs = self.workers.get(worker).map(|it| &it.runs);
         let mut jobs = runs.into_iter().flatten().filter_map(|it| self.jobs.get(&it.graph));
         jobs.any(|it| it.priority == preemption::URGENT_PRIORITY)
     }
 
-    /// Whether ends of the worker wait to become durable.
+    /// Whether ends that the worker listed wait for their changes to become durable.
     pub fn has_unsaved_ends(&self, worker: &ids::WorkerId) -> bool {
         self.workers.get(worker).is_some_and(|it| !it.unsaved_ends.is_empty())
     }
 
-    /// A look at a worker had no answer.
+    /// Records that a poll had no answer.
     pub fn poll_missed(&mut self, worker: &ids::WorkerId) {
         if self.count_missed_exchange(worker) {
             let n_runs = self.workers.get(worker).map_or(0, |it| it.runs.len());
@@ -91,7 +96,7 @@
         }
     }
 
-    /// Takes in what a worker lists, in answer to a look sent at `sent_at`.
+    /// Applies a worker's answer to the poll that was sent at `sent_at`.
     pub fn poll_answered(
         &mut self,
         worker: &ids::WorkerId,
@@ -100,15 +105,15 @@
         now: Duration,
     ) {
         let Some(record) = self.workers.get(worker) else { return };
-        let life = record.incarnation_of_answer(&listed, sent_at);
-        if life == worker_restarts::AnswerIncarnation::Earlier {
-            tracing::debug!(worker, "an answer of a former life is passed over");
+        let incarnation_of_answer = record.incarnation_of_answer(&listed, sent_at);
+        if incarnation_of_answer == worker_restarts::AnswerIncarnation::Earlier {
+            tracing::debug!(worker, "ignored an answer of an earlier incarnation");
             return;
         }
         if record.n_missed > 1 {
             tracing::info!(worker, n_missed = record.n_missed, "worker answers again");
         }
-        if life == worker_restarts::AnswerIncarnation::Later {
+        if incarnation_of_answer == worker_restarts::AnswerIncarnation::Later {
             self.worker_restarted(worker, &listed, now);
         }
         let Some(record) = self.workers.get_mut(worker) else { return };
@@ -122,27 +127,32 @@
         self.withdraw_silence_note(worker);
         self.note_contact(worker, listed.clock_ms, now);
         if is_first {
-            self.adopt_lease(worker, life);
+            self.adopt_lease(worker, incarnation_of_answer);
         }
         for end in listed.ended {
-            self.take_end_in_order(worker, end, now);
+            self.process_new_end(worker, end, now);
         }
         let running = listed.running.iter().map(|it| (it.task, it.attempt));
         let running = running.collect::<BTreeMap<_, _>>();
-        let listed_at = ListedAt { clock: Duration::from_millis(listed.clock_ms), sent_at, now };
+        let listed_at = AnswerTimes { clock: Duration::from_millis(listed.clock_ms), sent_at, now };
         for run in listed.running {
-            self.take_running(worker, run, listed_at);
+            self.process_listed_run(worker, run, listed_at);
         }
         if listed.complete {
-            self.take_missing(worker, &running, listed_at);
+            self.process_missing_runs(worker, &running, listed_at);
         }
         self.detect_slow_worker(worker, now);
     }
 
-    /// An earlier scheduler may have extended the lease just before; and a life that was not known yet
-    /// may have been given a deadline by the clock of the former one.
-    fn adopt_lease(&mut self, worker: &ids::WorkerId, life: worker_restarts::AnswerIncarnation) {
-        let lease = match life {
+    /// Assumes the longest lease that the worker may hold at its first answer. An earlier scheduler
+    /// may have extended the lease just before; a later incarnation may have been given a deadline
+    /// by the clock of the earlier one.
+    fn adopt_lease(
+        &mut self,
+        worker: &ids::WorkerId,
+        incarnation_of_answer: worker_restarts::AnswerIncarnation,
+    ) {
+        let lease = match incarnation_of_answer {
             worker_restarts::AnswerIncarnation::Later => self.timing.longest_lease,
             _ => self.timing.lease,
         };
@@ -151,25 +161,30 @@
         }
     }
 
-    fn take_end_in_order(&mut self, worker: &ids::WorkerId, end: order::ListedEnd, now: Duration) {
+    fn process_new_end(&mut self, worker: &ids::WorkerId, end: order::ListedEnd, now: Duration) {
         let Some(record) = self.workers.get_mut(worker) else { return };
         if end.number <= record.highest_seen_end {
             return;
         }
         record.highest_seen_end = end.number;
         let number = end.number;
-        let mark = self.take_end(worker, end, now);
+        let mark = self.apply_end(worker, end, now);
         if let Some(record) = self.workers.get_mut(worker) {
             record.unsaved_ends.push_back(worker::UnsavedEnd { number, change: mark });
             record.advance_acknowledged(&self.unsaved);
         }
     }
 
-    fn take_running(&mut self, worker: &ids::WorkerId, run: order::ListedRun, at: ListedAt) {
+    fn process_listed_run(
+        &mut self,
+        worker: &ids::WorkerId,
+        run: order::ListedRun,
+        at: AnswerTimes,
+    ) {
         match self.classify(worker, &run) {
             RunClass::Expected => self.update_run(run, at),
             RunClass::Unknown => self.adopt_run(worker, run, at),
-            RunClass::Unwanted => self.stop_stray(worker, &run, at.now),
+            RunClass::Unwanted => self.stop_unwanted_run(worker, &run, at.now),
         }
     }
 
@@ -177,8 +192,8 @@
         let Some(job) = self.jobs.get(&run.task.graph) else { return RunClass::Unwanted };
         let Some(task) = job.task(run.task) else { return RunClass::Unwanted };
         if let Some(known) = &task.run {
-            let is_it = known.worker == *worker && known.attempt == run.attempt;
-            return if is_it { RunClass::Expected } else { RunClass::Unwanted };
+            let is_same_run = known.worker == *worker && known.attempt == run.attempt;
+            return if is_same_run { RunClass::Expected } else { RunClass::Unwanted };
         }
         let is_new = run.attempt > task.ended_attempt;
         if job.inherited && !job.has_ended() && !task.done && is_new {
@@ -187,9 +202,9 @@
         RunClass::Unwanted
     }
 
-    fn update_run(&mut self, listed: order::ListedRun, at: ListedAt) {
-        let ListedAt { clock, now, .. } = at;
-        let usual = self.class_pace(listed.task).or_else(|| self.sibling_pace(listed.task));
+    fn update_run(&mut self, listed: order::ListedRun, at: AnswerTimes) {
+        let AnswerTimes { clock, now, .. } = at;
+        let expected_pace = self.class_pace(listed.task).or_else(|| self.sibling_pace(listed.task));
         let key = listed.task;
         let Some(job) = self.jobs.get_mut(&listed.task.graph) else { return };
         let has_comparable_run_time = job.has_comparable_run_time(key);
@@ -205,7 +220,7 @@
             has_begun = true;
         }
         let first_confirmed_clock = *run.first_confirmed_clock.get_or_insert(clock);
-        run.pace.observe(clock, listed.percent, usual);
+        run.pace.observe(clock, listed.percent, expected_pace);
         if run.percent != listed.percent {
             run.percent = listed.percent;
             run.percent_changed_at = now;
@@ -224,9 +239,9 @@
         }
     }
 
-    /// A run that an earlier scheduler has ordered goes on.
-    fn adopt_run(&mut self, worker: &ids::WorkerId, listed: order::ListedRun, at: ListedAt) {
-        let ListedAt { clock, now, .. } = at;
+    /// Continues a run that an earlier scheduler ordered.
+    fn adopt_run(&mut self, worker: &ids::WorkerId, listed: order::ListedRun, at: AnswerTimes) {
+        let AnswerTimes { clock, now, .. } = at;
         let Some(job) = self.jobs.get_mut(&listed.task.graph) else { return };
         job.started = true;
         job.state = almondpass_schema::model::GraphState::Running;
@@ -260,53 +275,54 @@
         if let Some(record) = self.workers.get_mut(worker) {
             record.runs.insert(listed.task);
             record.used = record.used.plus(room);
-            // Where others run already, none joins them.
+            // Runs that are on the worker already go on, but no other run joins an isolated one.
             if needs_isolation {
                 record.isolated_runs.insert(listed.task);
             }
         }
     }
 
-    fn stop_stray(&mut self, worker: &ids::WorkerId, run: &order::ListedRun, now: Duration) {
+    fn stop_unwanted_run(&mut self, worker: &ids::WorkerId, run: &order::ListedRun, now: Duration) {
         let job = self.jobs.get(&run.task.graph);
         let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
         let room = room.unwrap_or(record.entry.capacity);
-        let fresh = worker::UnwantedRun { attempt: run.attempt, room, asked_at: None };
-        let stray = record.unwanted_runs.entry(run.task).or_insert(fresh);
-        stray.attempt = stray.attempt.max(run.attempt);
-        if stray.asked_at.is_some_and(|it| now < it + STRAY_AGAIN) {
+        let first_listed = worker::UnwantedRun { attempt: run.attempt, room, asked_at: None };
+        let unwanted = record.unwanted_runs.entry(run.task).or_insert(first_listed);
+        unwanted.attempt = unwanted.attempt.max(run.attempt);
+        if unwanted.asked_at.is_some_and(|it| now < it + UNWANTED_STOP_INTERVAL) {
             return;
         }
-        stray.asked_at = Some(now);
-        let attempt = stray.attempt;
+        unwanted.asked_at = Some(now);
+        let attempt = unwanted.attempt;
         tracing::info!(
             job = format_args!("{:016x}", run.task.graph),
             task = %run.task,
             attempt,
             worker,
-            "unwanted run is stopped"
+            "stopping an unwanted run"
         );
         self.order_stop(worker.clone(), run.task, attempt);
     }
 
-    /// Runs that a worker does not list, although the look was sent after they were settled.
-    fn take_missing(
+    /// Settles runs that the worker does not list although the poll was sent after their last
+    /// confirmation.
+    fn process_missing_runs(
         &mut self,
         worker: &ids::WorkerId,
         running: &BTreeMap<task_key::TaskKey, u32>,
-        at: ListedAt,
+        at: AnswerTimes,
     ) {
         let Some(record) = self.workers.get_mut(worker) else { return };
         record.unwanted_runs.retain(|key, _| running.contains_key(key));
         let missing = record.runs.iter().filter(|it| !running.contains_key(it));
         for key in missing.copied().collect::<Vec<_>>() {
-            self.take_missing_run(key, at);
+            self.process_missing_run(key, at);
         }
     }
 
-    fn take_missing_run(&mut self, key: task_key::TaskKey, at: ListedAt) {
-        let ListedAt { sent_at, now, .. } = at;
+    fn process_missing_run(&mut self, key: task_key::TaskKey, at: AnswerTimes) {
+        let AnswerTimes { sent_at, now, .. } = at;
         let Some(job) = self.jobs.get(&key.graph) else { return };
         let Some(run) = job.task(key).and_then(|it| it.run.as_ref()) else { return };
         match run.phase {
@@ -327,29 +343,37 @@
                 );
                 self.release_run(key, now);
             }
-            // Its answer is still to come.
+            // The answer to the start, or a poll sent after the run was confirmed, is still to
+            // come.
             job::RunPhase::Ordered | job::RunPhase::Running { .. } => {}
-            _ if self.is_start_over(key, run, at) => {
+            _ if self.has_start_expired(key, run, at) => {
                 tracing::info!(
                     job = format_args!("{:016x}", key.graph),
                     task = %key,
                     attempt = run.attempt,
                     worker = run.worker,
                     belief = run.phase.name(),
-                    "start has not taken effect by its deadline"
+                    "start did not take effect by its deadline"
                 );
                 self.release_run(key, now);
             }
-            // It has not come yet and may come later: a stop makes the worker refuse it then.
+            // The start may still arrive after this answer: a stop makes the worker refuse it.
             job::RunPhase::Unclear { since } if sent_at > since => self.stop_run(key, now),
             _ => {}
         }
     }
 
-    /// Whether a run that is not listed can't begin any more: the life that it was meant for is behind its
-    /// deadline. Without it a worker that answers no stop would keep the task for as long as it does so.
-    /// A later life has another clock: there it is over once a lease has surely lapsed, had that life taken it.
-    fn is_start_over(&self, key: task_key::TaskKey, run: &job::TaskRun, at: ListedAt) -> bool {
+    /// Whether a run that the worker does not list can't begin any more, because the clock of the
+    /// incarnation for which the start was meant has passed the start's deadline. Without this
+    /// check a worker that answers polls but no stops would keep the task for as long as it does
+    /// so. The deadline says nothing on the clock of a later incarnation: there the run is over
+    /// once the lease would have lapsed if that incarnation had taken the start.
+    fn has_start_expired(
+        &self,
+        key: task_key::TaskKey,
+        run: &job::TaskRun,
+        at: AnswerTimes,
+    ) -> bool {
         let (Some(start), Some(record)) = (run.start_deadline, self.workers.get(&run.worker))
         else {
             return false;
@@ -362,14 +386,14 @@
     }
 }
 
-/// When a worker listed something.
+/// The times of a worker's answer to a poll.
 #[derive(Clone, Copy, Debug)]
-struct ListedAt {
-    /// By the worker's clock.
+struct AnswerTimes {
+    /// Reading of the worker's clock in the answer.
     clock: Duration,
-    /// When the look was sent, by ours.
+    /// When the poll was sent, by the scheduler's clock.
     sent_at: Duration,
-    /// When it was taken in, by ours.
+    /// When the answer was processed, by the scheduler's clock.
     now: Duration,
 }
 
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -1,10 +1,11 @@
-//! What a scheduler may do with what an earlier one has left, while it can't reach some of the workers.
+//! Starts of inherited jobs after a takeover, while some workers can't be reached.
 //!
-//! On a worker that does not answer anything may run that is found nowhere else, until the leases there have
-//! lapsed. Nearly always that worker had been silent before the earlier scheduler went, which had put on
-//! record what it had started there, and started nothing more. With that noted beside the worker, only what
-//! is on record waits: otherwise one dead worker would keep all that was accepted before the takeover from
-//! starting, for twice as long as the platform lets a job stand still.
+//! A worker that does not answer may run tasks that are found nowhere else, until its leases have
+//! lapsed. Nearly always it was already silent before the earlier scheduler ended; that scheduler
+//! had saved all starts on the worker, and ordered no more there. The roster notes this for each
+//! silent worker. With the note only tasks with saved starts have to wait. Without it one dead
+//! worker would keep all jobs that were accepted before the takeover from starting, for twice as
+//! long as the platform lets a job be idle.
 
 use std::time::Duration;
 
@@ -17,17 +18,19 @@
 use crate::task_key;
 use crate::worker;
 
-/// A worker that has been silent for this long is noted. Each note is a write, and one more takes it back.
-const NOTED_AFTER: Duration = Duration::from_millis(700);
+/// A worker that has been silent for this long gets a silence note in the roster. Each note costs a
+/// write, and another one to withdraw it.
+const SILENCE_NOTE_DELAY: Duration = Duration::from_millis(700);
 
-/// How much has settled of what an earlier tenure has left.
+/// The inherited jobs of which it is known where their tasks run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SettledJobs {
-    /// Any task may run on some worker that has not answered.
+    /// No inherited job: any task may run on some worker that has not answered.
     NoneInherited,
-    /// Only tasks whose starts are on record may.
+    /// All but jobs with a saved start of which nothing was heard since: only such tasks may run on
+    /// the workers that have not answered.
     AllButSavedStarts,
-    /// All workers have answered, or their leases have lapsed.
+    /// All jobs: every inherited worker has answered, or its lease has lapsed.
     All,
 }
 
@@ -41,81 +44,90 @@
         if open.peek().is_none() {
             return SettledJobs::All;
         }
-        let is_recorded = open.all(|(id, _)| core.roster.are_starts_saved(id));
-        if is_recorded { SettledJobs::AllButSavedStarts } else { SettledJobs::NoneInherited }
+        let has_only_saved_starts = open.all(|(id, _)| core.roster.are_starts_saved(id));
+        if has_only_saved_starts {
+            SettledJobs::AllButSavedStarts
+        } else {
+            SettledJobs::NoneInherited
+        }
     }
 
-    /// Whether what of a job runs is known.
+    /// Whether it is known where the tasks of a job run, so that its other tasks may start.
     pub(crate) fn covers(self, job: &job::JobRecord) -> bool {
         match self {
             _ if !job.inherited => true,
             SettledJobs::NoneInherited => false,
-            SettledJobs::AllButSavedStarts => !has_recorded_start(job),
+            SettledJobs::AllButSavedStarts => !has_saved_start(job),
             SettledJobs::All => true,
         }
     }
 }
 
-/// Whether an earlier scheduler has left the start of a task on record of which nothing was heard since.
-fn has_recorded_start(job: &job::JobRecord) -> bool {
+/// Whether an earlier scheduler saved the start of a task of which no worker has reported anything
+/// since.
+fn has_saved_start(job: &job::JobRecord) -> bool {
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
     tasks.any(|it| it.suspicion.inherited_attempt.is_some())
 }
 
 impl core::PoolCore {
-    /// Notes of each worker that has been silent for a while that all that may run there is on record, once
-    /// that is durable.
+    /// Adds a silence note to the roster for each worker that has been silent for a while and whose
+    /// starts are all saved. The note becomes valid once it is durable.
     pub(crate) fn note_silent_workers(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(id, it)| {
             it.n_missed > 0
-                && now >= it.silent_since + NOTED_AFTER
+                && now >= it.silent_since + SILENCE_NOTE_DELAY
                 && !self.roster.are_starts_saved(id)
         });
-        let silent = silent.filter(|(_, it)| self.is_recorded(it, now));
+        let silent = silent.filter(|(_, it)| self.has_only_saved_starts(it, now));
         let silent = silent.map(|(id, _)| id.clone()).collect::<Vec<_>>();
         for worker in silent {
-            self.put_on_roster(&worker, true);
+            self.set_silence_note(&worker, true);
         }
     }
 
-    /// Takes in whether the earlier scheduler has kept what the roster notes of silent workers. Where it
-    /// has not, it may have started tasks there all the same, and the notes are taken back.
+    /// Records whether the earlier scheduler maintained the silence notes in the roster. If it did
+    /// not, it may have started tasks on workers with a note all the same, and the notes are
+    /// withdrawn.
     pub fn inherit_silence_notes(&mut self, is_kept: bool) {
         self.keeps_silence_notes = is_kept;
         if is_kept {
             return;
         }
         for worker in self.workers.keys().cloned().collect::<Vec<_>>() {
-            self.put_on_roster(&worker, false);
+            self.set_silence_note(&worker, false);
         }
     }
 
-    /// Whether a successor may go by what the roster notes of silent workers.
+    /// Whether a successor may rely on the silence notes in the roster.
     pub fn keeps_silence_notes(&self) -> bool {
         self.keeps_silence_notes
     }
 
-    /// Takes note that rows were saved: once the roster is, no note of an earlier scheduler is left.
+    /// Called after rows were saved. Once no roster page is unsaved, no note of an earlier
+    /// scheduler is left in the store.
     pub(crate) fn note_roster_saved(&mut self) {
         let is_roster =
             |it: save_queue::SaveRowKey| matches!(it, save_queue::SaveRowKey::Roster { .. });
         self.keeps_silence_notes |= !self.unsaved.has_unsaved(is_roster);
     }
 
-    /// A worker has answered: it may get tasks once the note of its silence is gone.
+    /// Withdraws the silence note of a worker that has answered. It may get tasks once the
+    /// withdrawal is durable.
     pub(crate) fn withdraw_silence_note(&mut self, worker: &ids::WorkerId) {
-        self.put_on_roster(worker, false);
+        self.set_silence_note(worker, false);
     }
 
-    fn put_on_roster(&mut self, worker: &ids::WorkerId, are_starts_saved: bool) {
+    fn set_silence_note(&mut self, worker: &ids::WorkerId, are_starts_saved: bool) {
         if let Some(page) = self.roster.set_starts_saved(worker, are_starts_saved) {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
     }
 
     /// Whether the store has the start of each task that may run on a worker.
-    fn is_recorded(&self, worker: &worker::WorkerRecord, now: Duration) -> bool {
-        // What was started there before this tenure is known once it has answered, or is over.
+    fn has_only_saved_starts(&self, worker: &worker::WorkerRecord, now: Duration) -> bool {
+        // Starts from before this tenure are known once the worker has answered; at `settles_at`
+        // they have all ended.
         let is_known = worker.fenced || now >= self.settles_at;
         is_known
             && worker.unwanted_runs.is_empty()
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -12,7 +12,7 @@
 impl core::PoolCore {
     /// Takes in an end. Returns the change that has to be durable before the end may be
     /// acknowledged; nothing where a successor need not know of it.
-    pub(crate) fn take_end(
+    pub(crate) fn apply_end(
         &mut self,
         worker: &ids::WorkerId,
         end: order::ListedEnd,
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the scheduler keeps them.
+//! The scheduler's records of workers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -16,178 +16,192 @@
 use crate::task_key;
 use crate::timing;
 
-/// Kept for the way of a start.
+/// Allowance for the time in which a start reaches the worker. A start is ordered only if the
+/// worker's entry stays fresh for that long.
 const NEWS_MARGIN: Duration = Duration::from_millis(300);
 
-/// What the platform's list says of a worker.
+/// A worker's entry in the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Its control address.
+    /// Address at which the worker takes starts, stops and polls.
     pub address: ids::PeerAddress,
-    /// Whose tasks it runs.
+    /// Upstream whose tasks the worker runs.
     pub upstream: ids::UpstreamName,
-    /// What it offers.
+    /// Resources that the worker offers in total.
     pub capacity: resources::Resources,
-    /// All its labels.
+    /// All labels of the worker, including the one that names its rack.
     pub labels: Vec<String>,
-    /// Its data centre.
+    /// Data centre that contains the worker.
     pub data_center: ids::DataCenter,
-    /// The label that names its rack.
+    /// The label that names the worker's rack.
     pub rack: ids::RackName,
-    /// Whether it is about to leave, and the least time that it stays.
+    /// Minimum time for which the worker stays, if it is about to leave; `None` if it is not.
     pub leaves_in: Option<Duration>,
-    /// The life of the worker that says so, where the platform tells lives apart.
+    /// Incarnation of the worker that wrote the entry; `None` on a platform that doesn't number
+    /// incarnations.
     pub incarnation: Option<ids::Incarnation>,
-    /// Rises with each time that a life of the worker has written this, where the platform numbers that.
+    /// Number of the write; rises with each write of the entry by the same incarnation. `None` on a
+    /// platform that doesn't number writes.
     pub sequence: Option<u64>,
 }
 
 impl WorkerEntry {
-    /// Whether the same life has written `later` behind this: the store may carry writes out late.
+    /// Whether the same incarnation wrote `later` after this entry. The two may be read in the
+    /// other order, as the store may carry out a write late.
     pub fn is_superseded_by(&self, later: &WorkerEntry) -> bool {
         let is_same_life = self.incarnation.is_some() && self.incarnation == later.incarnation;
         is_same_life && self.sequence.zip(later.sequence).is_some_and(|(it, later)| it < later)
     }
 
-    /// Whether the worker is found at that address, for that upstream: all that the roster tells of it.
+    /// Whether the worker has that address and upstream, which is all that the roster saves of an
+    /// entry.
     pub fn has_endpoint(&self, address: &str, upstream: &str) -> bool {
         self.address == address && self.upstream == upstream
     }
 }
 
-/// A worker and what is known to be on it.
+/// A worker, its lease, and the runs and ends that the scheduler knows of on it.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerRecord {
-    /// What the list said last.
+    /// The entry last read from the platform's list.
     pub entry: WorkerEntry,
-    /// The same as placing needs it.
+    /// The parts of `entry` that placement needs, shared with each round's candidates.
     pub place: Arc<candidate::WorkerProfile>,
-    /// The life that its entry told of last.
+    /// The last incarnation that any entry of the worker named.
     pub entry_incarnation: Option<ids::Incarnation>,
-    /// Whether the list has it now.
+    /// Whether the platform's list contains the worker now.
     pub listed: bool,
-    /// What its entry says is from then or later, as far as that is known under this tenure.
+    /// The content of the entry dates from this time or later. `None` if this is not known under
+    /// the present tenure.
     pub entry_current_at: Option<Duration>,
-    /// The list told of its entry anew behind then.
+    /// Time up to which the platform's list had been read when the entry was last received.
     pub entry_read_at: Option<Duration>,
-    /// When the list first said that it leaves, as the time until which it stays at least.
+    /// When the worker may leave at the earliest, computed when its entry first announced it.
     pub leaves_at: Option<Duration>,
-    /// Whether it has answered under this tenure, so that orders of earlier ones are refused.
+    /// Whether the worker has answered under this tenure and so refuses orders of earlier tenures.
     pub fenced: bool,
-    /// Whether tasks of an earlier tenure may be on it.
+    /// Whether tasks that an earlier tenure started may be on the worker.
     pub inherited: bool,
-    /// The life of it that is known, where the platform tells lives apart. All that follows belongs
-    /// to it.
+    /// The known incarnation of the worker; `None` on a platform that doesn't number incarnations.
+    /// All fields below belong to this incarnation.
     pub incarnation: Option<ids::Incarnation>,
-    /// Number of that life; rises with each that is found. Orders name it.
+    /// The scheduler's own number of that incarnation; rises with each new incarnation that is
+    /// found. Orders carry it.
     pub generation: u32,
-    /// When that life was found.
+    /// When the scheduler found that incarnation.
     pub incarnation_since: Duration,
-    /// Its clock and lease.
+    /// Model of the worker's clock, and of its lease by that clock.
     pub clock: lease_clock::LeaseClock,
-    /// When it last answered anything.
+    /// When the worker last answered a call.
     pub last_contact_at: Duration,
-    /// Exchanges without an answer since it last answered a look. While there are any, nobody knows
-    /// whether the worker has started again.
+    /// Number of calls without an answer since the last answered poll. While it is above zero, the
+    /// worker may have restarted unnoticed.
     pub n_missed: u32,
-    /// When time was last taken note of before the first of them.
+    /// Time of the last maintenance before the first of those calls.
     pub silent_since: Duration,
-    /// Whether it is silent, its lease has surely lapsed, and nothing can be on it before it answers.
+    /// Whether the worker is silent, its lease has surely lapsed, and nothing can run on it before
+    /// it answers again.
     pub has_lapsed: bool,
-    /// What its looks tell of which life it is in.
+    /// Period after an answered poll in which acknowledging ends is safe.
     pub incarnation_trust: ack_window::AckWindow,
-    /// Lowest end that its last answer has listed.
+    /// Lowest end number in the worker's last answer.
     pub lowest_listed_end: Option<u64>,
-    /// Highest end that was taken in.
+    /// Highest end number that was processed.
     pub highest_seen_end: u64,
-    /// Ends that wait to be durable before they may be acknowledged.
+    /// Ends that were processed but may not be acknowledged yet, as their changes are not durable.
+    /// In order of their numbers.
     pub unsaved_ends: VecDeque<UnsavedEnd>,
-    /// Highest end that may be acknowledged.
+    /// Highest end number that may be acknowledged to the worker.
     pub acknowledged: u64,
-    /// Tasks whose room counts here.
+    /// Tasks whose resources count as used on this worker.
     pub runs: BTreeSet<task_key::TaskKey>,
-    /// Those of them that have it for themselves, as they may crash it.
+    /// Those of `runs` that are isolated runs: they have the worker for themselves, as they may
+    /// crash it.
     pub isolated_runs: BTreeSet<task_key::TaskKey>,
-    /// Room of these tasks.
+    /// Sum of the resources of `runs`.
     pub used: resources::Resources,
-    /// Runs that should not be there, by attempt, with the time of the last stop.
+    /// Runs that should not be on the worker and are being stopped.
     pub unwanted_runs: BTreeMap<task_key::TaskKey, UnwantedRun>,
-    /// How it has been doing.
+    /// Recent failures of tasks on the worker.
     pub health: health::WorkerHealth,
-    /// Its tasks are far slower than they should be; nothing is started before this.
+    /// Nothing starts on the worker before this time, as its tasks are far slower than expected.
     pub slow_until: Duration,
-    /// Nothing is started before this: it said that it has no room, or is unwell.
+    /// Nothing starts on the worker before this time, as it refused a start for lack of resources
+    /// or for its health.
     pub paused_until: Duration,
-    /// Room that is being cleared for units.
+    /// Resources that are being preempted for units that wait.
     pub claims: Vec<ResourceClaim>,
-    /// What ran there when its life was taken to be over, for when it is surer whether it is.
+    /// Runs whose loss was assumed with this worker; kept until it is certain whether the
+    /// incarnation has ended.
     pub lost_runs: Vec<losses::LostRun>,
 }
 
-/// Room that is being cleared for a unit and that nothing else may take.
+/// Resources of a worker that are being preempted for one unit; nothing else may use them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceClaim {
-    /// The unit.
+    /// Unit for which the resources are preempted.
     pub unit: task_key::UnitKey,
-    /// How much.
+    /// Claimed resources.
     pub room: resources::Resources,
-    /// Lapses then, in case the unit went elsewhere.
+    /// When the claim expires, in case the unit was placed elsewhere.
     pub until: Duration,
 }
 
-/// An end that a worker has listed.
+/// An end that a worker has listed and whose change may not be durable yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnsavedEnd {
-    /// Its number at the worker.
+    /// Number that the worker gave the end; rises with each end.
     pub number: u64,
-    /// The change that has to be durable first; nothing where a successor need not know of it.
+    /// The change that has to be durable before the end is acknowledged; `None` if a successor does
+    /// not need to know of the end.
     pub change: Option<save_queue::RowChange>,
 }
 
-/// A run that nobody wants.
+/// A run on a worker that is not expected there and is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnwantedRun {
-    /// Its attempt.
+    /// Highest attempt of the task that the worker has listed.
     pub attempt: u32,
-    /// What it takes: all that the worker offers where its job is not known any more.
+    /// Resources that the run takes; the worker's whole capacity if its job is unknown.
     pub room: resources::Resources,
-    /// When a stop was last sent.
+    /// When a stop was last sent; `None` before the first one.
     pub asked_at: Option<Duration>,
 }
 
 impl WorkerRecord {
-    /// A worker of which nothing is known.
+    /// A record without an entry, runs or contact, for a new incarnation with that number.
     pub fn with_generation(generation: u32) -> WorkerRecord {
         WorkerRecord { generation, ..WorkerRecord::default() }
     }
 
-    /// What is in use, by tasks that should be there and by those that are being stopped because they
-    /// should not.
+    /// Resources in use, both by expected runs and by unwanted runs that are being stopped.
     pub fn in_use(&self) -> resources::Resources {
         self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.room))
     }
 
-    /// What is free. A worker that refuses nothing would be filled beyond its room beside runs that are
-    /// being stopped.
+    /// Free resources. Unwanted runs count as used, because a worker without an admission check
+    /// would otherwise be filled beyond its capacity while they are being stopped.
     pub fn free(&self) -> resources::Resources {
         self.entry.capacity.minus(self.in_use())
     }
 
-    /// Whether its room may have shrunk unheard, so that it counts by now: its entry has not been written,
-    /// or not been read, for so long.
+    /// Whether the entry is too old to rely on its capacity: it was not written, or not read, for
+    /// so long that the worker may offer fewer resources by now.
     pub fn is_entry_stale(&self, timing: &timing::PoolTiming, now: Duration) -> bool {
         self.entry_current_at.is_none_or(|it| now + NEWS_MARGIN >= it + timing.max_entry_age)
     }
 
-    /// Whether it has answered under this tenure, and each call since.
+    /// Whether the worker has answered under this tenure, and every call since its last answered
+    /// poll.
     pub fn is_responsive(&self) -> bool {
         self.fenced && self.n_missed == 0
     }
 
-    /// What the next look acknowledges: only what the last answer has listed, and only to a life that
-    /// was seen a moment ago. A worker that has started again forgets ends of its new life that have the
-    /// same numbers, unseen; one notices by tasks that are done, by the worker's word, and start once
-    /// more. So no acknowledgement is repeated without need, either.
+    /// Which ends the next poll acknowledges: only those that the last answer listed, and only to
+    /// an incarnation that answered a moment ago. A worker that has restarted would forget ends of
+    /// its new incarnation that have the same numbers, before the scheduler has read them; this
+    /// shows as tasks that the worker reports done and that are started again. For the same reason
+    /// no acknowledgement is repeated without need.
     pub fn next_ack(&self, now: Duration) -> ack_window::EndAck {
         let is_owed = self.lowest_listed_end.is_some_and(|it| it <= self.acknowledged);
         if !is_owed {
@@ -200,18 +214,20 @@
         }
     }
 
-    /// Whether it leaves and nothing is on it any more; nothing new will be.
+    /// Whether the worker is leaving and nothing is on it. Nothing starts on a worker that is
+    /// leaving.
     pub fn has_left(&self) -> bool {
         let is_empty = self.runs.is_empty() && self.unwanted_runs.is_empty();
         self.leaves_at.is_some() && self.fenced && is_empty
     }
 
-    /// Whether a successor has to expect tasks on it.
+    /// Whether a successor has to expect tasks on the worker.
     pub fn belongs_in_roster(&self) -> bool {
         !self.has_left() && !self.has_lapsed
     }
 
-    /// Moves on the end that may be acknowledged, as far as what the ends changed is durable.
+    /// Raises `acknowledged` over all processed ends up to the first one whose change is not
+    /// durable yet.
     pub fn advance_acknowledged(&mut self, unsaved: &save_queue::SaveQueue) {
         while let Some(end) = self.unsaved_ends.front().copied() {
             if end.change.is_some_and(|it| !unsaved.is_durable(it)) {
