--- a/crates/graph/src/failed_placement.rs
+++ b/crates/graph/src/failed_placement.rs
@@ -1,13 +1,13 @@
-//! What was asked for in vain in a turn.
+//! Placement requests that failed in the present round.
 //!
-//! Within a turn workers only fill up. So where a task found no room, one that asks for no less finds
-//! none either, and need not be tried: on a pool that is full each waiting job would go over all
-//! workers, in each turn.
+//! Within a round the free resources of workers only shrink. A request that asks for no less than
+//! one that has failed therefore fails too, and need not be tried. Without this, on a full pool,
+//! the scheduler would go over all workers for each waiting job in each round.
 
 use crate::candidate;
 use crate::resources;
 
-/// What a single task asked for in vain.
+/// The requirements of a single task for which no worker was found.
 #[derive(Clone, Debug)]
 pub struct FailedPlacement {
     upstream: usize,
@@ -19,8 +19,9 @@
 }
 
 impl FailedPlacement {
-    /// What `ask` wanted, where that tells of others: not where it was alone in what it avoids, or in
-    /// how many of its tasks a worker may have.
+    /// The requirements of a failed `request`. `None` if they say nothing about other requests,
+    /// because workers that only this task avoids, or its limit of tasks per worker, may have made
+    /// it fail.
     pub fn of(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
         let tells = request.n_tasks == 1
             && request.avoids.is_empty()
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Whether `ask` wants no less than what was not found.
+    /// Whether `request` requires no less than the failed request, so that it fails too.
     pub fn covers(&self, request: &candidate::PlacementRequest) -> bool {
         self.upstream == request.upstream
             && self.room.fits_in(request.per_task)
@@ -47,7 +48,7 @@
     }
 }
 
-/// The only rack that will do, if there is one.
+/// The rack on which the task has to run; `None` if it may run on any.
 fn only_rack(request: &candidate::PlacementRequest) -> Option<usize> {
     request.rack_number.filter(|_| !request.allows_remote)
 }
--- a/crates/graph/src/progress.rs
+++ b/crates/graph/src/progress.rs
@@ -1,7 +1,8 @@
-//! What is saved of a job, chunk by chunk, and how it is read back.
+//! The rows in which a job's progress is saved, and how a job is restored from them.
 //!
-//! The tasks of all steps, one step behind the other, are cut into chunks of equal size, each with a
-//! row of its own: neither a row nor what one end of a task writes grows with the job.
+//! The tasks of all steps, in the order of the steps, are cut into chunks of equal size, each with
+//! a row of its own. So neither the size of a row nor the amount written for the end of one task
+//! grows with the job.
 
 use std::collections::BTreeMap;
 use std::ops::{Range, RangeInclusive};
@@ -14,41 +15,42 @@
 use crate::suspicion;
 use crate::task_key;
 
-/// Tasks of one chunk. A task takes about 90 bytes, and 420 with the longest checkpoint name and 19
-/// failures, so that a chunk stays below 27 KB where the platform takes 64. One under which seven
-/// workers were lost takes 370 more; a chunk of such tasks alone takes less than 52.
+/// Tasks per chunk. A task takes about 90 bytes, and 420 with the longest checkpoint name and 19
+/// failures, so that a row stays below 27 KB; the platform accepts 64 KB. A task that lost seven
+/// workers takes 370 bytes more; a row of 64 such tasks takes less than 52 KB.
 pub const TASKS_PER_CHUNK: u32 = 64;
 
-/// Longest name of a checkpoint that is saved, in bytes; the platform's take 16. A successor starts
-/// a task with a longer one anew, instead of a row being refused for its length.
+/// Longest checkpoint name that is saved, in bytes; the platform's names take 16. A successor
+/// restarts a task with a longer name from the beginning; otherwise the store would refuse the
+/// whole row for its length.
 const LONGEST_CHECKPOINT: usize = 256;
 
-/// Chances are saved in millionths.
+/// Probabilities are saved in parts per million.
 const MILLION: f64 = 1_000_000.0;
 
-/// The chunk whose row also tells how far the job is.
+/// The chunk whose row holds the state and the failure of the whole job.
 pub const HEAD_CHUNK: u32 = 0;
 
-/// How many chunks a job has.
+/// Number of chunks of a job; at least 1.
 pub fn n_chunks(job: &job::JobRecord) -> u32 {
     let n_tasks = job.steps.iter().map(|it| it.tasks.len() as u32).sum::<u32>();
     n_tasks.div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
-/// How many chunks a job has, by the row of its acceptance.
+/// Number of chunks of a job, computed from its acceptance row; at least 1.
 pub fn n_chunks_of_row(row: &model::GraphRow) -> u32 {
     let runs = row.graph.schedule.as_ref().map_or(1, |it| it.runs.get());
     let n_tasks = row.graph.steps.iter().map(|it| it.tasks).sum::<u32>();
     n_tasks.saturating_mul(runs).div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
-/// The chunk of a task.
+/// Chunk that contains a task; `None` if the job has no step with that number.
 pub fn chunk_of(job: &job::JobRecord, key: task_key::TaskKey) -> Option<u32> {
     let step = job.step_index(key)? as usize;
     Some((first_task_of(job, step) + key.task) / TASKS_PER_CHUNK)
 }
 
-/// The chunks of the tasks of a task's step.
+/// Chunks that contain the tasks of a task's step.
 pub fn chunks_of_step(job: &job::JobRecord, key: task_key::TaskKey) -> Option<RangeInclusive<u32>> {
     let index = job.step_index(key)? as usize;
     let first = first_task_of(job, index);
@@ -57,7 +59,8 @@
     Some(first / TASKS_PER_CHUNK..=last / TASKS_PER_CHUNK)
 }
 
-/// What is to be durable of a chunk of a job; nothing where it has no such chunk.
+/// Content of the row for a chunk of a job, as it should be in the store; `None` if the job has no
+/// such chunk.
 pub fn chunk_row(job: &job::JobRecord, chunk: u32) -> Option<model::ProgressRow> {
     if chunk >= n_chunks(job) {
         return None;
@@ -86,30 +89,30 @@
     Some(row)
 }
 
-/// What was saved of a job, by chunk.
+/// The progress rows of one job as read from the store, by chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SavedChunks {
     chunks: BTreeMap<u32, model::ProgressRow>,
 }
 
 impl SavedChunks {
-    /// Adds a chunk.
+    /// Adds the row of a chunk, in place of an earlier one.
     pub fn insert(&mut self, chunk: u32, row: model::ProgressRow) {
         self.chunks.insert(chunk, row);
     }
 
-    /// The numbers of the chunks that were saved.
+    /// Numbers of the chunks with a row, in ascending order.
     pub fn numbers(&self) -> impl Iterator<Item = u32> {
         self.chunks.keys().copied()
     }
 
-    /// Whether nothing was saved.
+    /// Whether the store has no progress row of the job.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Whether the head tells of tasks of other chunks too, as a release without chunks wrote it: it is
-    /// to be written anew, and with it all that it told of.
+    /// Whether the head row contains tasks of other chunks too, as written by a release without
+    /// chunks. All chunks of such a job have to be written again.
     pub fn is_unchunked(&self) -> bool {
         let Some(head) = self.chunks.get(&HEAD_CHUNK) else { return false };
         let mut n_told = 0;
@@ -120,7 +123,7 @@
         n_told > TASKS_PER_CHUNK
     }
 
-    /// Takes what was saved into the record of the job.
+    /// Restores the job's state, its failure and its tasks' progress from the saved rows.
     pub fn restore_into(self, job: &mut job::JobRecord) {
         if self.is_empty() {
             return;
@@ -134,15 +137,16 @@
                 restore_step(step, saved);
             }
         }
-        // A chunk is written only behind the end of a task.
+        // Any row without a head row means running: a row is first written after the end of a task.
         job.state = told.unwrap_or(model::GraphState::Running);
         job.durable_state = job.state;
         job.started = job.state != model::GraphState::Pending;
     }
 }
 
-/// Ends a job whose tasks show that it has ended: the head may not have been written yet when the
-/// scheduler ended. Not for a job that was cancelled, whose tasks may end in any way behind that.
+/// Ends a job whose tasks show that it has ended, as the earlier scheduler may have ended before it
+/// wrote the head row. Not called for a cancelled job, whose tasks may end in any way after the
+/// cancellation.
 pub fn infer_end(job: &mut job::JobRecord) {
     if job.has_ended() {
         return;
@@ -159,7 +163,7 @@
     }
 }
 
-/// Why a job has failed, as its tasks show; nothing where they don't show that it has.
+/// Cause of a job's failure according to its tasks; `None` if they don't show a failure.
 fn shown_failure(job: &job::JobRecord) -> Option<model::FailureCause> {
     let most = job.max_attempts;
     let has_failed = |it: &job::StepRecord| {
@@ -210,7 +214,7 @@
     }
 }
 
-/// What is held against a task, in millionths.
+/// The losses that are recorded against a task, with probabilities in parts per million.
 fn task_losses(task: u32, suspicion: &suspicion::TaskSuspicion) -> model::TaskLosses {
     let losses = suspicion.losses().iter().map(|it| model::WorkerLoss {
         attempt: it.attempt,
@@ -222,7 +226,7 @@
     model::TaskLosses { task, losses: losses.collect(), survived_ms }
 }
 
-/// The start of a task that is on record.
+/// The saved start of a task that is not done, by this scheduler or an earlier one.
 fn trial(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
     let attempt = record.suspicion.saved_attempt.or(record.suspicion.inherited_attempt)?;
     (!record.done).then_some(model::TaskAttempt { task, attempt })
@@ -232,7 +236,7 @@
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What was saved of a task.
+/// Restores the losses that were saved against a task.
 pub(crate) fn restore_suspicion(saved: &model::TaskLosses) -> suspicion::TaskSuspicion {
     let span = |ms: u32| Duration::from_millis(u64::from(ms));
     let losses = saved.losses.iter().map(|it| suspicion::TaskLoss {
@@ -246,7 +250,8 @@
 }
 
 fn restore_step(step: &mut job::StepRecord, saved: model::StepProgress) {
-    // The end of one member is that of its gang; the rows of the others may not have been written.
+    // The end of one member is the end of its gang; the rows of the other members may not have been
+    // written.
     if step.spec.gang && !saved.done.is_empty() {
         step.tasks.iter_mut().for_each(|it| it.done = true);
     }
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -1,4 +1,5 @@
-//! How long ended jobs are answered for.
+//! Removal of ended jobs after the retention period, during which callers may still ask for their
+//! outcome.
 
 use std::time::Duration;
 
@@ -10,9 +11,10 @@
 use crate::save_queue;
 
 impl core::PoolCore {
-    /// Up to `most` jobs whose end is durable and was long enough ago. Their rows may go: that of the
-    /// acceptance first, then, with [`PoolCore::forget`](core::PoolCore::forget), that of the
-    /// progress. The other way round a successor would run the job once more.
+    /// Up to `most` jobs whose end is durable and older than the retention period. Their rows may
+    /// be removed: first the acceptance row, then, by
+    /// [`PoolCore::forget_job`](core::PoolCore::forget_job), the progress rows. In the other order
+    /// a successor could find an accepted job without progress, and run it once more.
     pub fn expired_jobs(&self, now: Duration, most: usize) -> Vec<ids::GraphId> {
         let retention = self.timing.retention;
         let expired_jobs = self.jobs.iter().filter(|(graph, it)| {
@@ -22,14 +24,16 @@
         expired_jobs.map(|(graph, _)| *graph).take(most).collect()
     }
 
-    /// Forgets a job whose acceptance is gone from the store, or was never there.
+    /// Removes the record of a job whose acceptance row was removed from the store, or never was
+    /// there, and marks its progress rows for removal.
     pub fn forget_job(&mut self, graph: ids::GraphId) {
         self.active.remove(&graph);
         let Some(job) = self.jobs.remove(&graph) else { return };
         self.mark_job_changed(graph, progress::n_chunks(&job));
     }
 
-    /// Removes what is left of a job whose acceptance a dead scheduler has removed already.
+    /// Marks a progress row for removal that is left of a job whose acceptance row was removed by a
+    /// scheduler that has since ended.
     pub fn forget_chunk(&mut self, graph: ids::GraphId, chunk: u32) {
         self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
     }
@@ -41,7 +45,7 @@
     }
 }
 
-/// Whether the end is durable and nothing of the job is on a worker any more.
+/// Whether the end of the job is durable and none of its tasks is on a worker any more.
 fn is_settled(job: &job::JobRecord) -> bool {
     let is_durable =
         !matches!(job.durable_state, model::GraphState::Pending | model::GraphState::Running);
--- a/crates/graph/src/roster.rs
+++ b/crates/graph/src/roster.rs
@@ -1,51 +1,52 @@
-//! The roster: on which workers a successor has to expect tasks.
+//! The roster: the saved list of workers on which a successor has to expect tasks.
 //!
-//! It is kept in pages of bounded size, so that no row grows with the number of workers: the store
-//! refuses a row that is too large each time, and a scheduler that could write nothing else would
-//! lose its tenure over it, as would each successor.
+//! The roster is kept in pages of bounded size, so that no row grows with the number of workers.
+//! The store refuses a row that is too large each time; a scheduler that could write nothing else
+//! would lose its tenure over it, and so would each successor.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use almondpass_schema::ids;
 
-/// Workers of one page. An entry takes about 60 bytes, and 450 with the longest names, so that a page
-/// stays below 29 KB where the platform takes 64. Each change writes one page.
+/// Workers per page. An entry takes about 60 bytes, and 450 with the longest names, so that a page
+/// stays below 29 KB; the platform accepts 64 KB. Each change of the roster writes one page.
 pub const WORKERS_PER_PAGE: usize = 64;
 
-/// Which workers stand on which page, and which of them the store has.
+/// Assignment of workers to pages, and the content of each page that the store surely has.
 #[derive(Clone, Debug, Default)]
 pub struct RosterPages {
     pages: BTreeMap<u32, BTreeSet<ids::WorkerId>>,
     page_of: BTreeMap<ids::WorkerId, u32>,
-    /// By page, the workers that a successor surely finds there.
+    /// By page, the workers that a successor surely finds there without a silence note.
     saved: BTreeMap<u32, BTreeSet<ids::WorkerId>>,
-    /// Workers of which the store has, or may have, that all that may run there is on record.
+    /// Workers with a silence note: the store says, or may say, that all starts on them are saved.
     on_record: BTreeSet<ids::WorkerId>,
 }
 
 impl RosterPages {
-    /// Whether a successor surely finds the worker; only such a worker may get tasks.
+    /// Whether a successor surely finds the worker in the store without a silence note; only such a
+    /// worker may get tasks.
     pub fn is_saved(&self, worker: &ids::WorkerId) -> bool {
         let page = self.page_of.get(worker).and_then(|it| self.saved.get(it));
         page.is_some_and(|it| it.contains(worker))
     }
 
-    /// Whether the worker has a place.
+    /// Whether the worker is assigned to a page, saved or not.
     pub fn contains(&self, worker: &ids::WorkerId) -> bool {
         self.page_of.contains_key(worker)
     }
 
-    /// The workers that have a place.
+    /// All workers that are assigned to a page, saved or not.
     pub fn workers(&self) -> impl Iterator<Item = &ids::WorkerId> {
         self.page_of.keys()
     }
 
-    /// The workers on a page.
+    /// Workers that are assigned to a page, in the order of their ids.
     pub fn workers_on_page(&self, page: u32) -> impl Iterator<Item = &ids::WorkerId> {
         self.pages.get(&page).into_iter().flatten()
     }
 
-    /// Gives a worker a place. Tells which page has to be written.
+    /// Assigns a worker to a page with space. Returns the page, which has to be written.
     pub fn add(&mut self, worker: &ids::WorkerId) -> u32 {
         let open = self.pages.iter().find(|(_, it)| it.len() < WORKERS_PER_PAGE);
         let page = open.map(|(page, _)| *page).unwrap_or_else(|| self.first_unused());
@@ -54,8 +55,8 @@
         page
     }
 
-    /// Notes that what its page says of a worker is out of date. Tells which page has to be written,
-    /// where the worker has a place.
+    /// Records that the worker's saved roster entry is out of date. Returns the page that has to be
+    /// written; `None` if the worker is on no page.
     pub fn mark_stale(&mut self, worker: &ids::WorkerId) -> Option<u32> {
         let page = self.page_of.get(worker).copied()?;
         if let Some(saved) = self.saved.get_mut(&page) {
@@ -64,8 +65,9 @@
         Some(page)
     }
 
-    /// Notes whether all that may run on a worker is on record. Tells which page has to be written, where
-    /// that has changed. Until a page without the note is saved the worker gets no tasks.
+    /// Sets or withdraws a worker's silence note, which says that all starts on the worker are
+    /// saved. Returns the page that has to be written; `None` if nothing has changed. Until a page
+    /// without the note is saved the worker gets no tasks.
     pub fn set_starts_saved(
         &mut self,
         worker: &ids::WorkerId,
@@ -83,12 +85,12 @@
         Some(page)
     }
 
-    /// Whether all that may run on a worker is on record.
+    /// Whether the worker has a silence note: all starts on it are saved.
     pub fn are_starts_saved(&self, worker: &ids::WorkerId) -> bool {
         self.on_record.contains(worker)
     }
 
-    /// Takes a worker off its page. Tells which page has to be written.
+    /// Removes a worker from its page. Returns the page, which has to be written.
     pub fn remove(&mut self, worker: &ids::WorkerId) -> Option<u32> {
         self.on_record.remove(worker);
         let page = self.page_of.remove(worker)?;
@@ -98,9 +100,9 @@
         Some(page)
     }
 
-    /// Takes in a worker as the store has it on a page. Tells which pages have to be written, the one
-    /// with its new place first, where that page is full already: an earlier release kept one row for
-    /// all workers.
+    /// Adds a worker that was read from a page in the store. Returns the pages that have to be
+    /// written. There are some if that page is already full, as an earlier release kept all workers
+    /// in one row; the page to which the worker is moved comes first.
     pub fn load_worker(
         &mut self,
         worker: &ids::WorkerId,
@@ -108,7 +110,8 @@
         page: u32,
     ) -> Vec<u32> {
         if self.page_of.contains_key(worker) {
-            // Named twice: once in its old place, once in the one that it was being moved to.
+            // The worker is on two pages: on its old one, and on the one to which it was being
+            // moved.
             if !are_starts_saved {
                 self.on_record.remove(worker);
             }
@@ -129,7 +132,8 @@
         Vec::new()
     }
 
-    /// The page is on its way to the store. Until the answer the store may have either content.
+    /// Records that the page is being written. Until the answer the store may have the old content
+    /// or the new one.
     pub fn page_sent(&mut self, page: u32) {
         let workers = self.pages.entry(page).or_default();
         if let Some(saved) = self.saved.get_mut(&page) {
@@ -137,7 +141,7 @@
         }
     }
 
-    /// The store has the page with these workers.
+    /// Records that the store has the page with these workers.
     pub fn page_saved(&mut self, page: u32, workers: impl Iterator<Item = ids::WorkerId>) {
         let workers = workers.filter(|it| !self.on_record.contains(it)).collect::<BTreeSet<_>>();
         if workers.is_empty() {
--- a/crates/graph/src/save_queue.rs
+++ b/crates/graph/src/save_queue.rs
@@ -1,52 +1,56 @@
-//! Which rows have to be written, and which changes are durable.
+//! Queue of the rows that have to be written to the store, which also tells which changes are
+//! durable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use almondpass_schema::ids;
 
-/// A row that the store refused is offered again after this long. Each offer costs a call, and what
-/// has to change is seldom ours: a limit of the store, or a right to write there.
+/// Interval between attempts to write a row that the store refuses. Each attempt costs a call, and
+/// the cause is seldom the scheduler's to remove: a limit of the store, or a missing right to write
+/// there.
 const OFFER_AGAIN: Duration = Duration::from_secs(10);
 
-/// A row that the scheduler writes.
+/// Key of a row that the scheduler writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SaveRowKey {
-    /// What became of a chunk of a job's tasks.
+    /// Progress of one chunk of a job's tasks.
     Progress {
-        /// The job.
+        /// Id of the job.
         graph: ids::GraphId,
-        /// The chunk, from 0.
+        /// Number of the chunk, from 0.
         chunk: u32,
     },
     /// A page of the roster.
     Roster {
-        /// The page, from 0.
+        /// Number of the page, from 0.
         page: u32,
     },
 }
 
-/// A change of a row.
+/// Identifies one change of a row, so that its durability can be asked for later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RowChange {
-    /// The row.
+    /// The changed row.
     pub row: SaveRowKey,
-    /// Number of the change.
+    /// Number of the change; rises with each change of any row.
     pub change: u64,
 }
 
-/// The rows that differ from what the store has, each with the first change that it lacks.
+/// The rows that differ from what the store has, each with the first change that the store lacks. A
+/// row is due, in flight or refused; a row that changes while in flight is due as well.
 #[derive(Clone, Debug, Default)]
 pub struct SaveQueue {
     newest: u64,
     due: BTreeMap<SaveRowKey, u64>,
-    /// The rows of `due` in the order of their first changes, so that none waits without end.
+    /// The rows of `due` in the order of their first changes, so that each row is written in the
+    /// end.
     order: BTreeSet<(u64, SaveRowKey)>,
     in_flight: BTreeMap<SaveRowKey, u64>,
     set_apart: BTreeMap<SaveRowKey, RefusedRow>,
 }
 
-/// A row that the store refuses.
+/// A row that the store has refused.
 #[derive(Clone, Copy, Debug)]
 struct RefusedRow {
     change: u64,
@@ -54,7 +58,7 @@
 }
 
 impl SaveQueue {
-    /// Notes that a row has to be written anew.
+    /// Records that a row has changed and has to be written.
     pub fn mark_changed(&mut self, row: SaveRowKey) -> RowChange {
         self.newest += 1;
         let change = self.newest;
@@ -65,7 +69,8 @@
         RowChange { row, change }
     }
 
-    /// Takes the row that has waited longest. It is in flight until its outcome is known.
+    /// Takes the due row that has waited longest. It is in flight until `row_saved` or
+    /// `row_refused` is called.
     pub fn take_oldest(&mut self) -> Option<SaveRowKey> {
         let (change, row) = self.order.pop_first()?;
         self.due.remove(&row);
@@ -73,8 +78,8 @@
         Some(row)
     }
 
-    /// Takes a row that the store has refused, once it is to be offered again: by itself, so that
-    /// it holds up no other.
+    /// Takes a refused row whose next attempt is due. It is written alone, so that it delays no
+    /// other row.
     pub fn take_refused_due(&mut self, now: Duration) -> Option<SaveRowKey> {
         let refused = self.set_apart.iter().find(|(_, it)| now >= it.again_at);
         let (row, change) = refused.map(|(row, it)| (*row, it.change))?;
@@ -83,12 +88,12 @@
         Some(row)
     }
 
-    /// A row in flight is durable.
+    /// Records that a row in flight is durable.
     pub fn row_saved(&mut self, row: SaveRowKey) {
         self.in_flight.remove(&row);
     }
 
-    /// The store refuses a row in flight, and would again.
+    /// Records that the store refused a row in flight, and would refuse it again.
     pub fn row_refused(&mut self, row: SaveRowKey, now: Duration) {
         let Some(change) = self.in_flight.remove(&row) else { return };
         if let Some(later) = self.due.remove(&row) {
@@ -97,35 +102,36 @@
         self.set_apart.insert(row, RefusedRow { change, again_at: now + OFFER_AGAIN });
     }
 
-    /// Whether a change has reached the store.
+    /// Whether the store has a change.
     pub fn is_durable(&self, mark: RowChange) -> bool {
         let lacks = |first: Option<&u64>| first.is_some_and(|it| *it <= mark.change);
         let refused = self.set_apart.get(&mark.row).map(|it| &it.change);
         !lacks(self.due.get(&mark.row)) && !lacks(self.in_flight.get(&mark.row)) && !lacks(refused)
     }
 
-    /// Whether the store has the row as it is.
+    /// Whether the store has the present content of the row.
     pub fn is_saved(&self, row: SaveRowKey) -> bool {
         self.is_durable(RowChange { row, change: u64::MAX })
     }
 
-    /// Whether the store lacks a change of any such row.
+    /// Whether the store lacks a change of any row that matches.
     pub fn has_unsaved(&self, is_such: impl Fn(SaveRowKey) -> bool) -> bool {
         self.unsaved_rows().any(is_such)
     }
 
-    /// The rows of which the store lacks a change, some of them twice.
+    /// The rows of which the store lacks a change; a row that is both due and in flight appears
+    /// twice.
     pub fn unsaved_rows(&self) -> impl Iterator<Item = SaveRowKey> {
         let rows = self.due.keys().chain(self.in_flight.keys()).chain(self.set_apart.keys());
         rows.copied()
     }
 
-    /// Whether a row waits to be taken.
+    /// Whether a row waits to be taken, refused rows not counted.
     pub fn has_due(&self) -> bool {
         !self.due.is_empty()
     }
 
-    /// Rows that the store refuses.
+    /// Number of rows that the store has refused and that wait for another attempt.
     pub fn n_refused(&self) -> usize {
         self.set_apart.len()
     }
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -1,4 +1,4 @@
-//! What is to be written to the store, in rows of bounded size.
+//! Selection of the rows to write to the store, and their content. The rows have bounded size.
 
 use std::time::Duration;
 
@@ -13,23 +13,23 @@
 /// Rows to be written in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SaveBatch {
-    /// The rows.
+    /// The rows, longest unsaved first.
     pub rows: Vec<SaveRow>,
 }
 
-/// A row to be written.
+/// A row to be written or removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SaveRow {
-    /// Which row.
+    /// Key of the row.
     pub key: save_queue::SaveRowKey,
-    /// What it is to hold.
+    /// New content of the row.
     pub content: SaveContent,
 }
 
-/// Content of a row.
+/// New content of a row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SaveContent {
-    /// What became of a chunk of a job's tasks.
+    /// Progress of one chunk of a job's tasks.
     Progress(model::ProgressRow),
     /// A page of the roster.
     Roster(model::RosterRow),
@@ -38,10 +38,10 @@
 }
 
 impl core::PoolCore {
-    /// Takes changed rows for saving, the one that has waited longest first. Each is handed to `add`,
-    /// which tells whether another fits in behind it; a row that was refused before goes by itself.
-    /// Nothing where nothing has changed. A batch is to be saved, or refused, before the next one is
-    /// taken.
+    /// Takes changed rows for saving, longest unsaved first; `None` if nothing has changed. Each
+    /// row is passed to `add`, which returns whether the batch has space for another one. A row
+    /// that was refused before gets a batch of its own. A batch has to be saved or refused before
+    /// the next one is taken.
     pub fn take_save_batch(
         &mut self,
         now: Duration,
@@ -62,17 +62,18 @@
         (!batch.rows.is_empty()).then_some(batch)
     }
 
-    /// Whether there is something to save.
+    /// Whether a row waits to be written, refused rows not counted.
     pub fn has_rows_to_save(&self) -> bool {
         self.unsaved.has_due()
     }
 
-    /// Rows that the store refuses.
+    /// Number of rows that the store has refused and that wait for another attempt.
     pub fn n_refused_rows(&self) -> usize {
         self.unsaved.n_refused()
     }
 
-    /// The rows are durable: callers may be told, and workers' ends acknowledged.
+    /// Records that the rows of a batch are durable. From now on callers may learn of job ends in
+    /// them, and workers' ends are acknowledged.
     pub fn batch_saved(&mut self, batch: SaveBatch) {
         for row in batch.rows {
             self.unsaved.row_saved(row.key);
@@ -84,9 +85,9 @@
         }
     }
 
-    /// The store refuses the row, and would again however often it is written. It is offered again
-    /// after a while; until then the ends that it tells of stay with their workers, where a successor
-    /// finds them.
+    /// Records that the store refuses a row, and would refuse it however often it is written. It is
+    /// tried again after a while. Until then workers keep the ends whose changes the row contains,
+    /// and a successor finds them there.
     pub fn row_refused(&mut self, key: save_queue::SaveRowKey, now: Duration) {
         self.unsaved.row_refused(key, now);
     }
@@ -128,7 +129,8 @@
                     SaveContent::Roster(roster) => roster.workers,
                     _ => Vec::new(),
                 };
-                // One that has moved since is not found by what the row says.
+                // A worker whose address or upstream has changed meanwhile can't be found by the
+                // saved entry.
                 let is_found = |entry: &model::RosterEntry| {
                     if entry.on_record {
                         return false;
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Notes that the row with a task has changed in a way that a successor has to know, and that of
-    /// the job's state where that has.
+    /// Marks the row with a task as changed, and the head row if the job's state has changed.
+    /// Called for each change that a successor has to know. Returns the change of the task's row.
     pub(crate) fn mark_task_changed(
         &mut self,
         key: task_key::TaskKey,
@@ -177,24 +179,25 @@
         Some(self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk: own }))
     }
 
-    /// Notes that all rows of a job have to be written anew, or removed.
+    /// Marks all progress rows of a job as changed; the row of a chunk that the job does not have
+    /// is removed.
     pub(crate) fn mark_job_changed(&mut self, graph: ids::GraphId, n_chunks: u32) {
         for chunk in 0..n_chunks {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
         }
     }
 
-    /// Has the roster's page with a worker written anew, as the worker answers elsewhere: a successor
-    /// would look for it where it was.
+    /// Marks the roster page with a worker as changed because the worker's address or upstream has
+    /// changed; a successor would call it at its former address.
     pub(crate) fn mark_roster_stale(&mut self, worker: &ids::WorkerId) {
         if let Some(page) = self.roster.mark_stale(worker) {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
     }
 
-    /// Brings the roster up to date. A successor waits for each worker that it names, so that none may
-    /// stay that has left, or whose lease has lapsed: for that the successor would wait for as long as a
-    /// lease lasts.
+    /// Adds workers to the roster and removes those that have left or whose lease has lapsed. A
+    /// successor waits for each worker in the roster; for one that is gone it would wait until a
+    /// lease runs out.
     pub(crate) fn update_roster(&mut self) {
         let stays = |id: &ids::WorkerId| {
             self.workers.get(id).is_some_and(worker::WorkerRecord::belongs_in_roster)
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of tasks, as workers list them.
+//! Processing of the ends of tasks that workers list.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use crate::task_key;
 
 impl core::PoolCore {
-    /// Takes in an end. Returns the change that has to be durable before the end may be
-    /// acknowledged; nothing where a successor need not know of it.
+    /// Applies an end to the records of its task and job. Returns the change that has to be durable
+    /// before the end may be acknowledged; `None` if a successor does not need to know of the end.
     pub(crate) fn apply_end(
         &mut self,
         worker: &ids::WorkerId,
@@ -59,8 +59,8 @@
             | order::EndKind::Broken
             | order::EndKind::Alone => {
                 self.spread_checkpoint(key);
-                // Acknowledged before, the end would be missing to a successor, which would take the
-                // start that is on record for lost.
+                // The change has to be durable before the end is acknowledged. A successor would
+                // otherwise find the saved start without an end, and count the attempt as lost.
                 if is_settled { self.mark_task_changed(key) } else { None }
             }
         }
@@ -81,7 +81,7 @@
         }
         let step = job.step_mut(key)?;
         if step.spec.gang {
-            // One such end represents all members.
+            // The successful end of one member represents all members of its gang.
             for task in &mut step.tasks {
                 task.done = true;
             }
@@ -95,7 +95,8 @@
         if is_complete && self.active.contains(&key.graph) {
             self.finish(key.graph, now);
         }
-        // Where another attempt runs, which only a wrong belief can have started, it is in vain.
+        // Another attempt can be in progress only because of a wrong record; its result is not
+        // needed.
         let twin = self.jobs.get(&key.graph).and_then(|it| it.task(key));
         if twin.is_some_and(|it| it.run.is_some()) {
             self.stop_run(key, now);
@@ -139,12 +140,13 @@
             self.finish(key.graph, now);
             self.stop_all(key.graph, now);
         }
-        // The failures of a gang are told of with its first task.
+        // The failures of a gang are saved with its first task.
         let told_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
         self.mark_task_changed(told_with)
     }
 
-    /// All members of a gang resume from the same checkpoint; that of any member will do.
+    /// Copies the checkpoint of a gang's member to all members. They all resume from the same
+    /// checkpoint; that of any member will do.
     fn spread_checkpoint(&mut self, key: task_key::TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
--- a/crates/graph/src/task_key.rs
+++ b/crates/graph/src/task_key.rs
@@ -1,4 +1,4 @@
-//! Names of tasks and of what is placed together.
+//! Keys of tasks, and of the units that are placed together.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,32 +6,32 @@
 use almondpass_schema::ids;
 use thiserror::Error;
 
-/// One task of a job graph. Written as `GRAPH.OCCURRENCE.STEP.TASK`, the graph as 16 hexadecimal
-/// digits.
+/// Key of one task of a job graph. Written as `GRAPH.OCCURRENCE.STEP.TASK`, with the graph as 16
+/// hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// The job graph.
+    /// Id of the job graph.
     pub graph: ids::GraphId,
-    /// Which of the timed repetitions; 0 where there is one.
+    /// Number of the scheduled run, from 0; 0 for a job without a schedule.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// Number of the step within the run, from 0.
     pub step: u32,
-    /// The task within the step, from 0.
+    /// Number of the task within the step, from 0.
     pub task: u32,
 }
 
-/// What is placed at once: a gang, or a task by itself.
+/// Key of a unit of placement: a gang, or a single task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitKey {
-    /// The job graph.
+    /// Id of the job graph.
     pub graph: ids::GraphId,
     /// Index of the step, over all runs of the job graph.
     pub step: u32,
-    /// The task; nothing for a gang.
+    /// Number of the task within the step; `None` for a gang.
     pub task: Option<u32>,
 }
 
-/// A text that names no task.
+/// Error for a text that is not the key of a task.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("expected GRAPH.OCCURRENCE.STEP.TASK")]
 pub struct TaskKeyFault;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads the 16 lower-case hexadecimal digits of a job graph's id.
+/// Parses a job graph's id, written as 16 lower-case hexadecimal digits; `None` for any other text.
 pub fn parse_graph(text: &str) -> Option<ids::GraphId> {
     let is_digit = |it: u8| it.is_ascii_digit() || (b'a'..=b'f').contains(&it);
     if text.len() != 16 || !text.bytes().all(is_digit) {
--- a/crates/graph/src/unsaved_suspicions.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -1,7 +1,9 @@
-//! What a scheduler holds against tasks and has not saved, for its successor.
+//! Exchange of unsaved suspicions: losses and starts of suspects that a scheduler could not save,
+//! and hands to its successor.
 //!
-//! Losses come amid outages: while the store is away, what was learnt of them would go with the scheduler, and a
-//! task that crashes its workers would be started anew as often again.
+//! Workers are often lost during an outage of the store. Without this exchange the losses recorded
+//! meanwhile would be gone with the scheduler, and its successor would start a task that crashes
+//! its workers as often again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,11 +16,11 @@
 use crate::save_queue;
 use crate::task_key;
 
-/// Chunks that are told of. Each is a few hundred bytes.
+/// Limit of the chunks that are handed over. Each is a few hundred bytes.
 const MOST_TOLD: usize = 256;
 
 impl core::PoolCore {
-    /// What is held against tasks and was not saved.
+    /// The losses and saved starts in progress rows that the store lacks, for the successor.
     pub fn unsaved_suspicions(&self) -> Vec<model::UnsavedSuspicions> {
         let chunks = self.unsaved.unsaved_rows().filter_map(|it| match it {
             save_queue::SaveRowKey::Progress { graph, chunk } => Some((graph, chunk)),
@@ -34,8 +36,8 @@
         told.take(MOST_TOLD).collect()
     }
 
-    /// Takes in what an earlier scheduler held against tasks and had not saved. Not of an attempt that is known to
-    /// be over: its worker may have told how it ended.
+    /// Merges the losses and starts that an earlier scheduler could not save. Skips attempts that
+    /// are known to have ended: the worker may have listed how they ended.
     pub fn merge_suspicions(&mut self, told: model::UnsavedSuspicions, now: Duration) {
         let graph = told.graph;
         for (index, step) in (told.first_step..).zip(told.steps) {
@@ -83,7 +85,7 @@
     }
 }
 
-/// What is held against the tasks of a chunk, if anything is.
+/// The losses and saved starts of the tasks in a chunk; `None` if there are none.
 fn suspicions_of(
     graph: ids::GraphId,
     job: &job::JobRecord,
