--- a/crates/graph/src/failed_placement.rs
+++ b/crates/graph/src/failed_placement.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub struct FailedPlacement {
     upstream: usize,
-    room: resources::Resources,
+    per_task: resources::Resources,
     label: Option<String>,
-    only_rack: Option<usize>,
+    required_rack: Option<usize>,
     keeps_empty: usize,
     takes_reserved: bool,
 }
@@ -23,15 +23,15 @@
     /// because workers that only this task avoids, or its limit of tasks per worker, may have made
     /// it fail.
     pub fn of(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
-        let tells = request.n_tasks == 1
+        let applies_to_others = request.n_tasks == 1
             && request.avoids.is_empty()
             && request.per_worker == 0
             && !request.may_crash_worker;
-        tells.then(|| FailedPlacement {
+        applies_to_others.then(|| FailedPlacement {
             upstream: request.upstream,
-            room: request.per_task,
+            per_task: request.per_task,
             label: request.label.map(str::to_owned),
-            only_rack: only_rack(request),
+            required_rack: required_rack(request),
             keeps_empty: request.keeps_empty,
             takes_reserved: request.takes_reserved,
         })
@@ -40,15 +40,15 @@
     /// Whether `request` requires no less than the failed request, so that it fails too.
     pub fn covers(&self, request: &candidate::PlacementRequest) -> bool {
         self.upstream == request.upstream
-            && self.room.fits_in(request.per_task)
+            && self.per_task.fits_in(request.per_task)
             && self.label.as_deref().is_none_or(|it| request.label == Some(it))
-            && self.only_rack.is_none_or(|it| only_rack(request) == Some(it))
+            && self.required_rack.is_none_or(|it| required_rack(request) == Some(it))
             && self.keeps_empty <= request.keeps_empty
             && (self.takes_reserved || !request.takes_reserved)
     }
 }
 
 /// The rack on which the task has to run; `None` if it may run on any.
-fn only_rack(request: &candidate::PlacementRequest) -> Option<usize> {
+fn required_rack(request: &candidate::PlacementRequest) -> Option<usize> {
     request.rack_number.filter(|_| !request.allows_remote)
 }
--- a/crates/graph/src/progress.rs
+++ b/crates/graph/src/progress.rs
@@ -23,10 +23,10 @@
 /// Longest checkpoint name that is saved, in bytes; the platform's names take 16. A successor
 /// restarts a task with a longer name from the beginning; otherwise the store would refuse the
 /// whole row for its length.
-const LONGEST_CHECKPOINT: usize = 256;
+const MAX_CHECKPOINT_BYTES: usize = 256;
 
 /// Probabilities are saved in parts per million.
-const MILLION: f64 = 1_000_000.0;
+const PARTS_PER_MILLION: f64 = 1_000_000.0;
 
 /// The chunk whose row holds the state and the failure of the whole job.
 pub const HEAD_CHUNK: u32 = 0;
@@ -65,7 +65,7 @@
     if chunk >= n_chunks(job) {
         return None;
     }
-    let wanted = chunk * TASKS_PER_CHUNK..(chunk + 1) * TASKS_PER_CHUNK;
+    let chunk_tasks = chunk * TASKS_PER_CHUNK..(chunk + 1) * TASKS_PER_CHUNK;
     let mut row = model::ProgressRow {
         state: job.state,
         failure: job.failure,
@@ -76,14 +76,14 @@
     for (index, step) in job.steps.iter().enumerate() {
         let tasks = first..first + step.tasks.len() as u32;
         first = tasks.end;
-        let common = tasks.start.max(wanted.start)..tasks.end.min(wanted.end);
-        if common.is_empty() {
+        let in_chunk = tasks.start.max(chunk_tasks.start)..tasks.end.min(chunk_tasks.end);
+        if in_chunk.is_empty() {
             continue;
         }
         if row.steps.is_empty() {
             row.first_step = index as u32;
         }
-        let within = common.start - tasks.start..common.end - tasks.start;
+        let within = in_chunk.start - tasks.start..in_chunk.end - tasks.start;
         row.steps.push(step_progress(step, within));
     }
     Some(row)
@@ -115,12 +115,12 @@
     /// chunks. All chunks of such a job have to be written again.
     pub fn is_unchunked(&self) -> bool {
         let Some(head) = self.chunks.get(&HEAD_CHUNK) else { return false };
-        let mut n_told = 0;
+        let mut n_tasks = 0;
         for step in &head.steps {
             let tasks = step.done.iter().chain(step.attempts.iter().map(|it| &it.task));
-            n_told += tasks.max().map_or(0, |it| it + 1);
+            n_tasks += tasks.max().map_or(0, |it| it + 1);
         }
-        n_told > TASKS_PER_CHUNK
+        n_tasks > TASKS_PER_CHUNK
     }
 
     /// Restores the job's state, its failure and its tasks' progress from the saved rows.
@@ -129,7 +129,7 @@
             return;
         }
         let head = self.chunks.get(&HEAD_CHUNK);
-        let told = head.map(|it| it.state);
+        let saved_state = head.map(|it| it.state);
         job.failure = head.and_then(|it| it.failure);
         for row in self.chunks.into_values() {
             let steps = job.steps.iter_mut().skip(row.first_step as usize);
@@ -138,7 +138,7 @@
             }
         }
         // Any row without a head row means running: a row is first written after the end of a task.
-        job.state = told.unwrap_or(model::GraphState::Running);
+        job.state = saved_state.unwrap_or(model::GraphState::Running);
         job.durable_state = job.state;
         job.started = job.state != model::GraphState::Pending;
     }
@@ -152,29 +152,30 @@
         return;
     }
     let is_complete = job.steps.iter().all(job::StepRecord::is_done);
-    let failure = if is_complete { None } else { shown_failure(job) };
+    let failure = if is_complete { None } else { inferred_failure(job) };
     if is_complete || failure.is_some() {
-        let shown =
+        let end_state =
             if is_complete { model::GraphState::Completed } else { model::GraphState::Failed };
-        job.state = shown;
+        job.state = end_state;
         job.failure = failure;
-        job.durable_state = shown;
+        job.durable_state = end_state;
         job.started = true;
     }
 }
 
 /// Cause of a job's failure according to its tasks; `None` if they don't show a failure.
-fn shown_failure(job: &job::JobRecord) -> Option<model::FailureCause> {
-    let most = job.max_attempts;
+fn inferred_failure(job: &job::JobRecord) -> Option<model::FailureCause> {
+    let max_attempts = job.max_attempts;
     let has_failed = |it: &job::StepRecord| {
-        it.gang_failures.count() >= most || it.tasks.iter().any(|it| it.failures.count() >= most)
+        it.gang_failures.count() >= max_attempts
+            || it.tasks.iter().any(|it| it.failures.count() >= max_attempts)
     };
-    let crashes = |it: &job::TaskRecord| !it.done && it.suspicion.is_proven_to_crash();
+    let crashes_workers = |it: &job::TaskRecord| !it.done && it.suspicion.is_proven_to_crash();
     if job.steps.iter().any(has_failed) {
         return Some(model::FailureCause::Attempts);
     }
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
-    tasks.any(crashes).then_some(model::FailureCause::CrashesWorkers)
+    tasks.any(crashes_workers).then_some(model::FailureCause::CrashesWorkers)
 }
 
 fn first_task_of(job: &job::JobRecord, step: usize) -> u32 {
@@ -195,10 +196,10 @@
     }
     let started = tasks().filter(|(_, it)| it.attempt > 0 && !it.done);
     let saved = tasks().filter(|(_, it)| !it.done);
-    let charged = tasks().filter(|(_, it)| !it.done && !it.suspicion.losses().is_empty());
+    let with_losses = tasks().filter(|(_, it)| !it.done && !it.suspicion.losses().is_empty());
     model::StepProgress {
-        losses: charged.map(|(task, it)| task_losses(task, &it.suspicion)).collect(),
-        trials: tasks().filter_map(|(task, it)| trial(task, it)).collect(),
+        losses: with_losses.map(|(task, it)| task_losses(task, &it.suspicion)).collect(),
+        trials: tasks().filter_map(|(task, it)| saved_start_of(task, it)).collect(),
         done: tasks().filter(|(_, it)| it.done).map(|(task, _)| task).collect(),
         failures: failed,
         attempts: started
@@ -207,8 +208,9 @@
         checkpoints: saved
             .filter_map(|(task, it)| {
                 let checkpoint = it.checkpoint.as_deref()?;
-                let is_short = checkpoint.len() <= LONGEST_CHECKPOINT;
-                is_short.then(|| model::TaskCheckpoint { task, checkpoint: checkpoint.to_owned() })
+                let is_short_enough = checkpoint.len() <= MAX_CHECKPOINT_BYTES;
+                is_short_enough
+                    .then(|| model::TaskCheckpoint { task, checkpoint: checkpoint.to_owned() })
             })
             .collect(),
     }
@@ -218,21 +220,22 @@
 fn task_losses(task: u32, suspicion: &suspicion::TaskSuspicion) -> model::TaskLosses {
     let losses = suspicion.losses().iter().map(|it| model::WorkerLoss {
         attempt: it.attempt,
-        odds_ppm: (it.early_probability * MILLION).round() as u32,
-        surroundings_ppm: (it.anytime_probability * MILLION).round() as u32,
-        struck_ms: it.latest_loss_offset.map(millis),
+        odds_ppm: (it.early_probability * PARTS_PER_MILLION).round() as u32,
+        surroundings_ppm: (it.anytime_probability * PARTS_PER_MILLION).round() as u32,
+        struck_ms: it.latest_loss_offset.map(whole_millis),
     });
-    let survived_ms = Some(suspicion.longest_survived_run()).filter(|it| !it.is_zero()).map(millis);
+    let survived_ms =
+        Some(suspicion.longest_survived_run()).filter(|it| !it.is_zero()).map(whole_millis);
     model::TaskLosses { task, losses: losses.collect(), survived_ms }
 }
 
 /// The saved start of a task that is not done, by this scheduler or an earlier one.
-fn trial(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
+fn saved_start_of(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
     let attempt = record.suspicion.saved_attempt.or(record.suspicion.inherited_attempt)?;
     (!record.done).then_some(model::TaskAttempt { task, attempt })
 }
 
-fn millis(span: Duration) -> u32 {
+fn whole_millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -241,8 +244,8 @@
     let span = |ms: u32| Duration::from_millis(u64::from(ms));
     let losses = saved.losses.iter().map(|it| suspicion::TaskLoss {
         attempt: it.attempt,
-        early_probability: f64::from(it.odds_ppm) / MILLION,
-        anytime_probability: f64::from(it.surroundings_ppm) / MILLION,
+        early_probability: f64::from(it.odds_ppm) / PARTS_PER_MILLION,
+        anytime_probability: f64::from(it.surroundings_ppm) / PARTS_PER_MILLION,
         latest_loss_offset: it.struck_ms.map(span),
     });
     let survived = saved.survived_ms.map(span).unwrap_or_default();
--- a/crates/graph/src/retention.rs
+++ b/crates/graph/src/retention.rs
@@ -11,17 +11,19 @@
 use crate::save_queue;
 
 impl core::PoolCore {
-    /// Up to `most` jobs whose end is durable and older than the retention period. Their rows may
+    /// Up to `limit` jobs whose end is durable and older than the retention period. Their rows may
     /// be removed: first the acceptance row, then, by
     /// [`PoolCore::forget_job`](core::PoolCore::forget_job), the progress rows. In the other order
     /// a successor could find an accepted job without progress, and run it once more.
-    pub fn expired_jobs(&self, now: Duration, most: usize) -> Vec<ids::GraphId> {
+    pub fn expired_jobs(&self, now: Duration, limit: usize) -> Vec<ids::GraphId> {
         let retention = self.timing.retention;
         let expired_jobs = self.jobs.iter().filter(|(graph, it)| {
-            let is_old = it.ended_at.is_some_and(|ended| now >= ended + retention);
-            is_old && is_settled(it) && self.is_saved(**graph, progress::n_chunks(it))
+            let is_past_retention = it.ended_at.is_some_and(|ended| now >= ended + retention);
+            is_past_retention
+                && has_durable_end_and_no_runs(it)
+                && self.is_saved(**graph, progress::n_chunks(it))
         });
-        expired_jobs.map(|(graph, _)| *graph).take(most).collect()
+        expired_jobs.map(|(graph, _)| *graph).take(limit).collect()
     }
 
     /// Removes the record of a job whose acceptance row was removed from the store, or never was
@@ -46,7 +48,7 @@
 }
 
 /// Whether the end of the job is durable and none of its tasks is on a worker any more.
-fn is_settled(job: &job::JobRecord) -> bool {
+fn has_durable_end_and_no_runs(job: &job::JobRecord) -> bool {
     let is_durable =
         !matches!(job.durable_state, model::GraphState::Pending | model::GraphState::Running);
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
--- a/crates/graph/src/roster.rs
+++ b/crates/graph/src/roster.rs
@@ -20,7 +20,7 @@
     /// By page, the workers that a successor surely finds there without a silence note.
     saved: BTreeMap<u32, BTreeSet<ids::WorkerId>>,
     /// Workers with a silence note: the store says, or may say, that all starts on them are saved.
-    on_record: BTreeSet<ids::WorkerId>,
+    with_saved_starts: BTreeSet<ids::WorkerId>,
 }
 
 impl RosterPages {
@@ -48,8 +48,9 @@
 
     /// Assigns a worker to a page with space. Returns the page, which has to be written.
     pub fn add(&mut self, worker: &ids::WorkerId) -> u32 {
-        let open = self.pages.iter().find(|(_, it)| it.len() < WORKERS_PER_PAGE);
-        let page = open.map(|(page, _)| *page).unwrap_or_else(|| self.first_unused());
+        let page_with_space = self.pages.iter().find(|(_, it)| it.len() < WORKERS_PER_PAGE);
+        let page =
+            page_with_space.map(|(page, _)| *page).unwrap_or_else(|| self.first_unused_page());
         self.pages.entry(page).or_default().insert(worker.clone());
         self.page_of.insert(worker.clone(), page);
         page
@@ -73,26 +74,26 @@
         worker: &ids::WorkerId,
         are_starts_saved: bool,
     ) -> Option<u32> {
-        if self.on_record.contains(worker) == are_starts_saved {
+        if self.with_saved_starts.contains(worker) == are_starts_saved {
             return None;
         }
         let page = self.mark_stale(worker)?;
         if are_starts_saved {
-            self.on_record.insert(worker.clone());
+            self.with_saved_starts.insert(worker.clone());
         } else {
-            self.on_record.remove(worker);
+            self.with_saved_starts.remove(worker);
         }
         Some(page)
     }
 
     /// Whether the worker has a silence note: all starts on it are saved.
     pub fn are_starts_saved(&self, worker: &ids::WorkerId) -> bool {
-        self.on_record.contains(worker)
+        self.with_saved_starts.contains(worker)
     }
 
     /// Removes a worker from its page. Returns the page, which has to be written.
     pub fn remove(&mut self, worker: &ids::WorkerId) -> Option<u32> {
-        self.on_record.remove(worker);
+        self.with_saved_starts.remove(worker);
         let page = self.page_of.remove(worker)?;
         if let Some(workers) = self.pages.get_mut(&page) {
             workers.remove(worker);
@@ -113,12 +114,12 @@
             // The worker is on two pages: on its old one, and on the one to which it was being
             // moved.
             if !are_starts_saved {
-                self.on_record.remove(worker);
+                self.with_saved_starts.remove(worker);
             }
             return vec![page];
         }
         if are_starts_saved {
-            self.on_record.insert(worker.clone());
+            self.with_saved_starts.insert(worker.clone());
         }
         let workers = self.pages.entry(page).or_default();
         if workers.len() >= WORKERS_PER_PAGE {
@@ -143,7 +144,8 @@
 
     /// Records that the store has the page with these workers.
     pub fn page_saved(&mut self, page: u32, workers: impl Iterator<Item = ids::WorkerId>) {
-        let workers = workers.filter(|it| !self.on_record.contains(it)).collect::<BTreeSet<_>>();
+        let workers =
+            workers.filter(|it| !self.with_saved_starts.contains(it)).collect::<BTreeSet<_>>();
         if workers.is_empty() {
             self.saved.remove(&page);
         } else {
@@ -151,7 +153,7 @@
         }
     }
 
-    fn first_unused(&self) -> u32 {
+    fn first_unused_page(&self) -> u32 {
         self.pages.keys().next_back().map_or(0, |it| it + 1)
     }
 }
--- a/crates/graph/src/save_queue.rs
+++ b/crates/graph/src/save_queue.rs
@@ -9,7 +9,7 @@
 /// Interval between attempts to write a row that the store refuses. Each attempt costs a call, and
 /// the cause is seldom the scheduler's to remove: a limit of the store, or a missing right to write
 /// there.
-const OFFER_AGAIN: Duration = Duration::from_secs(10);
+const REFUSED_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Key of a row that the scheduler writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,45 +34,45 @@
     /// The changed row.
     pub row: SaveRowKey,
     /// Number of the change; rises with each change of any row.
-    pub change: u64,
+    pub number: u64,
 }
 
 /// The rows that differ from what the store has, each with the first change that the store lacks. A
 /// row is due, in flight or refused; a row that changes while in flight is due as well.
 #[derive(Clone, Debug, Default)]
 pub struct SaveQueue {
-    newest: u64,
+    last_change: u64,
     due: BTreeMap<SaveRowKey, u64>,
     /// The rows of `due` in the order of their first changes, so that each row is written in the
     /// end.
-    order: BTreeSet<(u64, SaveRowKey)>,
+    by_first_change: BTreeSet<(u64, SaveRowKey)>,
     in_flight: BTreeMap<SaveRowKey, u64>,
-    set_apart: BTreeMap<SaveRowKey, RefusedRow>,
+    refused: BTreeMap<SaveRowKey, RefusedRow>,
 }
 
 /// A row that the store has refused.
 #[derive(Clone, Copy, Debug)]
 struct RefusedRow {
     change: u64,
-    again_at: Duration,
+    retry_at: Duration,
 }
 
 impl SaveQueue {
     /// Records that a row has changed and has to be written.
     pub fn mark_changed(&mut self, row: SaveRowKey) -> RowChange {
-        self.newest += 1;
-        let change = self.newest;
-        if !self.due.contains_key(&row) && !self.set_apart.contains_key(&row) {
+        self.last_change += 1;
+        let change = self.last_change;
+        if !self.due.contains_key(&row) && !self.refused.contains_key(&row) {
             self.due.insert(row, change);
-            self.order.insert((change, row));
+            self.by_first_change.insert((change, row));
         }
-        RowChange { row, change }
+        RowChange { row, number: change }
     }
 
     /// Takes the due row that has waited longest. It is in flight until `row_saved` or
     /// `row_refused` is called.
     pub fn take_oldest(&mut self) -> Option<SaveRowKey> {
-        let (change, row) = self.order.pop_first()?;
+        let (change, row) = self.by_first_change.pop_first()?;
         self.due.remove(&row);
         self.in_flight.insert(row, change);
         Some(row)
@@ -81,9 +81,9 @@
     /// Takes a refused row whose next attempt is due. It is written alone, so that it delays no
     /// other row.
     pub fn take_refused_due(&mut self, now: Duration) -> Option<SaveRowKey> {
-        let refused = self.set_apart.iter().find(|(_, it)| now >= it.again_at);
-        let (row, change) = refused.map(|(row, it)| (*row, it.change))?;
-        self.set_apart.remove(&row);
+        let refused_change = self.refused.iter().find(|(_, it)| now >= it.retry_at);
+        let (row, change) = refused_change.map(|(row, it)| (*row, it.change))?;
+        self.refused.remove(&row);
         self.in_flight.insert(row, change);
         Some(row)
     }
@@ -96,33 +96,35 @@
     /// Records that the store refused a row in flight, and would refuse it again.
     pub fn row_refused(&mut self, row: SaveRowKey, now: Duration) {
         let Some(change) = self.in_flight.remove(&row) else { return };
-        if let Some(later) = self.due.remove(&row) {
-            self.order.remove(&(later, row));
+        if let Some(due_change) = self.due.remove(&row) {
+            self.by_first_change.remove(&(due_change, row));
         }
-        self.set_apart.insert(row, RefusedRow { change, again_at: now + OFFER_AGAIN });
+        self.refused.insert(row, RefusedRow { change, retry_at: now + REFUSED_RETRY_INTERVAL });
     }
 
     /// Whether the store has a change.
-    pub fn is_durable(&self, mark: RowChange) -> bool {
-        let lacks = |first: Option<&u64>| first.is_some_and(|it| *it <= mark.change);
-        let refused = self.set_apart.get(&mark.row).map(|it| &it.change);
-        !lacks(self.due.get(&mark.row)) && !lacks(self.in_flight.get(&mark.row)) && !lacks(refused)
+    pub fn is_durable(&self, change: RowChange) -> bool {
+        let is_missing = |first: Option<&u64>| first.is_some_and(|it| *it <= change.number);
+        let refused_change = self.refused.get(&change.row).map(|it| &it.change);
+        !is_missing(self.due.get(&change.row))
+            && !is_missing(self.in_flight.get(&change.row))
+            && !is_missing(refused_change)
     }
 
     /// Whether the store has the present content of the row.
     pub fn is_saved(&self, row: SaveRowKey) -> bool {
-        self.is_durable(RowChange { row, change: u64::MAX })
+        self.is_durable(RowChange { row, number: u64::MAX })
     }
 
     /// Whether the store lacks a change of any row that matches.
-    pub fn has_unsaved(&self, is_such: impl Fn(SaveRowKey) -> bool) -> bool {
-        self.unsaved_rows().any(is_such)
+    pub fn has_unsaved(&self, matches: impl Fn(SaveRowKey) -> bool) -> bool {
+        self.unsaved_rows().any(matches)
     }
 
     /// The rows of which the store lacks a change; a row that is both due and in flight appears
     /// twice.
     pub fn unsaved_rows(&self) -> impl Iterator<Item = SaveRowKey> {
-        let rows = self.due.keys().chain(self.in_flight.keys()).chain(self.set_apart.keys());
+        let rows = self.due.keys().chain(self.in_flight.keys()).chain(self.refused.keys());
         rows.copied()
     }
 
@@ -133,6 +135,6 @@
 
     /// Number of rows that the store has refused and that wait for another attempt.
     pub fn n_refused(&self) -> usize {
-        self.set_apart.len()
+        self.refused.len()
     }
 }
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -50,14 +50,14 @@
         self.update_roster();
         self.note_silent_workers(now);
         let refused = self.unsaved.take_refused_due(now);
-        let is_alone = refused.is_some();
+        let is_retry = refused.is_some();
         let mut batch = SaveBatch::default();
         let mut next = refused.or_else(|| self.unsaved.take_oldest());
         while let Some(key) = next {
             let row = self.row_to_save(key);
-            let has_room = add(&row);
+            let has_space = add(&row);
             batch.rows.push(row);
-            next = if has_room && !is_alone { self.unsaved.take_oldest() } else { None };
+            next = if has_space && !is_retry { self.unsaved.take_oldest() } else { None };
         }
         (!batch.rows.is_empty()).then_some(batch)
     }
@@ -106,7 +106,7 @@
 
     fn roster_page(&mut self, page: u32) -> SaveContent {
         self.roster.page_sent(page);
-        let named = self.roster.workers_on_page(page).map(|worker| {
+        let entries = self.roster.workers_on_page(page).map(|worker| {
             let listing = self.workers.get(worker).map(|it| &it.entry);
             model::RosterEntry {
                 worker: worker.clone(),
@@ -115,7 +115,7 @@
                 on_record: self.roster.are_starts_saved(worker),
             }
         });
-        let workers = named.collect::<Vec<_>>();
+        let workers = entries.collect::<Vec<_>>();
         if workers.is_empty() {
             return SaveContent::Removed;
         }
@@ -164,19 +164,22 @@
         self.update_active(key.graph);
         let job = self.jobs.get(&key.graph)?;
         let graph = key.graph;
-        let own = progress::chunk_of(job, key)?;
+        let own_chunk = progress::chunk_of(job, key)?;
         let is_gang = job.step(key)?.spec.gang;
-        let chunks = if is_gang { progress::chunks_of_step(job, key)? } else { own..=own };
+        let chunks =
+            if is_gang { progress::chunks_of_step(job, key)? } else { own_chunk..=own_chunk };
         if job.state != job.durable_state {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Progress {
                 graph,
                 chunk: progress::HEAD_CHUNK,
             });
         }
-        for chunk in chunks.filter(|it| *it != own) {
+        for chunk in chunks.filter(|it| *it != own_chunk) {
             self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk });
         }
-        Some(self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk: own }))
+        Some(
+            self.unsaved.mark_changed(save_queue::SaveRowKey::Progress { graph, chunk: own_chunk }),
+        )
     }
 
     /// Marks all progress rows of a job as changed; the row of a chunk that the job does not have
@@ -199,21 +202,22 @@
     /// successor waits for each worker in the roster; for one that is gone it would wait until a
     /// lease runs out.
     pub(crate) fn update_roster(&mut self) {
-        let stays = |id: &ids::WorkerId| {
+        let is_expected = |id: &ids::WorkerId| {
             self.workers.get(id).is_some_and(worker::WorkerRecord::belongs_in_roster)
         };
-        let gone = self.roster.workers().filter(|it| !stays(it)).cloned().collect::<Vec<_>>();
-        let fresh = self
+        let obsolete =
+            self.roster.workers().filter(|it| !is_expected(it)).cloned().collect::<Vec<_>>();
+        let missing = self
             .workers
             .iter()
             .filter(|(id, it)| it.belongs_in_roster() && !self.roster.contains(id));
-        let fresh = fresh.map(|(id, _)| id.clone()).collect::<Vec<_>>();
-        for worker in gone {
+        let missing = missing.map(|(id, _)| id.clone()).collect::<Vec<_>>();
+        for worker in obsolete {
             if let Some(page) = self.roster.remove(&worker) {
                 self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
             }
         }
-        for worker in fresh {
+        for worker in missing {
             let page = self.roster.add(&worker);
             self.unsaved.mark_changed(save_queue::SaveRowKey::Roster { page });
         }
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -22,34 +22,34 @@
         let job = self.jobs.get_mut(&key.graph)?;
         let class = job.class.clone();
         let task = job.task_mut(key)?;
-        let known = task.run.as_ref();
-        let known = known.filter(|it| it.worker == *worker && it.attempt == end.attempt);
-        let since = known.map(|it| it.tracked_since);
-        let tells = known.is_some_and(|it| it.is_from_scratch && !it.is_remote);
+        let known_run = task.run.as_ref();
+        let known_run = known_run.filter(|it| it.worker == *worker && it.attempt == end.attempt);
+        let tracked_since = known_run.map(|it| it.tracked_since);
+        let is_run_time_sample = known_run.is_some_and(|it| it.is_from_scratch && !it.is_remote);
         task.attempt = task.attempt.max(end.attempt);
         task.ended_attempt = task.ended_attempt.max(end.attempt);
         if end.checkpoint.is_some() {
             task.checkpoint = end.checkpoint.clone();
         }
-        let is_acquitted = self.withdraw_loss(key, end.attempt);
-        let is_settled = self.clear_saved_start(key, end.attempt) || is_acquitted;
+        let is_loss_withdrawn = self.withdraw_loss(key, end.attempt);
+        let is_suspicion_changed = self.clear_saved_start(key, end.attempt) || is_loss_withdrawn;
         tracing::info!(
             job = format_args!("{:016x}", key.graph),
             task = %key,
             attempt = end.attempt,
             worker,
             how = ?end.how,
-            ran_ms = since.map(|it| now.saturating_sub(it).as_millis() as u64),
-            expected = since.is_some(),
+            ran_ms = tracked_since.map(|it| now.saturating_sub(it).as_millis() as u64),
+            expected = tracked_since.is_some(),
             "task ended"
         );
-        if since.is_some() {
+        if tracked_since.is_some() {
             self.release_run(key, now);
         }
         match end.how {
             order::EndKind::Done => {
-                if let Some(since) = since.filter(|_| tells) {
-                    self.run_times.observe(&class, now.saturating_sub(since));
+                if let Some(tracked_since) = tracked_since.filter(|_| is_run_time_sample) {
+                    self.run_times.observe(&class, now.saturating_sub(tracked_since));
                 }
                 self.task_done(worker, key, now)
             }
@@ -58,10 +58,10 @@
             | order::EndKind::Lapsed
             | order::EndKind::Broken
             | order::EndKind::Alone => {
-                self.spread_checkpoint(key);
+                self.share_checkpoint(key);
                 // The change has to be durable before the end is acknowledged. A successor would
                 // otherwise find the saved start without an end, and count the attempt as lost.
-                if is_settled { self.mark_task_changed(key) } else { None }
+                if is_suspicion_changed { self.mark_task_changed(key) } else { None }
             }
         }
     }
@@ -97,8 +97,8 @@
         }
         // Another attempt can be in progress only because of a wrong record; its result is not
         // needed.
-        let twin = self.jobs.get(&key.graph).and_then(|it| it.task(key));
-        if twin.is_some_and(|it| it.run.is_some()) {
+        let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
+        if task.is_some_and(|it| it.run.is_some()) {
             self.stop_run(key, now);
         }
         self.mark_task_changed(key)
@@ -111,14 +111,14 @@
         attempt: u32,
         now: Duration,
     ) -> Option<save_queue::RowChange> {
-        let is_spare = self.can_exclude(worker, |it| it.health.is_paused(now));
+        let can_be_excluded = self.can_exclude(worker, |it| it.health.is_paused(now));
         if let Some(record) = self.workers.get_mut(worker)
-            && record.health.task_failed(key.graph, is_spare, now)
+            && record.health.task_failed(key.graph, can_be_excluded, now)
         {
             tracing::warn!(worker, "worker fails tasks of several jobs and is paused");
         }
         let job = self.jobs.get_mut(&key.graph)?;
-        let most = job.max_attempts;
+        let max_attempts = job.max_attempts;
         let step = job.step_mut(key)?;
         let is_gang = step.spec.gang;
         let task = step.tasks.get_mut(key.task as usize)?;
@@ -127,12 +127,12 @@
         }
         let failures = if is_gang { &mut step.gang_failures } else { &mut task.failures };
         let is_new = failures.record(attempt);
-        let is_last = failures.count() >= most;
+        let is_last = failures.count() >= max_attempts;
         self.avoid_failed_worker(key, worker, now);
         if !is_new {
             return None;
         }
-        self.spread_checkpoint(key);
+        self.share_checkpoint(key);
         let job = self.jobs.get_mut(&key.graph)?;
         if is_last && !job.has_ended() {
             job.state = model::GraphState::Failed;
@@ -141,13 +141,13 @@
             self.stop_all(key.graph, now);
         }
         // The failures of a gang are saved with its first task.
-        let told_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
-        self.mark_task_changed(told_with)
+        let saved_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
+        self.mark_task_changed(saved_with)
     }
 
     /// Copies the checkpoint of a gang's member to all members. They all resume from the same
     /// checkpoint; that of any member will do.
-    fn spread_checkpoint(&mut self, key: task_key::TaskKey) {
+    fn share_checkpoint(&mut self, key: task_key::TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
         if !step.spec.gang {
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -103,7 +103,7 @@
     /// it answers again.
     pub has_lapsed: bool,
     /// Period after an answered poll in which acknowledging ends is safe.
-    pub incarnation_trust: ack_window::AckWindow,
+    pub ack_window: ack_window::AckWindow,
     /// Lowest end number in the worker's last answer.
     pub lowest_listed_end: Option<u64>,
     /// Highest end number that was processed.
@@ -142,7 +142,7 @@
     /// Unit for which the resources are preempted.
     pub unit: task_key::UnitKey,
     /// Claimed resources.
-    pub room: resources::Resources,
+    pub resources: resources::Resources,
     /// When the claim expires, in case the unit was placed elsewhere.
     pub until: Duration,
 }
@@ -163,7 +163,7 @@
     /// Highest attempt of the task that the worker has listed.
     pub attempt: u32,
     /// Resources that the run takes; the worker's whole capacity if its job is unknown.
-    pub room: resources::Resources,
+    pub resources: resources::Resources,
     /// When a stop was last sent; `None` before the first one.
     pub asked_at: Option<Duration>,
 }
@@ -176,7 +176,7 @@
 
     /// Resources in use, both by expected runs and by unwanted runs that are being stopped.
     pub fn in_use(&self) -> resources::Resources {
-        self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.room))
+        self.unwanted_runs.values().fold(self.used, |sum, it| sum.plus(it.resources))
     }
 
     /// Free resources. Unwanted runs count as used, because a worker without an admission check
@@ -207,7 +207,7 @@
         if !is_owed {
             return ack_window::EndAck::Nothing;
         }
-        if self.is_responsive() && self.incarnation_trust.is_open(now) {
+        if self.is_responsive() && self.ack_window.is_open(now) {
             ack_window::EndAck::UpTo(self.acknowledged)
         } else {
             ack_window::EndAck::VerifyFirst
