--- a/crates/graph/tests/pool/random_events.rs
+++ b/crates/graph/tests/pool/random_events.rs
@@ -1,4 +1,5 @@
-//! Whatever workers and the list of workers say, in whatever order, the scheduler goes on.
+//! Randomized test: the scheduler must survive any answers of workers and any entries in the list
+//! of workers, in any order.
 
 use std::time::Duration;
 
@@ -9,35 +10,35 @@
 
 use crate::support;
 
-/// Cases in CI; `POOL_ODD_CASES` sets another number, `POOL_ODD_SEED` the first seed.
+/// Number of cases in CI; `POOL_ODD_CASES` sets another number, `POOL_ODD_SEED` the first seed.
 const N_CASES: u64 = 60;
 
-/// Events of one case.
+/// Number of random events in one case.
 const N_EVENTS: u32 = 600;
 
 const N_WORKERS: usize = 6;
 const N_JOBS: u64 = 12;
 
-/// Readings of a clock that no worker should give.
-const ODD_CLOCKS: [u64; 5] = [0, 1, u64::MAX / 2, u64::MAX - 1, u64::MAX];
+/// Clock readings that no worker should report.
+const IMPLAUSIBLE_CLOCKS: [u64; 5] = [0, 1, u64::MAX / 2, u64::MAX - 1, u64::MAX];
 
-/// A scheduler among workers that answer at random.
-struct OddWorld {
+/// A scheduler whose workers answer at random.
+struct RandomWorld {
     bench: support::PoolBench,
     rng: ChaCha8Rng,
     orders: Vec<order::PoolOrder>,
     n_ends: u64,
 }
 
-impl OddWorld {
-    fn new(seed: u64) -> OddWorld {
+impl RandomWorld {
+    fn new(seed: u64) -> RandomWorld {
         let mut bench =
             support::PoolBench::with_unanswered_workers(N_WORKERS, Duration::from_secs(1_005));
         for graph in 0..N_JOBS / 4 {
             bench.inherit(graph, support::job(graph as u32 % 3, support::tasks(3)), None);
         }
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        OddWorld { bench, rng, orders: Vec::new(), n_ends: 0 }
+        RandomWorld { bench, rng, orders: Vec::new(), n_ends: 0 }
     }
 
     fn run(&mut self) {
@@ -45,11 +46,11 @@
             match self.rng.random_range(0..12) {
                 0 => self.admit(),
                 1..=3 => self.answer_order(),
-                4..=6 => self.answer_look(),
-                7 => self.lose_look(),
-                8 => self.change_entry(),
-                9 => self.pass_time(),
-                _ => self.turn(),
+                4..=6 => self.answer_poll(),
+                7 => self.miss_poll(),
+                8 => self.change_worker_entry(),
+                9 => self.advance_time(),
+                _ => self.run_round(),
             }
         }
     }
@@ -100,7 +101,7 @@
         }
     }
 
-    fn answer_look(&mut self) {
+    fn answer_poll(&mut self) {
         let worker = support::worker_id(self.rng.random_range(0..N_WORKERS));
         let now = self.bench.now;
         self.bench.core.next_poll(&worker, now);
@@ -115,12 +116,12 @@
         self.bench.core.poll_answered(&worker, listed, sent_at, now);
     }
 
-    fn lose_look(&mut self) {
+    fn miss_poll(&mut self) {
         let worker = support::worker_id(self.rng.random_range(0..N_WORKERS));
         self.bench.core.poll_missed(&worker);
     }
 
-    fn change_entry(&mut self) {
+    fn change_worker_entry(&mut self) {
         let index = self.rng.random_range(0..N_WORKERS);
         let now = self.bench.now;
         if self.rng.random_bool(0.3) {
@@ -135,14 +136,14 @@
         self.bench.core.update_worker(support::worker_id(index), listing, now);
     }
 
-    fn pass_time(&mut self) {
+    fn advance_time(&mut self) {
         let millis = [10, 400, 1_500, 8_000, 400_000][self.rng.random_range(0..5)];
         self.bench.advance(millis);
         let wall = self.rng.random_range(0..u64::MAX);
         self.bench.core.set_wall_time(Duration::from_millis(wall));
     }
 
-    fn turn(&mut self) {
+    fn run_round(&mut self) {
         self.bench.advance(50);
         let orders = self.bench.run_round();
         self.orders.extend(orders);
@@ -154,13 +155,13 @@
     fn clock(&mut self) -> u64 {
         let true_ms = self.bench.now.as_millis() as u64;
         match self.rng.random_range(0..10) {
-            0 => ODD_CLOCKS[self.rng.random_range(0..ODD_CLOCKS.len())],
+            0 => IMPLAUSIBLE_CLOCKS[self.rng.random_range(0..IMPLAUSIBLE_CLOCKS.len())],
             1 => true_ms.saturating_sub(self.rng.random_range(0..20_000)),
             _ => true_ms,
         }
     }
 
-    /// A run that was ordered, mostly, or one of nobody.
+    /// Mostly a run of an order that is not answered yet, else a run that was never ordered.
     fn listed_run(&mut self) -> order::ListedRun {
         let known = self.orders.iter().filter_map(|it| match it {
             order::PoolOrder::Start(start) => Some((start.task, start.attempt)),
@@ -193,17 +194,17 @@
     }
 }
 
-fn variable(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// A panic in a turn gave the tenure up, at each successor anew.
+/// Failure: a panic in a round ended the tenure, at each successor again.
 #[test]
-fn odd_answers_end_no_tenure() {
-    let first = variable("POOL_ODD_SEED").unwrap_or(1);
-    let n_cases = variable("POOL_ODD_CASES").unwrap_or(N_CASES);
-    for seed in first..first + n_cases {
+fn random_events_do_not_panic() {
+    let first_seed = env_number("POOL_ODD_SEED").unwrap_or(1);
+    let n_cases = env_number("POOL_ODD_CASES").unwrap_or(N_CASES);
+    for seed in first_seed..first_seed + n_cases {
         println!("odd case {seed}");
-        OddWorld::new(seed).run();
+        RandomWorld::new(seed).run();
     }
 }
--- a/crates/graph/tests/pool/support.rs
+++ b/crates/graph/tests/pool/support.rs
@@ -1,4 +1,4 @@
-//! A core with workers that answer as told.
+//! A test bench: a pool core, and workers that answer as each test says.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 };
 use almondpass_schema::{ids, model};
 
-/// What each worker offers.
+/// Resources that each worker offers.
 pub(crate) const CAPACITY: resources::Resources =
     resources::Resources { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
 
-/// Workers of one rack.
-const RACK: usize = 8;
+/// Number of workers in one rack.
+const WORKERS_PER_RACK: usize = 8;
 
-/// A core, the time, and the workers' clocks, which follow it.
+/// A pool core with its time. The clocks of all workers show the same time.
 pub(crate) struct PoolBench {
     pub(crate) core: core::PoolCore,
     pub(crate) now: Duration,
-    /// What was saved of each job.
+    /// The progress rows that were saved of each job.
     pub(crate) saved: BTreeMap<ids::GraphId, progress::SavedChunks>,
 }
 
 impl PoolBench {
-    /// `n_workers` workers in racks of eight, all of which have answered.
+    /// `n_workers` workers in racks of eight, each of which has answered a poll.
     pub(crate) fn new(n_workers: usize) -> PoolBench {
         let mut bench = PoolBench::with_unanswered_workers(n_workers, Duration::ZERO);
         for index in 0..n_workers {
@@ -34,7 +34,8 @@
         bench
     }
 
-    /// Workers that have not answered yet; what an earlier scheduler ordered ends by `settles_at`.
+    /// Workers that have not answered yet. All runs that an earlier scheduler ordered end by
+    /// `settles_at`.
     pub(crate) fn with_unanswered_workers(n_workers: usize, settles_at: Duration) -> PoolBench {
         let start = core::PoolStart {
             timing: timing::PoolTiming::default(),
@@ -57,7 +58,7 @@
         self.now += Duration::from_millis(millis);
     }
 
-    /// Saves everything that has changed.
+    /// Saves all changed rows.
     pub(crate) fn save(&mut self) {
         while let Some(batch) = self.take_save_batch() {
             self.record_progress(&batch);
@@ -65,12 +66,12 @@
         }
     }
 
-    /// What is to be written next, without a limit.
+    /// All rows that have to be written, in one batch.
     pub(crate) fn take_save_batch(&mut self) -> Option<saving::SaveBatch> {
         self.core.take_save_batch(self.now, |_| true)
     }
 
-    /// Keeps what a batch tells of jobs.
+    /// Records the progress rows of a batch in `saved`.
     pub(crate) fn record_progress(&mut self, batch: &saving::SaveBatch) {
         for row in &batch.rows {
             let save_queue::SaveRowKey::Progress { graph, chunk } = row.key else { continue };
@@ -91,7 +92,8 @@
         self.core.admit(admitted, self.now);
     }
 
-    /// Takes in a job that an earlier scheduler has left.
+    /// Admits a job that was accepted under an earlier scheduler, with the progress that was saved
+    /// of it.
     pub(crate) fn inherit(
         &mut self,
         graph: ids::GraphId,
@@ -114,7 +116,7 @@
         self.core.take_orders()
     }
 
-    /// Turns, and lets every start succeed.
+    /// Runs a round and confirms every start that it orders.
     pub(crate) fn run_round_and_start(&mut self) -> Vec<order::StartOrder> {
         let starts = starts(&self.run_round());
         for start in &starts {
@@ -129,7 +131,7 @@
         self.core.start_answered(start, answer, self.now);
     }
 
-    /// A worker answers a look sent a moment ago.
+    /// A worker answers a poll that was sent just now.
     pub(crate) fn answer_poll(
         &mut self,
         worker: usize,
@@ -139,7 +141,7 @@
         self.answer_poll_sent_at(worker, running, ended, self.now);
     }
 
-    /// A worker answers a look sent at `sent_at`.
+    /// A worker answers a poll that was sent at `sent_at`.
     pub(crate) fn answer_poll_sent_at(
         &mut self,
         worker: usize,
@@ -166,18 +168,18 @@
     format!("w{index:02}")
 }
 
-/// Index of a worker by its id.
+/// Index of a worker, parsed from its id.
 pub(crate) fn index_of(worker: &str) -> usize {
     worker.trim_start_matches('w').parse().unwrap()
 }
 
-/// Each rack stands in a data centre of its own.
+/// Data centre of a worker; each rack is in one of its own.
 pub(crate) fn data_center(index: usize) -> ids::DataCenter {
-    format!("dc{}", index / RACK)
+    format!("dc{}", index / WORKERS_PER_RACK)
 }
 
 pub(crate) fn worker_entry(index: usize) -> worker::WorkerEntry {
-    let rack = format!("r{}", index / RACK);
+    let rack = format!("r{}", index / WORKERS_PER_RACK);
     worker::WorkerEntry {
         address: format!("127.0.0.1:{}", 8_000 + index),
         upstream: "analysis".to_owned(),
@@ -191,7 +193,7 @@
     }
 }
 
-/// A job of one step.
+/// A job with one step.
 pub(crate) fn job(priority: u32, step: model::GraphStep) -> model::GraphRow {
     model::GraphRow {
         account: Some("lab".to_owned()),
@@ -204,7 +206,7 @@
     }
 }
 
-/// `n` tasks of one accelerator each.
+/// A step of `n` tasks that need one accelerator each.
 pub(crate) fn tasks(n: u32) -> model::GraphStep {
     model::GraphStep {
         accelerators: 1,
@@ -222,12 +224,12 @@
     }
 }
 
-/// `n` tasks that take a whole worker each.
+/// A step of `n` tasks that need a whole worker each.
 pub(crate) fn whole_workers(n: u32) -> model::GraphStep {
     model::GraphStep { accelerators: 8, ..tasks(n) }
 }
 
-/// The same tasks as a gang.
+/// The same step as a gang.
 pub(crate) fn gang(step: model::GraphStep) -> model::GraphStep {
     model::GraphStep { gang: true, ..step }
 }
@@ -248,12 +250,12 @@
     stops.collect()
 }
 
-/// A run as a worker lists it.
+/// The run of a start, as a worker lists it.
 pub(crate) fn listed_run(start: &order::StartOrder, percent: u32) -> order::ListedRun {
     order::ListedRun { task: start.task, attempt: start.attempt, checkpoint: None, percent }
 }
 
-/// An end as a worker lists it.
+/// The end of a start's run, as a worker lists it.
 pub(crate) fn listed_end(
     number: u64,
     start: &order::StartOrder,
--- a/crates/graph/tests/pool/worker_entries.rs
+++ b/crates/graph/tests/pool/worker_entries.rs
@@ -1,4 +1,4 @@
-//! What the entries of workers are worth that refuse nothing.
+//! How far the entries of workers without an admission check can be relied on.
 
 use std::sync::Arc;
 
@@ -6,23 +6,24 @@
 
 use crate::support;
 
-/// Workers write their entries this often, in milliseconds.
+/// Interval at which workers write their entries, in milliseconds.
 const HEARTBEAT_MS: u64 = 1_500;
 
-/// One worker that refuses nothing, whose entry has been read.
-fn unguarded_bench() -> support::PoolBench {
+/// A worker without an admission check, whose entry has been read.
+fn bench_without_admission_check() -> support::PoolBench {
     let mut bench = support::PoolBench::new(1);
     bench.core.set_catalog(Arc::new(catalog::PoolCatalog {
         without_admission_check: [support::worker_entry(0).upstream].into(),
         ..catalog::PoolCatalog::default()
     }));
     bench.core.note_list_read(bench.now);
-    tells(&mut bench, 1);
+    write_entry_after_heartbeats(&mut bench, 1);
     bench
 }
 
-/// The list tells of the entry anew, behind as many heartbeats, and the worker answers.
-fn tells(bench: &mut support::PoolBench, n_heartbeats: u64) {
+/// `n_heartbeats` heartbeats pass, in which the list is read and the worker answers polls. Then the
+/// list has a new write of the worker's entry.
+fn write_entry_after_heartbeats(bench: &mut support::PoolBench, n_heartbeats: u64) {
     for _ in 0..n_heartbeats {
         bench.advance(HEARTBEAT_MS);
         bench.core.note_list_read(bench.now);
@@ -31,26 +32,27 @@
     bench.core.note_entry_read(&support::worker_id(0));
 }
 
-/// How many of the tasks of a job start now.
-fn n_starts(bench: &mut support::PoolBench) -> usize {
+/// Admits a job with one task and returns how many tasks start in the next round.
+fn admit_and_count_starts(bench: &mut support::PoolBench) -> usize {
     bench.admit(1, support::job(1, support::tasks(1)));
     support::starts(&bench.run_round()).len()
 }
 
-/// Tasks start beyond a room that has shrunk meanwhile: the store has carried the write of an entry out late.
+/// Failure: tasks were started beyond the capacity of a worker that had shrunk meanwhile, because
+/// the store had carried out a write of its entry late.
 #[test]
-fn an_entry_that_comes_late_tells_of_no_room() {
-    let mut bench = unguarded_bench();
-    tells(&mut bench, 3);
-    assert_eq!(n_starts(&mut bench), 0);
-    tells(&mut bench, 1);
-    assert_eq!(n_starts(&mut bench), 1);
+fn late_entry_allows_no_start() {
+    let mut bench = bench_without_admission_check();
+    write_entry_after_heartbeats(&mut bench, 3);
+    assert_eq!(admit_and_count_starts(&mut bench), 0);
+    write_entry_after_heartbeats(&mut bench, 1);
+    assert_eq!(admit_and_count_starts(&mut bench), 1);
 }
 
-/// The store carries the write of an entry out behind one that its worker has made later.
+/// The store may carry out a write of an entry after a later write by the same worker.
 #[test]
-fn an_entry_that_was_overtaken_is_no_news() {
-    let mut bench = unguarded_bench();
+fn superseded_entry_is_ignored() {
+    let mut bench = bench_without_admission_check();
     let entry = |sequence, accelerators| worker::WorkerEntry {
         incarnation: Some(1),
         sequence: Some(sequence),
@@ -61,17 +63,17 @@
     assert!(bench.core.update_worker(id.clone(), entry(7, 0), bench.now));
     assert!(!bench.core.update_worker(id.clone(), entry(6, 8), bench.now));
     assert_eq!(bench.core.summary().accelerators, 0);
-    let reborn = worker::WorkerEntry { incarnation: Some(2), ..entry(1, 4) };
-    assert!(bench.core.update_worker(id, reborn, bench.now));
+    let next_incarnation = worker::WorkerEntry { incarnation: Some(2), ..entry(1, 4) };
+    assert!(bench.core.update_worker(id, next_incarnation, bench.now));
     assert_eq!(bench.core.summary().accelerators, 4);
 }
 
-/// One write of an entry that is lost costs nothing yet.
+/// The loss of one write of an entry does not stop starts on its worker yet.
 #[test]
-fn an_entry_that_comes_in_time_tells_of_room() {
-    let mut bench = unguarded_bench();
-    tells(&mut bench, 1);
+fn entry_allows_starts_for_one_missed_heartbeat() {
+    let mut bench = bench_without_admission_check();
+    write_entry_after_heartbeats(&mut bench, 1);
     bench.advance(HEARTBEAT_MS);
     bench.answer_poll(0, &[], &[]);
-    assert_eq!(n_starts(&mut bench), 1);
+    assert_eq!(admit_and_count_starts(&mut bench), 1);
 }
