--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -50,7 +50,9 @@
     /// are not listed any more.
     fn release_lapsed(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(_, it)| {
-            it.n_missed > 0 && now >= it.clock.lapses_at() && (it.fenced || now >= self.settles_at)
+            it.n_missed_calls > 0
+                && now >= it.clock.lapses_at()
+                && (it.fenced || now >= self.settles_at)
         });
         let silent = silent.map(|(id, _)| id.clone()).collect::<Vec<_>>();
         for worker in silent {
@@ -115,7 +117,7 @@
         let stopped_end_timeout = self.timing.stop_timeout + STOPPED_END_SLACK;
         let mut stops_due = Vec::new();
         for (id, worker) in &self.workers {
-            if worker.n_missed > 0 {
+            if worker.n_missed_calls > 0 {
                 continue;
             }
             for key in &worker.runs {
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -110,15 +110,15 @@
             tracing::debug!(worker, "ignored an answer of an earlier incarnation");
             return;
         }
-        if record.n_missed > 1 {
-            tracing::info!(worker, n_missed = record.n_missed, "worker answers again");
+        if record.n_missed_calls > 1 {
+            tracing::info!(worker, n_missed = record.n_missed_calls, "worker answers again");
         }
         if incarnation_of_answer == worker_restarts::AnswerIncarnation::Later {
             self.worker_restarted(worker, &listed, now);
         }
         let Some(record) = self.workers.get_mut(worker) else { return };
         record.incarnation = listed.incarnation.or(record.incarnation);
-        record.n_missed = 0;
+        record.n_missed_calls = 0;
         record.has_lapsed = false;
         record.ack_window.poll_answered(sent_at, now);
         record.lowest_listed_end = listed.ended.first().map(|it| it.number);
@@ -327,7 +327,9 @@
         let Some(job) = self.jobs.get(&key.graph) else { return };
         let Some(run) = job.task(key).and_then(|it| it.run.as_ref()) else { return };
         match run.phase {
-            job::RunPhase::Stopping { acked_at: Some(acked_at), .. } if sent_at > acked_at => {
+            job::RunPhase::Stopping { stop_acked_at: Some(stop_acked_at), .. }
+                if sent_at > stop_acked_at =>
+            {
                 self.release_run(key, now);
             }
             job::RunPhase::Running { confirmed_at } if sent_at > confirmed_at => {
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -194,7 +194,7 @@
     /// Whether the worker has answered under this tenure, and every call since its last answered
     /// poll.
     pub fn is_responsive(&self) -> bool {
-        self.fenced && self.n_missed == 0
+        self.fenced && self.n_missed_calls == 0
     }
 
     /// Which ends the next poll acknowledges: only those that the last answer listed, and only to
