--- a/crates/graph/src/failed_placement.rs
+++ b/crates/graph/src/failed_placement.rs
@@ -22,7 +22,7 @@
     /// The requirements of a failed `request`. `None` if they say nothing about other requests,
     /// because workers that only this task avoids, or its limit of tasks per worker, may have made
     /// it fail.
-    pub fn of(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
+    pub fn from_request(request: &candidate::PlacementRequest) -> Option<FailedPlacement> {
         let applies_to_others = request.n_tasks == 1
             && request.avoids.is_empty()
             && request.per_worker == 0
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -175,9 +175,9 @@
     /// A stop of the run was ordered.
     Stopping {
         /// When the stop was last sent.
-        asked_at: Duration,
+        stop_sent_at: Duration,
         /// When the worker first answered a stop.
-        acked_at: Option<Duration>,
+        stop_acked_at: Option<Duration>,
     },
 }
 
@@ -240,13 +240,13 @@
     pub fn is_ready(&self, step: usize) -> bool {
         let first = step - step % self.steps_per_run.max(1) as usize;
         let after = &self.steps[step].spec.after;
-        let mut before = after.iter().map(|it| self.steps.get(first + *it as usize));
-        before.all(|it| it.is_some_and(StepRecord::is_done))
+        let mut dependencies = after.iter().map(|it| self.steps.get(first + *it as usize));
+        dependencies.all(|it| it.is_some_and(StepRecord::is_done))
     }
 
     /// When the schedule's run that contains `step` is due, as time since 1970; zero without a
     /// schedule.
-    pub fn due(&self, step: usize) -> Duration {
+    pub fn due_at(&self, step: usize) -> Duration {
         let Some(schedule) = &self.schedule else { return Duration::ZERO };
         let run = step as u64 / u64::from(self.steps_per_run.max(1));
         let interval_ms = schedule.interval_ms.saturating_mul(run);
@@ -310,8 +310,8 @@
 
     /// Accelerators needed to run all tasks of one run of the schedule at the same time.
     pub fn accelerators(&self) -> u32 {
-        let of_run = self.steps.iter().take(self.steps_per_run as usize);
-        of_run.map(|it| it.spec.tasks * it.spec.accelerators).sum()
+        let steps_of_run = self.steps.iter().take(self.steps_per_run as usize);
+        steps_of_run.map(|it| it.spec.tasks * it.spec.accelerators).sum()
     }
 }
 
--- a/crates/graph/src/maintenance.rs
+++ b/crates/graph/src/maintenance.rs
@@ -62,12 +62,12 @@
                 self.is_bound_to_known_incarnation(*key) || self.has_surely_lapsed(*key, now)
             });
             if !lapsed.is_empty() {
-                let sign = if listed {
+                let loss_sign = if listed {
                     losses::LossEvidence::CutOff
                 } else {
                     losses::LossEvidence::Silent
                 };
-                self.record_worker_loss(&worker, sign, &lapsed, now);
+                self.record_worker_loss(&worker, loss_sign, &lapsed, now);
             }
             for key in lapsed {
                 self.release_run(key, now);
@@ -89,9 +89,9 @@
     /// shortened to the longest lease.
     pub(crate) fn has_surely_lapsed(&self, key: task_key::TaskKey, now: Duration) -> bool {
         let Some(run) = self.task_run(key) else { return true };
-        let longest = lease_clock::max_local_span(self.timing.longest_lease);
+        let longest_lease = lease_clock::max_local_span(self.timing.longest_lease);
         run.is_confirmed_by_incarnation
-            || now >= run.tracked_since + self.timing.start_timeout + longest
+            || now >= run.tracked_since + self.timing.start_timeout + longest_lease
     }
 
     /// Whether no incarnation after the known one can have accepted the start of a run: it would
@@ -123,21 +123,23 @@
             for key in &worker.runs {
                 let run = self.jobs.get(&key.graph).and_then(|it| it.task(*key));
                 let Some(run) = run.and_then(|it| it.run.as_ref()) else { continue };
-                let job::RunPhase::Stopping { asked_at, acked_at } = run.phase else { continue };
+                let job::RunPhase::Stopping { stop_sent_at, stop_acked_at } = run.phase else {
+                    continue;
+                };
                 let wait =
-                    if acked_at.is_some() { stopped_end_timeout } else { STOP_RETRY_INTERVAL };
-                if now >= asked_at + wait {
-                    stops_due.push((id.clone(), *key, run.attempt, acked_at));
+                    if stop_acked_at.is_some() { stopped_end_timeout } else { STOP_RETRY_INTERVAL };
+                if now >= stop_sent_at + wait {
+                    stops_due.push((id.clone(), *key, run.attempt, stop_acked_at));
                 }
             }
         }
-        for (worker, key, attempt, acked_at) in stops_due {
+        for (worker, key, attempt, stop_acked_at) in stops_due {
             if let Some(job) = self.jobs.get_mut(&key.graph)
                 && let Some(run) = job.task_mut(key).and_then(|it| it.run.as_mut())
             {
                 // The time of the first answered stop is kept. A poll sent after that answer
                 // settles the run, and may take longer than the wait before the next stop.
-                run.phase = job::RunPhase::Stopping { asked_at: now, acked_at };
+                run.phase = job::RunPhase::Stopping { stop_sent_at: now, stop_acked_at };
             }
             self.order_stop(worker, key, attempt);
         }
@@ -201,14 +203,14 @@
     /// mean run time of its class.
     pub(crate) fn expected_time_left(&self, key: task_key::TaskKey, now: Duration) -> Duration {
         let Some(run) = self.task_run(key) else { return Duration::ZERO };
-        let ran = now.saturating_sub(run.tracked_since);
+        let ran_for = now.saturating_sub(run.tracked_since);
         if let Some(pace) = run.pace.latest().filter(|it| *it > 0.0) {
             let remaining = f64::from(100 - run.percent.min(100)) / pace;
             return Duration::from_secs_f64(remaining)
                 .saturating_sub(now.saturating_sub(run.percent_changed_at));
         }
         let class = self.jobs.get(&key.graph).map(|it| it.class.as_str()).unwrap_or_default();
-        self.run_times.mean(class).saturating_sub(ran)
+        self.run_times.mean(class).saturating_sub(ran_for)
     }
 
     pub(crate) fn saves_checkpoints(&self, key: task_key::TaskKey) -> bool {
--- a/crates/graph/src/poll_answers.rs
+++ b/crates/graph/src/poll_answers.rs
@@ -55,11 +55,11 @@
         let record = self.workers.get_mut(worker)?;
         // A worker that does not answer gets no new deadline: it would postpone the time at which
         // its tasks have surely lapsed.
-        let answers = record.is_responsive();
-        let deadline_ms = if answers { record.clock.deadline_in(now, lease) } else { None };
+        let is_responsive = record.is_responsive();
+        let deadline_ms = if is_responsive { record.clock.deadline_in(now, lease) } else { None };
         let ack = record.next_ack(now);
         let has_runs = !record.runs.is_empty() || !record.unwanted_runs.is_empty();
-        let wait = match (answers, has_runs) {
+        let wait = match (is_responsive, has_runs) {
             // Ends that are not durable yet stay unacknowledged, so the worker lists them again at once.
             _ if !record.unsaved_ends.is_empty() => Duration::ZERO,
             _ if ack == ack_window::EndAck::VerifyFirst => Duration::ZERO,
@@ -134,12 +134,13 @@
         }
         let running = listed.running.iter().map(|it| (it.task, it.attempt));
         let running = running.collect::<BTreeMap<_, _>>();
-        let listed_at = AnswerTimes { clock: Duration::from_millis(listed.clock_ms), sent_at, now };
+        let answer_times =
+            AnswerTimes { clock: Duration::from_millis(listed.clock_ms), sent_at, now };
         for run in listed.running {
-            self.process_listed_run(worker, run, listed_at);
+            self.process_listed_run(worker, run, answer_times);
         }
         if listed.complete {
-            self.process_missing_runs(worker, &running, listed_at);
+            self.process_missing_runs(worker, &running, answer_times);
         }
         self.detect_slow_worker(worker, now);
     }
@@ -168,9 +169,9 @@
         }
         record.highest_seen_end = end.number;
         let number = end.number;
-        let mark = self.apply_end(worker, end, now);
+        let row_change = self.apply_end(worker, end, now);
         if let Some(record) = self.workers.get_mut(worker) {
-            record.unsaved_ends.push_back(worker::UnsavedEnd { number, change: mark });
+            record.unsaved_ends.push_back(worker::UnsavedEnd { number, change: row_change });
             record.advance_acknowledged(&self.unsaved);
         }
     }
@@ -246,7 +247,7 @@
         job.started = true;
         job.state = almondpass_schema::model::GraphState::Running;
         let Some(step) = job.step_mut(listed.task) else { return };
-        let room = step.task_resources();
+        let resources = step.task_resources();
         let Some(task) = step.tasks.get_mut(listed.task.task as usize) else { return };
         task.attempt = task.attempt.max(listed.attempt);
         if listed.checkpoint.is_some() {
@@ -274,7 +275,7 @@
         let needs_isolation = task.suspicion.needs_isolation();
         if let Some(record) = self.workers.get_mut(worker) {
             record.runs.insert(listed.task);
-            record.used = record.used.plus(room);
+            record.used = record.used.plus(resources);
             // Runs that are on the worker already go on, but no other run joins an isolated one.
             if needs_isolation {
                 record.isolated_runs.insert(listed.task);
@@ -284,17 +285,17 @@
 
     fn stop_unwanted_run(&mut self, worker: &ids::WorkerId, run: &order::ListedRun, now: Duration) {
         let job = self.jobs.get(&run.task.graph);
-        let room = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
+        let resources = job.and_then(|it| it.step(run.task)).map(job::StepRecord::task_resources);
         let Some(record) = self.workers.get_mut(worker) else { return };
-        let room = room.unwrap_or(record.entry.capacity);
+        let resources = resources.unwrap_or(record.entry.capacity);
         let first_listed =
-            worker::UnwantedRun { attempt: run.attempt, resources: room, asked_at: None };
+            worker::UnwantedRun { attempt: run.attempt, resources, stop_sent_at: None };
         let unwanted = record.unwanted_runs.entry(run.task).or_insert(first_listed);
         unwanted.attempt = unwanted.attempt.max(run.attempt);
-        if unwanted.asked_at.is_some_and(|it| now < it + UNWANTED_STOP_INTERVAL) {
+        if unwanted.stop_sent_at.is_some_and(|it| now < it + UNWANTED_STOP_INTERVAL) {
             return;
         }
-        unwanted.asked_at = Some(now);
+        unwanted.stop_sent_at = Some(now);
         let attempt = unwanted.attempt;
         tracing::info!(
             job = format_args!("{:016x}", run.task.graph),
@@ -384,8 +385,9 @@
         if start.generation != record.generation {
             return !run.is_confirmed_by_incarnation && self.has_surely_lapsed(key, at.sent_at);
         }
-        let over_at = Duration::from_millis(start.deadline_ms).saturating_add(START_DEADLINE_SLACK);
-        at.clock > over_at
+        let expires_at =
+            Duration::from_millis(start.deadline_ms).saturating_add(START_DEADLINE_SLACK);
+        at.clock > expires_at
     }
 }
 
--- a/crates/graph/src/saving.rs
+++ b/crates/graph/src/saving.rs
@@ -107,11 +107,11 @@
     fn roster_page(&mut self, page: u32) -> SaveContent {
         self.roster.page_sent(page);
         let entries = self.roster.workers_on_page(page).map(|worker| {
-            let listing = self.workers.get(worker).map(|it| &it.entry);
+            let entry = self.workers.get(worker).map(|it| &it.entry);
             model::RosterEntry {
                 worker: worker.clone(),
-                address: listing.map(|it| it.address.clone()).unwrap_or_default(),
-                upstream: listing.map(|it| it.upstream.clone()).unwrap_or_default(),
+                address: entry.map(|it| it.address.clone()).unwrap_or_default(),
+                upstream: entry.map(|it| it.upstream.clone()).unwrap_or_default(),
                 on_record: self.roster.are_starts_saved(worker),
             }
         });
--- a/crates/graph/src/takeover.rs
+++ b/crates/graph/src/takeover.rs
@@ -27,8 +27,8 @@
 pub(crate) enum SettledJobs {
     /// No inherited job: any task may run on some worker that has not answered.
     NoneInherited,
-    /// All but jobs with a saved start of which nothing was heard since: only such tasks may run on
-    /// the workers that have not answered.
+    /// All jobs but those with a saved start that no worker has reported on since: only tasks with
+    /// such a start may run on the workers that have not answered.
     AllButSavedStarts,
     /// All jobs: every inherited worker has answered, or its lease has lapsed.
     All,
@@ -39,12 +39,12 @@
         if now >= core.settles_at {
             return SettledJobs::All;
         }
-        let is_open = |it: &worker::WorkerRecord| it.inherited && !it.fenced;
-        let mut open = core.workers.iter().filter(|(_, it)| is_open(it)).peekable();
-        if open.peek().is_none() {
+        let is_unanswered = |it: &worker::WorkerRecord| it.inherited && !it.fenced;
+        let mut unanswered = core.workers.iter().filter(|(_, it)| is_unanswered(it)).peekable();
+        if unanswered.peek().is_none() {
             return SettledJobs::All;
         }
-        let has_only_saved_starts = open.all(|(id, _)| core.roster.are_starts_saved(id));
+        let has_only_saved_starts = unanswered.all(|(id, _)| core.roster.are_starts_saved(id));
         if has_only_saved_starts {
             SettledJobs::AllButSavedStarts
         } else {
@@ -75,7 +75,7 @@
     /// starts are all saved. The note becomes valid once it is durable.
     pub(crate) fn note_silent_workers(&mut self, now: Duration) {
         let silent = self.workers.iter().filter(|(id, it)| {
-            it.n_missed > 0
+            it.n_missed_calls > 0
                 && now >= it.silent_since + SILENCE_NOTE_DELAY
                 && !self.roster.are_starts_saved(id)
         });
@@ -131,10 +131,10 @@
         let is_known = worker.fenced || now >= self.settles_at;
         is_known
             && worker.unwanted_runs.is_empty()
-            && worker.runs.iter().all(|it| self.is_durable(*it))
+            && worker.runs.iter().all(|it| self.is_start_durable(*it))
     }
 
-    fn is_durable(&self, key: task_key::TaskKey) -> bool {
+    fn is_start_durable(&self, key: task_key::TaskKey) -> bool {
         let Some(job) = self.jobs.get(&key.graph) else { return false };
         let Some(task) = job.task(key) else { return false };
         let Some(chunk) = progress::chunk_of(job, key) else { return false };
--- a/crates/graph/src/worker.rs
+++ b/crates/graph/src/worker.rs
@@ -18,7 +18,7 @@
 
 /// Allowance for the time in which a start reaches the worker. A start is ordered only if the
 /// worker's entry stays fresh for that long.
-const NEWS_MARGIN: Duration = Duration::from_millis(300);
+const START_TRANSIT_MARGIN: Duration = Duration::from_millis(300);
 
 /// A worker's entry in the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -49,8 +49,10 @@
     /// Whether the same incarnation wrote `later` after this entry. The two may be read in the
     /// other order, as the store may carry out a write late.
     pub fn is_superseded_by(&self, later: &WorkerEntry) -> bool {
-        let is_same_life = self.incarnation.is_some() && self.incarnation == later.incarnation;
-        is_same_life && self.sequence.zip(later.sequence).is_some_and(|(it, later)| it < later)
+        let is_same_incarnation =
+            self.incarnation.is_some() && self.incarnation == later.incarnation;
+        is_same_incarnation
+            && self.sequence.zip(later.sequence).is_some_and(|(it, later)| it < later)
     }
 
     /// Whether the worker has that address and upstream, which is all that the roster saves of an
@@ -96,7 +98,7 @@
     pub last_contact_at: Duration,
     /// Number of calls without an answer since the last answered poll. While it is above zero, the
     /// worker may have restarted unnoticed.
-    pub n_missed: u32,
+    pub n_missed_calls: u32,
     /// Time of the last maintenance before the first of those calls.
     pub silent_since: Duration,
     /// Whether the worker is silent, its lease has surely lapsed, and nothing can run on it before
@@ -165,7 +167,7 @@
     /// Resources that the run takes; the worker's whole capacity if its job is unknown.
     pub resources: resources::Resources,
     /// When a stop was last sent; `None` before the first one.
-    pub asked_at: Option<Duration>,
+    pub stop_sent_at: Option<Duration>,
 }
 
 impl WorkerRecord {
@@ -188,7 +190,8 @@
     /// Whether the entry is too old to rely on its capacity: it was not written, or not read, for
     /// so long that the worker may offer fewer resources by now.
     pub fn is_entry_stale(&self, timing: &timing::PoolTiming, now: Duration) -> bool {
-        self.entry_current_at.is_none_or(|it| now + NEWS_MARGIN >= it + timing.max_entry_age)
+        self.entry_current_at
+            .is_none_or(|it| now + START_TRANSIT_MARGIN >= it + timing.max_entry_age)
     }
 
     /// Whether the worker has answered under this tenure, and every call since its last answered
@@ -203,8 +206,9 @@
     /// shows as tasks that the worker reports done and that are started again. For the same reason
     /// no acknowledgement is repeated without need.
     pub fn next_ack(&self, now: Duration) -> ack_window::EndAck {
-        let is_owed = self.lowest_listed_end.is_some_and(|it| it <= self.acknowledged);
-        if !is_owed {
+        let has_end_to_acknowledge =
+            self.lowest_listed_end.is_some_and(|it| it <= self.acknowledged);
+        if !has_end_to_acknowledge {
             return ack_window::EndAck::Nothing;
         }
         if self.is_responsive() && self.ack_window.is_open(now) {
