--- a/crates/graph/src/progress.rs
+++ b/crates/graph/src/progress.rs
@@ -1,7 +1,8 @@
-//! What is saved of a job, chunk by chunk, and how it is read back.
+//! The rows in which a job's progress is saved, and how a job is restored from them.
 //!
-//! The tasks of all steps, one step behind the other, are cut into chunks of equal size, each with a
-//! row of its own: neither a row nor what one end of a task writes grows with the job.
+//! The tasks of all steps, in the order of the steps, are cut into chunks of equal size, each with
+//! a row of its own. So neither the size of a row nor the amount written for the end of one task
+//! grows with the job.
 
 use std::collections::BTreeMap;
 use std::ops::{Range, RangeInclusive};
@@ -14,41 +15,42 @@
 use crate::suspicion;
 use crate::task_key;
 
-/// Tasks of one chunk. A task takes about 90 bytes, and 420 with the longest checkpoint name and 19
-/// failures, so that a chunk stays below 27 KB where the platform takes 64. One under which seven
-/// workers were lost takes 370 more; a chunk of such tasks alone takes less than 52.
+/// Tasks per chunk. A task takes about 90 bytes, and 420 with the longest checkpoint name and 19
+/// failures, so that a row stays below 27 KB; the platform accepts 64 KB. A task that lost seven
+/// workers takes 370 bytes more; a row of 64 such tasks takes less than 52 KB.
 pub const TASKS_PER_CHUNK: u32 = 64;
 
-/// Longest name of a checkpoint that is saved, in bytes; the platform's take 16. A successor starts
-/// a task with a longer one anew, instead of a row being refused for its length.
-const LONGEST_CHECKPOINT: usize = 256;
+/// Longest checkpoint name that is saved, in bytes; the platform's names take 16. A successor
+/// restarts a task with a longer name from the beginning; otherwise the store would refuse the
+/// whole row for its length.
+const MAX_CHECKPOINT_BYTES: usize = 256;
 
-/// Chances are saved in millionths.
-const MILLION: f64 = 1_000_000.0;
+/// Probabilities are saved in parts per million.
+const PARTS_PER_MILLION: f64 = 1_000_000.0;
 
-/// The chunk whose row also tells how far the job is.
+/// The chunk whose row holds the state and the failure of the whole job.
 pub const HEAD_CHUNK: u32 = 0;
 
-/// How many chunks a job has.
+/// Number of chunks of a job; at least 1.
 pub fn n_chunks(job: &job::JobRecord) -> u32 {
     let n_tasks = job.steps.iter().map(|it| it.tasks.len() as u32).sum::<u32>();
     n_tasks.div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
-/// How many chunks a job has, by the row of its acceptance.
+/// Number of chunks of a job, computed from its acceptance row; at least 1.
 pub fn n_chunks_of_row(row: &model::GraphRow) -> u32 {
     let runs = row.graph.schedule.as_ref().map_or(1, |it| it.runs.get());
     let n_tasks = row.graph.steps.iter().map(|it| it.tasks).sum::<u32>();
     n_tasks.saturating_mul(runs).div_ceil(TASKS_PER_CHUNK).max(1)
 }
 
-/// The chunk of a task.
+/// Chunk that contains a task; `None` if the job has no step with that number.
 pub fn chunk_of(job: &job::JobRecord, key: task_key::TaskKey) -> Option<u32> {
     let step = job.step_index(key)? as usize;
     Some((first_task_of(job, step) + key.task) / TASKS_PER_CHUNK)
 }
 
-/// The chunks of the tasks of a task's step.
+/// Chunks that contain the tasks of a task's step.
 pub fn chunks_of_step(job: &job::JobRecord, key: task_key::TaskKey) -> Option<RangeInclusive<u32>> {
     let index = job.step_index(key)? as usize;
     let first = first_task_of(job, index);
@@ -57,12 +59,13 @@
     Some(first / TASKS_PER_CHUNK..=last / TASKS_PER_CHUNK)
 }
 
-/// What is to be durable of a chunk of a job; nothing where it has no such chunk.
+/// Content of the row for a chunk of a job, as it should be in the store; `None` if the job has no
+/// such chunk.
 pub fn chunk_row(job: &job::JobRecord, chunk: u32) -> Option<model::ProgressRow> {
     if chunk >= n_chunks(job) {
         return None;
     }
-    let wanted = chunk * TASKS_PER_CHUNK..(chunk + 1) * TASKS_PER_CHUNK;
+    let chunk_tasks = chunk * TASKS_PER_CHUNK..(chunk + 1) * TASKS_PER_CHUNK;
     let mut row = model::ProgressRow {
         state: job.state,
         failure: job.failure,
@@ -73,60 +76,60 @@
     for (index, step) in job.steps.iter().enumerate() {
         let tasks = first..first + step.tasks.len() as u32;
         first = tasks.end;
-        let common = tasks.start.max(wanted.start)..tasks.end.min(wanted.end);
-        if common.is_empty() {
+        let in_chunk = tasks.start.max(chunk_tasks.start)..tasks.end.min(chunk_tasks.end);
+        if in_chunk.is_empty() {
             continue;
         }
         if row.steps.is_empty() {
             row.first_step = index as u32;
         }
-        let within = common.start - tasks.start..common.end - tasks.start;
+        let within = in_chunk.start - tasks.start..in_chunk.end - tasks.start;
         row.steps.push(step_progress(step, within));
     }
     Some(row)
 }
 
-/// What was saved of a job, by chunk.
+/// The progress rows of one job as read from the store, by chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SavedChunks {
     chunks: BTreeMap<u32, model::ProgressRow>,
 }
 
 impl SavedChunks {
-    /// Adds a chunk.
+    /// Adds the row of a chunk, in place of an earlier one.
     pub fn insert(&mut self, chunk: u32, row: model::ProgressRow) {
         self.chunks.insert(chunk, row);
     }
 
-    /// The numbers of the chunks that were saved.
+    /// Numbers of the chunks with a row, in ascending order.
     pub fn numbers(&self) -> impl Iterator<Item = u32> {
         self.chunks.keys().copied()
     }
 
-    /// Whether nothing was saved.
+    /// Whether the store has no progress row of the job.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Whether the head tells of tasks of other chunks too, as a release without chunks wrote it: it is
-    /// to be written anew, and with it all that it told of.
+    /// Whether the head row contains tasks of other chunks too, as written by a release without
+    /// chunks. All chunks of such a job have to be written again.
     pub fn is_unchunked(&self) -> bool {
         let Some(head) = self.chunks.get(&HEAD_CHUNK) else { return false };
-        let mut n_told = 0;
+        let mut n_tasks = 0;
         for step in &head.steps {
             let tasks = step.done.iter().chain(step.attempts.iter().map(|it| &it.task));
-            n_told += tasks.max().map_or(0, |it| it + 1);
+            n_tasks += tasks.max().map_or(0, |it| it + 1);
         }
-        n_told > TASKS_PER_CHUNK
+        n_tasks > TASKS_PER_CHUNK
     }
 
-    /// Takes what was saved into the record of the job.
+    /// Restores the job's state, its failure and its tasks' progress from the saved rows.
     pub fn restore_into(self, job: &mut job::JobRecord) {
         if self.is_empty() {
             return;
         }
         let head = self.chunks.get(&HEAD_CHUNK);
-        let told = head.map(|it| it.state);
+        let saved_state = head.map(|it| it.state);
         job.failure = head.and_then(|it| it.failure);
         for row in self.chunks.into_values() {
             let steps = job.steps.iter_mut().skip(row.first_step as usize);
@@ -134,43 +137,45 @@
                 restore_step(step, saved);
             }
         }
-        // A chunk is written only behind the end of a task.
-        job.state = told.unwrap_or(model::GraphState::Running);
+        // Any row without a head row means running: a row is first written after the end of a task.
+        job.state = saved_state.unwrap_or(model::GraphState::Running);
         job.durable_state = job.state;
         job.started = job.state != model::GraphState::Pending;
     }
 }
 
-/// Ends a job whose tasks show that it has ended: the head may not have been written yet when the
-/// scheduler ended. Not for a job that was cancelled, whose tasks may end in any way behind that.
+/// Ends a job whose tasks show that it has ended, as the earlier scheduler may have ended before it
+/// wrote the head row. Not called for a cancelled job, whose tasks may end in any way after the
+/// cancellation.
 pub fn infer_end(job: &mut job::JobRecord) {
     if job.has_ended() {
         return;
     }
     let is_complete = job.steps.iter().all(job::StepRecord::is_done);
-    let failure = if is_complete { None } else { shown_failure(job) };
+    let failure = if is_complete { None } else { inferred_failure(job) };
     if is_complete || failure.is_some() {
-        let shown =
+        let end_state =
             if is_complete { model::GraphState::Completed } else { model::GraphState::Failed };
-        job.state = shown;
+        job.state = end_state;
         job.failure = failure;
-        job.durable_state = shown;
+        job.durable_state = end_state;
         job.started = true;
     }
 }
 
-/// Why a job has failed, as its tasks show; nothing where they don't show that it has.
-fn shown_failure(job: &job::JobRecord) -> Option<model::FailureCause> {
-    let most = job.max_attempts;
+/// Cause of a job's failure according to its tasks; `None` if they don't show a failure.
+fn inferred_failure(job: &job::JobRecord) -> Option<model::FailureCause> {
+    let max_attempts = job.max_attempts;
     let has_failed = |it: &job::StepRecord| {
-        it.gang_failures.count() >= most || it.tasks.iter().any(|it| it.failures.count() >= most)
+        it.gang_failures.count() >= max_attempts
+            || it.tasks.iter().any(|it| it.failures.count() >= max_attempts)
     };
-    let crashes = |it: &job::TaskRecord| !it.done && it.suspicion.is_proven_to_crash();
+    let crashes_workers = |it: &job::TaskRecord| !it.done && it.suspicion.is_proven_to_crash();
     if job.steps.iter().any(has_failed) {
         return Some(model::FailureCause::Attempts);
     }
     let mut tasks = job.steps.iter().flat_map(|it| &it.tasks);
-    tasks.any(crashes).then_some(model::FailureCause::CrashesWorkers)
+    tasks.any(crashes_workers).then_some(model::FailureCause::CrashesWorkers)
 }
 
 fn first_task_of(job: &job::JobRecord, step: usize) -> u32 {
@@ -191,10 +196,10 @@
     }
     let started = tasks().filter(|(_, it)| it.attempt > 0 && !it.done);
     let saved = tasks().filter(|(_, it)| !it.done);
-    let charged = tasks().filter(|(_, it)| !it.done && !it.suspicion.losses().is_empty());
+    let with_losses = tasks().filter(|(_, it)| !it.done && !it.suspicion.losses().is_empty());
     model::StepProgress {
-        losses: charged.map(|(task, it)| task_losses(task, &it.suspicion)).collect(),
-        trials: tasks().filter_map(|(task, it)| trial(task, it)).collect(),
+        losses: with_losses.map(|(task, it)| task_losses(task, &it.suspicion)).collect(),
+        trials: tasks().filter_map(|(task, it)| saved_start_of(task, it)).collect(),
         done: tasks().filter(|(_, it)| it.done).map(|(task, _)| task).collect(),
         failures: failed,
         attempts: started
@@ -203,42 +208,44 @@
         checkpoints: saved
             .filter_map(|(task, it)| {
                 let checkpoint = it.checkpoint.as_deref()?;
-                let is_short = checkpoint.len() <= LONGEST_CHECKPOINT;
-                is_short.then(|| model::TaskCheckpoint { task, checkpoint: checkpoint.to_owned() })
+                let is_short_enough = checkpoint.len() <= MAX_CHECKPOINT_BYTES;
+                is_short_enough
+                    .then(|| model::TaskCheckpoint { task, checkpoint: checkpoint.to_owned() })
             })
             .collect(),
     }
 }
 
-/// What is held against a task, in millionths.
+/// The losses that are recorded against a task, with probabilities in parts per million.
 fn task_losses(task: u32, suspicion: &suspicion::TaskSuspicion) -> model::TaskLosses {
     let losses = suspicion.losses().iter().map(|it| model::WorkerLoss {
         attempt: it.attempt,
-        odds_ppm: (it.early_probability * MILLION).round() as u32,
-        surroundings_ppm: (it.anytime_probability * MILLION).round() as u32,
-        struck_ms: it.latest_loss_offset.map(millis),
+        odds_ppm: (it.early_probability * PARTS_PER_MILLION).round() as u32,
+        surroundings_ppm: (it.anytime_probability * PARTS_PER_MILLION).round() as u32,
+        struck_ms: it.latest_loss_offset.map(whole_millis),
     });
-    let survived_ms = Some(suspicion.longest_survived_run()).filter(|it| !it.is_zero()).map(millis);
+    let survived_ms =
+        Some(suspicion.longest_survived_run()).filter(|it| !it.is_zero()).map(whole_millis);
     model::TaskLosses { task, losses: losses.collect(), survived_ms }
 }
 
-/// The start of a task that is on record.
-fn trial(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
+/// The saved start of a task that is not done, by this scheduler or an earlier one.
+fn saved_start_of(task: u32, record: &job::TaskRecord) -> Option<model::TaskAttempt> {
     let attempt = record.suspicion.saved_attempt.or(record.suspicion.inherited_attempt)?;
     (!record.done).then_some(model::TaskAttempt { task, attempt })
 }
 
-fn millis(span: Duration) -> u32 {
+fn whole_millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What was saved of a task.
+/// Restores the losses that were saved against a task.
 pub(crate) fn restore_suspicion(saved: &model::TaskLosses) -> suspicion::TaskSuspicion {
     let span = |ms: u32| Duration::from_millis(u64::from(ms));
     let losses = saved.losses.iter().map(|it| suspicion::TaskLoss {
         attempt: it.attempt,
-        early_probability: f64::from(it.odds_ppm) / MILLION,
-        anytime_probability: f64::from(it.surroundings_ppm) / MILLION,
+        early_probability: f64::from(it.odds_ppm) / PARTS_PER_MILLION,
+        anytime_probability: f64::from(it.surroundings_ppm) / PARTS_PER_MILLION,
         latest_loss_offset: it.struck_ms.map(span),
     });
     let survived = saved.survived_ms.map(span).unwrap_or_default();
@@ -246,7 +253,8 @@
 }
 
 fn restore_step(step: &mut job::StepRecord, saved: model::StepProgress) {
-    // The end of one member is that of its gang; the rows of the others may not have been written.
+    // The end of one member is the end of its gang; the rows of the other members may not have been
+    // written.
     if step.spec.gang && !saved.done.is_empty() {
         step.tasks.iter_mut().for_each(|it| it.done = true);
     }
--- a/crates/graph/src/task_ends.rs
+++ b/crates/graph/src/task_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of tasks, as workers list them.
+//! Processing of the ends of tasks that workers list.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use crate::task_key;
 
 impl core::PoolCore {
-    /// Takes in an end. Returns the change that has to be durable before the end may be
-    /// acknowledged; nothing where a successor need not know of it.
-    pub(crate) fn take_end(
+    /// Applies an end to the records of its task and job. Returns the change that has to be durable
+    /// before the end may be acknowledged; `None` if a successor does not need to know of the end.
+    pub(crate) fn apply_end(
         &mut self,
         worker: &ids::WorkerId,
         end: order::ListedEnd,
@@ -22,34 +22,34 @@
         let job = self.jobs.get_mut(&key.graph)?;
         let class = job.class.clone();
         let task = job.task_mut(key)?;
-        let known = task.run.as_ref();
-        let known = known.filter(|it| it.worker == *worker && it.attempt == end.attempt);
-        let since = known.map(|it| it.tracked_since);
-        let tells = known.is_some_and(|it| it.is_from_scratch && !it.is_remote);
+        let known_run = task.run.as_ref();
+        let known_run = known_run.filter(|it| it.worker == *worker && it.attempt == end.attempt);
+        let tracked_since = known_run.map(|it| it.tracked_since);
+        let is_run_time_sample = known_run.is_some_and(|it| it.is_from_scratch && !it.is_remote);
         task.attempt = task.attempt.max(end.attempt);
         task.ended_attempt = task.ended_attempt.max(end.attempt);
         if end.checkpoint.is_some() {
             task.checkpoint = end.checkpoint.clone();
         }
-        let is_acquitted = self.withdraw_loss(key, end.attempt);
-        let is_settled = self.clear_saved_start(key, end.attempt) || is_acquitted;
+        let is_loss_withdrawn = self.withdraw_loss(key, end.attempt);
+        let is_suspicion_changed = self.clear_saved_start(key, end.attempt) || is_loss_withdrawn;
         tracing::info!(
             job = format_args!("{:016x}", key.graph),
             task = %key,
             attempt = end.attempt,
             worker,
             how = ?end.how,
-            ran_ms = since.map(|it| now.saturating_sub(it).as_millis() as u64),
-            expected = since.is_some(),
+            ran_ms = tracked_since.map(|it| now.saturating_sub(it).as_millis() as u64),
+            expected = tracked_since.is_some(),
             "task ended"
         );
-        if since.is_some() {
+        if tracked_since.is_some() {
             self.release_run(key, now);
         }
         match end.how {
             order::EndKind::Done => {
-                if let Some(since) = since.filter(|_| tells) {
-                    self.run_times.observe(&class, now.saturating_sub(since));
+                if let Some(tracked_since) = tracked_since.filter(|_| is_run_time_sample) {
+                    self.run_times.observe(&class, now.saturating_sub(tracked_since));
                 }
                 self.task_done(worker, key, now)
             }
@@ -58,10 +58,10 @@
             | order::EndKind::Lapsed
             | order::EndKind::Broken
             | order::EndKind::Alone => {
-                self.spread_checkpoint(key);
-                // Acknowledged before, the end would be missing to a successor, which would take the
-                // start that is on record for lost.
-                if is_settled { self.mark_task_changed(key) } else { None }
+                self.share_checkpoint(key);
+                // The change has to be durable before the end is acknowledged. A successor would
+                // otherwise find the saved start without an end, and count the attempt as lost.
+                if is_suspicion_changed { self.mark_task_changed(key) } else { None }
             }
         }
     }
@@ -81,7 +81,7 @@
         }
         let step = job.step_mut(key)?;
         if step.spec.gang {
-            // One such end represents all members.
+            // The successful end of one member represents all members of its gang.
             for task in &mut step.tasks {
                 task.done = true;
             }
@@ -95,9 +95,10 @@
         if is_complete && self.active.contains(&key.graph) {
             self.finish(key.graph, now);
         }
-        // Where another attempt runs, which only a wrong belief can have started, it is in vain.
-        let twin = self.jobs.get(&key.graph).and_then(|it| it.task(key));
-        if twin.is_some_and(|it| it.run.is_some()) {
+        // Another attempt can be in progress only because of a wrong record; its result is not
+        // needed.
+        let task = self.jobs.get(&key.graph).and_then(|it| it.task(key));
+        if task.is_some_and(|it| it.run.is_some()) {
             self.stop_run(key, now);
         }
         self.mark_task_changed(key)
@@ -110,14 +111,14 @@
         attempt: u32,
         now: Duration,
     ) -> Option<save_queue::RowChange> {
-        let is_spare = self.can_exclude(worker, |it| it.health.is_paused(now));
+        let can_be_excluded = self.can_exclude(worker, |it| it.health.is_paused(now));
         if let Some(record) = self.workers.get_mut(worker)
-            && record.health.task_failed(key.graph, is_spare, now)
+            && record.health.task_failed(key.graph, can_be_excluded, now)
         {
             tracing::warn!(worker, "worker fails tasks of several jobs and is paused");
         }
         let job = self.jobs.get_mut(&key.graph)?;
-        let most = job.max_attempts;
+        let max_attempts = job.max_attempts;
         let step = job.step_mut(key)?;
         let is_gang = step.spec.gang;
         let task = step.tasks.get_mut(key.task as usize)?;
@@ -126,12 +127,12 @@
         }
         let failures = if is_gang { &mut step.gang_failures } else { &mut task.failures };
         let is_new = failures.record(attempt);
-        let is_last = failures.count() >= most;
+        let is_last = failures.count() >= max_attempts;
         self.avoid_failed_worker(key, worker, now);
         if !is_new {
             return None;
         }
-        self.spread_checkpoint(key);
+        self.share_checkpoint(key);
         let job = self.jobs.get_mut(&key.graph)?;
         if is_last && !job.has_ended() {
             job.state = model::GraphState::Failed;
@@ -139,13 +140,14 @@
             self.finish(key.graph, now);
             self.stop_all(key.graph, now);
         }
-        // The failures of a gang are told of with its first task.
-        let told_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
-        self.mark_task_changed(told_with)
+        // The failures of a gang are saved with its first task.
+        let saved_with = if is_gang { task_key::TaskKey { task: 0, ..key } } else { key };
+        self.mark_task_changed(saved_with)
     }
 
-    /// All members of a gang resume from the same checkpoint; that of any member will do.
-    fn spread_checkpoint(&mut self, key: task_key::TaskKey) {
+    /// Copies the checkpoint of a gang's member to all members. They all resume from the same
+    /// checkpoint; that of any member will do.
+    fn share_checkpoint(&mut self, key: task_key::TaskKey) {
         let Some(job) = self.jobs.get_mut(&key.graph) else { return };
         let Some(step) = job.step_mut(key) else { return };
         if !step.spec.gang {
--- a/crates/graph/src/unsaved_suspicions.rs
+++ b/crates/graph/src/unsaved_suspicions.rs
@@ -1,7 +1,9 @@
-//! What a scheduler holds against tasks and has not saved, for its successor.
+//! Exchange of unsaved suspicions: losses and starts of suspects that a scheduler could not save,
+//! and hands to its successor.
 //!
-//! Losses come amid outages: while the store is away, what was learnt of them would go with the scheduler, and a
-//! task that crashes its workers would be started anew as often again.
+//! Workers are often lost during an outage of the store. Without this exchange the losses recorded
+//! meanwhile would be gone with the scheduler, and its successor would start a task that crashes
+//! its workers as often again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,76 +16,83 @@
 use crate::save_queue;
 use crate::task_key;
 
-/// Chunks that are told of. Each is a few hundred bytes.
-const MOST_TOLD: usize = 256;
+/// Limit of the chunks that are handed over. Each is a few hundred bytes.
+const MAX_REPORTED_CHUNKS: usize = 256;
 
 impl core::PoolCore {
-    /// What is held against tasks and was not saved.
+    /// The losses and saved starts in progress rows that the store lacks, for the successor.
     pub fn unsaved_suspicions(&self) -> Vec<model::UnsavedSuspicions> {
         let chunks = self.unsaved.unsaved_rows().filter_map(|it| match it {
             save_queue::SaveRowKey::Progress { graph, chunk } => Some((graph, chunk)),
             save_queue::SaveRowKey::Roster { .. } => None,
         });
         let chunks = chunks.collect::<BTreeSet<_>>().into_iter();
-        let told = chunks.filter_map(|(graph, chunk)| {
+        let reported = chunks.filter_map(|(graph, chunk)| {
             let job = self.jobs.get(&graph)?;
-            let is_given_up = job.failure == Some(model::FailureCause::CrashesWorkers);
-            let is_told = is_given_up || !job.has_ended();
-            if is_told { suspicions_of(graph, job, chunk) } else { None }
+            let is_failed_for_crashes = job.failure == Some(model::FailureCause::CrashesWorkers);
+            let is_reported = is_failed_for_crashes || !job.has_ended();
+            if is_reported { suspicions_of(graph, job, chunk) } else { None }
         });
-        told.take(MOST_TOLD).collect()
+        reported.take(MAX_REPORTED_CHUNKS).collect()
     }
 
-    /// Takes in what an earlier scheduler held against tasks and had not saved. Not of an attempt that is known to
-    /// be over: its worker may have told how it ended.
-    pub fn merge_suspicions(&mut self, told: model::UnsavedSuspicions, now: Duration) {
-        let graph = told.graph;
-        for (index, step) in (told.first_step..).zip(told.steps) {
+    /// Merges the losses and starts that an earlier scheduler could not save. Skips attempts that
+    /// are known to have ended: the worker may have listed how they ended.
+    pub fn merge_suspicions(&mut self, reported: model::UnsavedSuspicions, now: Duration) {
+        let graph = reported.graph;
+        for (index, step) in (reported.first_step..).zip(reported.steps) {
             let Some(job) = self.jobs.get(&graph).filter(|it| !it.has_ended()) else { return };
             let losses = step.losses.into_iter();
             let losses = losses.map(|it| (job.task_key(graph, index, it.task), it));
-            let trials = step.trials.iter();
-            let trials = trials.map(|it| (job.task_key(graph, index, it.task), it.attempt));
-            let (losses, trials) = (losses.collect::<Vec<_>>(), trials.collect::<Vec<_>>());
-            for (key, told) in losses {
-                self.learn_losses(key, &told, now);
+            let saved_starts = step.trials.iter();
+            let saved_starts =
+                saved_starts.map(|it| (job.task_key(graph, index, it.task), it.attempt));
+            let (losses, saved_starts) =
+                (losses.collect::<Vec<_>>(), saved_starts.collect::<Vec<_>>());
+            for (key, reported) in losses {
+                self.merge_losses(key, &reported, now);
             }
-            for (key, attempt) in trials {
-                self.learn_trial(key, attempt);
+            for (key, attempt) in saved_starts {
+                self.merge_saved_start(key, attempt);
             }
         }
     }
 
-    fn learn_losses(&mut self, key: task_key::TaskKey, told: &model::TaskLosses, now: Duration) {
+    fn merge_losses(
+        &mut self,
+        key: task_key::TaskKey,
+        reported: &model::TaskLosses,
+        now: Duration,
+    ) {
         let Some(task) = self.task_record_mut(key).filter(|it| !it.done) else { return };
-        let former = progress::restore_suspicion(told);
-        task.suspicion.record_survival(former.longest_survived_run());
+        let restored = progress::restore_suspicion(reported);
+        task.suspicion.record_survival(restored.longest_survived_run());
         let ended = task.ended_attempt;
-        let open = former.losses().iter().filter(|it| it.attempt > ended);
+        let open = restored.losses().iter().filter(|it| it.attempt > ended);
         for loss in open.copied().collect::<Vec<_>>() {
             tracing::info!(task = %key, attempt = loss.attempt, "loss is told by a former scheduler");
             self.record_loss(key, loss, now);
         }
     }
 
-    fn learn_trial(&mut self, key: task_key::TaskKey, attempt: u32) {
+    fn merge_saved_start(&mut self, key: task_key::TaskKey, attempt: u32) {
         let Some(task) = self.task_record_mut(key).filter(|it| !it.done) else { return };
         if attempt <= task.ended_attempt {
             return;
         }
-        let trial = match &task.run {
+        let saved_attempt = match &task.run {
             Some(run) if run.attempt == attempt => &mut task.suspicion.saved_attempt,
             _ => &mut task.suspicion.inherited_attempt,
         };
-        if *trial < Some(attempt) {
+        if *saved_attempt < Some(attempt) {
             tracing::info!(task = %key, attempt, "start is told by a former scheduler");
-            *trial = Some(attempt);
+            *saved_attempt = Some(attempt);
             self.mark_task_changed(key);
         }
     }
 }
 
-/// What is held against the tasks of a chunk, if anything is.
+/// The losses and saved starts of the tasks in a chunk; `None` if there are none.
 fn suspicions_of(
     graph: ids::GraphId,
     job: &job::JobRecord,
@@ -93,6 +102,6 @@
     let steps = row.steps.into_iter();
     let steps = steps.map(|it| model::StepSuspicions { losses: it.losses, trials: it.trials });
     let steps = steps.collect::<Vec<_>>();
-    let is_any = steps.iter().any(|it| !it.losses.is_empty() || !it.trials.is_empty());
-    is_any.then_some(model::UnsavedSuspicions { graph, first_step: row.first_step, steps })
+    let has_any = steps.iter().any(|it| !it.losses.is_empty() || !it.trials.is_empty());
+    has_any.then_some(model::UnsavedSuspicions { graph, first_step: row.first_step, steps })
 }
