--- a/crates/pool/tests/pool/entries.rs
+++ b/crates/pool/tests/pool/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the list of workers that others have written.
+//! Entries of the worker list that were overwritten by others than their worker.
 
 use std::time::Duration;
 
@@ -7,35 +7,37 @@
 
 use crate::support;
 
-/// For the list to be read, and for jobs to end.
+/// Time for the list to be read, and for jobs to end.
 const SOON: Duration = Duration::from_secs(3);
 
-/// Symptom: tasks were started on a worker whose entry could not be read any more. Sequence: the
-/// worker is listed; somebody writes over its entry. Cause: an entry that could not be read was passed
-/// over, and what was known of the worker before held on. The others serve meanwhile, and the
-/// worker does again as soon as it has written its entry anew.
+/// Symptom: tasks were started on a worker whose entry could no longer be read.
+///
+/// Sequence: the worker is listed; its entry is overwritten.
+///
+/// Cause: an entry that could not be read was ignored, and the worker's earlier entry stayed in force. The
+/// other workers serve meanwhile, and the worker serves again as soon as it has rewritten its entry.
 #[test]
-fn a_spoiled_entry_names_no_worker_and_the_others_hold() {
+fn a_corrupted_entry_excludes_only_its_worker() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         bench.corrupt_entry(0).await;
         time::sleep(SOON).await;
         bench.submit(0, 1, support::job(4, 500)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        let on_spoiled =
+        let is_on_corrupted =
             |it: &&almondpass_standin::pool_worker::RunRecord| it.worker == support::worker_id(0);
-        assert_eq!(bench.fleet.records().iter().filter(on_spoiled).count(), 0);
+        assert_eq!(bench.fleet.records().iter().filter(is_on_corrupted).count(), 0);
         bench.write_entry(0).await;
         time::sleep(SOON).await;
         bench.submit(0, 2, support::job(16, 500)).await;
         bench.await_state(0, 2, model::GraphState::Completed, 2 * SOON).await;
-        assert!(bench.fleet.records().iter().filter(on_spoiled).count() > 0);
+        assert!(bench.fleet.records().iter().filter(is_on_corrupted).count() > 0);
     });
 }
 
-/// What runs on a worker whose entry is spoiled ends there, once.
+/// Tasks on a worker whose entry is corrupted end there, once.
 #[test]
-fn a_task_on_a_worker_whose_entry_is_spoiled_goes_on() {
+fn a_task_continues_on_a_worker_whose_entry_is_corrupted() {
     support::run(async {
         let bench = support::PoolBench::start(3, 1).await;
         bench.submit(0, 1, support::job(2, 4_000)).await;
@@ -47,9 +49,9 @@
     });
 }
 
-/// A spoiled entry stops neither a takeover nor what the successor reads besides.
+/// A corrupted entry prevents neither a takeover nor the successor's other reads.
 #[test]
-fn a_takeover_reads_past_a_spoiled_entry() {
+fn a_takeover_succeeds_despite_a_corrupted_entry() {
     support::run(async {
         let mut bench = support::PoolBench::start(3, 2).await;
         bench.corrupt_entry(1).await;
--- a/crates/pool/tests/pool/evacuations.rs
+++ b/crates/pool/tests/pool/evacuations.rs
@@ -1,4 +1,4 @@
-//! The operator empties a data centre, and takes it back.
+//! The operator evacuates a data centre, and ends the evacuation.
 
 use std::time::Duration;
 
@@ -8,54 +8,57 @@
 
 use crate::support;
 
-/// An evacuation is in force this long behind its write, and lifted as fast.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time after its write within which an evacuation is in force, and after its removal within which it is
+/// lifted.
+const EFFECTIVE_WITHIN: Duration = Duration::from_secs(2);
 
 const SOON: Duration = Duration::from_secs(20);
 
-/// Workers of a data centre.
-const WORKERS: usize = 8;
+/// Workers per data centre.
+const WORKERS_PER_DATA_CENTER: usize = 8;
 
 fn runs_in(bench: &support::PoolBench, first_worker: usize) -> Vec<pool_worker::RunRecord> {
-    let workers = first_worker..first_worker + WORKERS;
+    let workers = first_worker..first_worker + WORKERS_PER_DATA_CENTER;
     let records = bench.fleet.records().into_iter();
     records.filter(|it| workers.contains(&support::index_of(&it.worker))).collect()
 }
 
-/// Each of `n` jobs fills a worker; all are accepted.
-async fn hand_in(bench: &support::PoolBench, graphs: std::ops::Range<u64>, run_ms: u64) {
+/// Submits jobs that each fill a worker; all have to be accepted.
+async fn submit_jobs(bench: &support::PoolBench, graphs: std::ops::Range<u64>, run_ms: u64) {
     for graph in graphs {
         let accepted = bench.submit(0, graph, support::job(8, run_ms)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
     }
 }
 
-/// Tasks start in a data centre that the operator has evacuated, or not where it was taken back.
+/// Guards against tasks that start in an evacuated data centre, and against none starting there after the
+/// evacuation has ended.
 #[test]
 fn an_evacuation_is_in_force_and_lifted_soon() {
     support::run(async {
-        let bench = support::PoolBench::start(3, 2 * WORKERS).await;
+        let bench = support::PoolBench::start(3, 2 * WORKERS_PER_DATA_CENTER).await;
         assert!(bench.evacuate("dc0").await);
-        time::sleep(IN_FORCE).await;
-        hand_in(&bench, 1..17, 1_000).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
+        submit_jobs(&bench, 1..17, 1_000).await;
         time::sleep(SOON).await;
         assert_eq!(runs_in(&bench, 0), []);
         assert_eq!(bench.fleet.records().len(), 16 * 8);
         assert!(bench.end_evacuation("dc0").await);
-        time::sleep(IN_FORCE).await;
-        hand_in(&bench, 17..33, 1_000).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
+        submit_jobs(&bench, 17..33, 1_000).await;
         time::sleep(SOON).await;
         assert!(!runs_in(&bench, 0).is_empty());
     });
 }
 
-/// A successor starts tasks in an evacuated data centre before it has heard of the evacuation.
+/// Guards against a successor that starts tasks in an evacuated data centre before it has read of the
+/// evacuation.
 #[test]
-fn a_successor_knows_before_its_first_start() {
+fn a_successor_reads_evacuations_before_its_first_start() {
     support::run(async {
-        let mut bench = support::PoolBench::start(1, 2 * WORKERS).await;
+        let mut bench = support::PoolBench::start(1, 2 * WORKERS_PER_DATA_CENTER).await;
         assert!(bench.evacuate("dc0").await);
-        hand_in(&bench, 1..17, 30_000).await;
+        submit_jobs(&bench, 1..17, 30_000).await;
         let address = bench.kill(0).await;
         let killed_at = Instant::now();
         bench.start_instance(&address);
@@ -66,30 +69,32 @@
     });
 }
 
-/// A scheduler that the store turns away does not hear of an evacuation that its peers know of.
+/// Guards against a scheduler whose calls the store rejects and that does not learn of an evacuation its
+/// peers know of.
 #[test]
-fn a_scheduler_without_the_store_hears_of_it_from_peers() {
+fn a_scheduler_without_the_store_learns_of_an_evacuation_from_peers() {
     support::run(async {
-        let bench = support::PoolBench::start(3, 2 * WORKERS).await;
+        let bench = support::PoolBench::start(3, 2 * WORKERS_PER_DATA_CENTER).await;
         let holder = bench.holder();
         bench.instances[holder].store_faults.set(fault::Condition::Refusing);
         assert!(bench.evacuate("dc0").await);
-        time::sleep(IN_FORCE).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
         let known = bench.instances[holder].state.evacuations.data_centers();
         assert_eq!(&*known, ["dc0".to_owned()]);
     });
 }
 
-/// What was known of an evacuation is forgotten with the history of the store, or a former word undoes it.
+/// Guards against an evacuation that is forgotten with the history of the store, or undone by an older
+/// report.
 #[test]
 fn an_evacuation_outlasts_the_history_of_the_store() {
     support::run(async {
-        let bench = support::PoolBench::start(2, 2 * WORKERS).await;
+        let bench = support::PoolBench::start(2, 2 * WORKERS_PER_DATA_CENTER).await;
         assert!(bench.evacuate("dc0").await);
-        time::sleep(IN_FORCE).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
         bench.store.forget_history();
         assert!(bench.evacuate("dc-of-tomorrow").await);
-        time::sleep(IN_FORCE).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
         let view = model::EvacuationView { version: 1, data_centers: Vec::new() };
         for instance in &bench.instances {
             instance.state.evacuations.replace(view.clone(), "peer");
@@ -99,15 +104,15 @@
     });
 }
 
-/// Work is refused, or runs, while all data centres are evacuated.
+/// Guards against jobs that are rejected, or run, while all data centres are evacuated.
 #[test]
-fn accepted_work_keeps_while_everything_is_evacuated() {
+fn accepted_jobs_wait_while_all_data_centers_are_evacuated() {
     support::run(async {
-        let bench = support::PoolBench::start(2, 2 * WORKERS).await;
+        let bench = support::PoolBench::start(2, 2 * WORKERS_PER_DATA_CENTER).await;
         assert!(bench.evacuate("dc0").await);
         assert!(bench.evacuate("dc1").await);
-        time::sleep(IN_FORCE).await;
-        hand_in(&bench, 1..3, 500).await;
+        time::sleep(EFFECTIVE_WITHIN).await;
+        submit_jobs(&bench, 1..3, 500).await;
         time::sleep(SOON).await;
         assert_eq!(bench.fleet.records(), []);
         assert!(bench.end_evacuation("dc1").await);
--- a/crates/pool/tests/pool/panics.rs
+++ b/crates/pool/tests/pool/panics.rs
@@ -1,4 +1,4 @@
-//! A part of an instance panics: what it cared for goes on.
+//! A part of an instance panics: the rest goes on, and the part is restarted.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 
 const SOON: Duration = Duration::from_secs(30);
 
-/// Longer than a lease, in milliseconds.
-const LONG_WORK: u64 = 15_000;
+/// Duration of a task that outlasts a lease, in milliseconds.
+const LONG_TASK_MS: u64 = 15_000;
 
-/// A job runs although the holder panics at the next call of `step` to its only worker.
-fn check_call(step: &'static str) {
+/// Checks that a job completes although the holder panics at the next call of `step` to its only worker.
+fn check_panic_at(step: &'static str) {
     support::run(async move {
         let bench = support::PoolBench::start(2, 1).await;
         let holder = bench.holder();
         bench.instances[holder].panics.panic_at_next(step);
-        bench.submit(holder, 1, support::job(1, LONG_WORK)).await;
+        bench.submit(holder, 1, support::job(1, LONG_TASK_MS)).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
         assert!(!bench.instances[holder].panics.is_pending());
         bench.assert_nothing_ran_twice();
     });
 }
 
-/// Guards against a worker that nobody looks at any more.
+/// Guards against a worker that is not polled any more.
 #[test]
-fn a_panic_at_a_look_does_not_end_the_session() {
-    check_call(pool_fleet::HOLD);
+fn a_panic_at_a_poll_does_not_end_the_session() {
+    check_panic_at(pool_fleet::HOLD);
 }
 
-/// Guards against a task that counts as started for good, and a worker that gets no orders any more.
+/// Guards against a task that counts as started forever, and a worker that gets no more orders.
 #[test]
 fn a_panic_at_a_start_settles_the_start() {
-    check_call(pool_fleet::START);
+    check_panic_at(pool_fleet::START);
 }
 
-/// Guards against an instance that never again learns of configurations.
+/// Guards against an instance that never reads another configuration.
 #[test]
-fn a_panic_at_a_document_does_not_end_its_following() {
+fn a_panic_at_a_document_does_not_end_configuration_updates() {
     support::run(async {
         let bench = support::PoolBench::start(2, 1).await;
         bench.write_document(support::PANICKING_DOCUMENT).await;
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 
 use std::time::Duration;
 
@@ -9,20 +9,23 @@
 
 use crate::support;
 
-/// A worker is away this long when it starts again.
+/// Time that a worker is down when it restarts.
 const DOWN: Duration = Duration::from_millis(600);
 
-/// Symptom: tasks that had ended well were started again. Sequence: a worker has listed some ends,
-/// loses power, and starts again under its id; the tasks that it gets then end. Cause: what was kept
-/// of the worker outlived its life. Ends are numbered from 1 in each life; those up to the highest
-/// number of the former life were passed over as known and, worse, acknowledged, so that the worker
-/// forgot them. The next look showed neither run nor end, and the task was started again.
+/// Symptom: tasks that had succeeded were started again.
 ///
-/// Evidence: of the workers that had started again, those that had listed no end before lost no
-/// run afterwards, and those that had listed two or more lost their first runs, each within a look of
-/// the moment at which the worker itself said that it was done.
+/// Sequence: a worker has listed some ends, loses power, and restarts under its id; the tasks that it then
+/// gets end.
+///
+/// Cause: state kept for the worker outlived its incarnation. Ends are numbered from 1 in each incarnation;
+/// those up to the highest number of the earlier incarnation were skipped as known and even acknowledged, so
+/// that the worker forgot them. The next poll showed neither run nor end, and the task was started again.
+///
+/// Evidence: of the restarted workers, those that had listed no end before lost no run afterwards, and those
+/// that had listed two or more lost their first runs, each within a poll of the time at which the worker
+/// itself reported it done.
 #[test]
-fn tasks_on_a_worker_that_started_again_run_once() {
+fn tasks_on_a_restarted_worker_run_once() {
     support::run(async {
         let bench = support::PoolBench::start(2, 1).await;
         bench.submit(0, 1, support::job(8, 500)).await;
@@ -40,19 +43,21 @@
     });
 }
 
-/// Symptom: accepted jobs never began their second step, with most workers empty. Sequence: workers
-/// start again and again, each under its id, while a wide step runs. Cause: the same. Each of the
-/// step's ends that came from a later life was passed over, its task ran again, and the step was
-/// never over in the eyes of the scheduler.
+/// Symptom: accepted jobs never began their second step although most workers were empty.
+///
+/// Sequence: workers restart repeatedly, each under its id, while a wide step runs.
+///
+/// Cause: as in `tasks_on_a_restarted_worker_run_once`, each end of the step from a later
+/// incarnation was skipped, its task ran again, and for the scheduler the step never ended.
 ///
-/// Evidence: half a minute behind the last restart one run in eight still vanished without an end,
-/// from workers that answered all the while, and the jobs' first steps had one task left that ran
-/// for the fourth time.
+/// Evidence: half a minute after the last restart one run in eight still vanished without an end, from
+/// workers that answered all the time, and the jobs' first steps had one task left that ran for the fourth
+/// time.
 #[test]
-fn a_second_step_begins_although_workers_start_again() {
+fn a_second_step_begins_although_workers_restart() {
     support::run(async {
         let bench = support::PoolBench::start(2, 4).await;
-        // Each worker lists more ends than the wide step has tasks for it.
+        // Each worker lists more ends than it runs tasks of the wide step.
         bench.submit(0, 1, support::job(200, 500)).await;
         bench.await_state(0, 1, model::GraphState::Completed, Duration::from_secs(10)).await;
         let mut wide = support::job(48, 3_000);
@@ -63,19 +68,23 @@
             time::sleep(support::HEARTBEAT).await;
             bench.write_entry(index).await;
         }
-        // Behind the last restart each task of the wide step runs once at most: two rounds of 3 s on
-        // 32 places. Then the second step, and a second for looks and saves.
+        // After the last restart each task of the wide step runs at most once: two rounds of 3 s on 32 slots.
+        // The second step and a second for polls and saves follow.
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(10)).await;
         bench.assert_nothing_ran_twice();
     });
 }
 
-/// Symptom, by reading and in storms: a task ran on two workers at a time. Sequence: a start has no
-/// answer and is carried out seconds later; meanwhile its worker has started again, and the task runs
-/// elsewhere. Cause: nothing in the start told the later life that it was not meant; its deadline is by
-/// the former clock. What is sent to a later life carries a higher fencing token, which bars it.
+/// Symptom, found by review and in storms: a task ran on two workers at a time.
+///
+/// Sequence: a start gets no answer and is executed seconds later; meanwhile its worker has restarted, and
+/// the task runs elsewhere.
+///
+/// Cause: nothing in the start told the later incarnation that the call was not meant for it; the start's
+/// deadline is by the earlier incarnation's clock. Calls to a later incarnation now carry a higher fencing
+/// token, which bars the start.
 #[test]
-fn a_start_carried_out_late_is_barred_in_a_later_life() {
+fn a_late_start_is_refused_by_a_later_incarnation() {
     support::run(async {
         let bench = support::PoolBench::start(1, 2).await;
         bench.fleet.let_starts_outlive();
@@ -85,7 +94,7 @@
         let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
         bench.fleet.faults(&support::worker_id(1)).next(pool_fleet::START, late);
         bench.submit(0, 2, support::job(1, 8_000)).await;
-        // The task goes to the first worker, as the second one leaves; then that starts again.
+        // The task goes to the first worker, as the second one leaves; then the second one restarts.
         bench.drain_worker(1).await;
         bench.cancel(0, 1).await;
         time::sleep(Duration::from_millis(1_500)).await;
@@ -96,12 +105,14 @@
     });
 }
 
-/// Symptom, by reading: what ran on a worker that could no longer be reached was started elsewhere
-/// only minutes later. Sequence: a worker that has been up for long starts again, gets a task, and is
-/// cut off for good. Cause: deadlines by its former clock, which showed far more, counted as its
-/// lease.
+/// Symptom, found by review: tasks on a worker that could no longer be reached were started elsewhere only
+/// minutes later.
+///
+/// Sequence: a worker that has been up for long restarts, gets a task, and is cut off for good.
+///
+/// Cause: deadlines by the earlier incarnation's clock, which showed far more, counted as the worker's lease.
 #[test]
-fn a_lease_by_a_former_clock_does_not_outlast_its_life() {
+fn a_lease_by_an_earlier_clock_ends_with_its_incarnation() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
         bench.submit(0, 1, support::job(12, 500)).await;
--- a/crates/pool/tests/pool/sessions.rs
+++ b/crates/pool/tests/pool/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with workers that end other than by themselves.
+//! Sessions with workers that end by a panic.
 
 use std::time::Duration;
 
@@ -10,8 +10,9 @@
 
 const SOON: Duration = Duration::from_secs(8);
 
-/// The program panics in a call to the only worker, before a job or while it runs.
-async fn check_a_panic_in(step: &'static str, before: Duration) {
+/// The instance panics in a call to its only worker, either before a job is submitted or after the job has
+/// run for `before`.
+async fn check_panic_at(step: &'static str, before: Duration) {
     let bench = support::PoolBench::start(1, 1).await;
     if before.is_zero() {
         bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
@@ -25,14 +26,16 @@
     bench.assert_nothing_ran_twice();
 }
 
-/// Nothing was sent to a worker any more to which an order had failed, and tasks went on being started there.
+/// Guards against a worker to which no order is sent after one that panicked, while tasks are still placed on
+/// it.
 #[test]
-fn orders_go_on_behind_one_that_panics() {
-    support::run(check_a_panic_in(pool_fleet::START, Duration::ZERO));
+fn orders_continue_after_one_that_panics() {
+    support::run(check_panic_at(pool_fleet::START, Duration::ZERO));
 }
 
-/// A worker was never looked at again behind a look that had failed, and the end of its task never heard of.
+/// Guards against a worker that is never polled after a poll that panicked, so that the end of its task is
+/// not noticed.
 #[test]
-fn looks_go_on_behind_one_that_panics() {
-    support::run(check_a_panic_in(pool_fleet::HOLD, Duration::from_millis(500)));
+fn polls_continue_after_one_that_panics() {
+    support::run(check_panic_at(pool_fleet::HOLD, Duration::from_millis(500)));
 }
--- a/crates/pool/tests/pool/strengths.rs
+++ b/crates/pool/tests/pool/strengths.rs
@@ -1,4 +1,4 @@
-//! Instances of different strength: the work of the holder is for the strongest.
+//! Instances of different strength: the strongest one should hold the tenure.
 
 use std::time::Duration;
 
@@ -11,14 +11,16 @@
 const WEAK: u32 = 120;
 const STRONG: u32 = 500;
 
-/// What was started by a scheduler that is over ends within its lease.
-const LEASE_AND_MORE: Duration = Duration::from_millis(7_200);
+/// Upper bound for a lease: tasks of a scheduler that has ended stop within this time.
+const LEASE_BOUND: Duration = Duration::from_millis(7_200);
 const STRONG_ADDRESS: &str = "10.0.9.1:7000";
 
-/// Symptom: on some days urgent work was late from the first moment on, on one in 25 nearly all work.
-/// Sequence: all instances start for the first time, those on weak machines a little sooner; one of
-/// them takes the tenure for the day. Cause: it looked whether a stronger one was listed while most
-/// had not written their rows yet.
+/// Symptom: on some days urgent work was late from the beginning, and on one day in 25 nearly all work was.
+///
+/// Sequence: all instances start for the first time, those on weak machines slightly earlier; one of these
+/// takes the tenure for the day.
+///
+/// Cause: it checked whether a stronger instance was listed while most had not written their rows yet.
 #[test]
 fn a_weak_instance_that_starts_first_leaves_the_tenure_to_a_stronger_one() {
     support::run(async {
@@ -34,7 +36,7 @@
     });
 }
 
-/// A stronger instance that comes later gets the tenure, and what runs goes on.
+/// A stronger instance that starts later gets the tenure, and running tasks go on.
 #[test]
 fn a_weak_holder_hands_over_to_a_stronger_instance() {
     support::run(async {
@@ -52,7 +54,7 @@
     });
 }
 
-/// The row of a machine that is gone stays in the store: the tenure is offered to it once.
+/// The row of a machine that is gone stays in the store: the tenure is offered to that machine only once.
 #[test]
 fn a_weak_holder_offers_the_tenure_once() {
     support::run(async {
@@ -69,20 +71,23 @@
     });
 }
 
-/// Symptom: instances of 0.12 cores spent their time on reading. Sequence: 147 instances read the rows
-/// of all 147 every 6 s. Cause: what is read grew with the square of the number of instances, though
-/// hardly any row changes.
+/// Symptom: instances with 0.12 cores spent their time on reading.
+///
+/// Sequence: 147 instances read the rows of all 147 every 6 s.
+///
+/// Cause: the amount read grew with the square of the number of instances, although rows hardly ever change.
 #[test]
 fn instances_read_each_others_rows_once() {
     support::run(async {
         let bench = support::PoolBench::start(6, 1).await;
-        let told = bench.store.told(keys::INSTANCES);
+        let n_rows_before = bench.store.told(keys::INSTANCES);
         time::sleep(Duration::from_secs(120)).await;
-        assert!(bench.store.told(keys::INSTANCES) - told <= 6, "nothing has changed");
+        assert!(bench.store.told(keys::INSTANCES) - n_rows_before <= 6, "nothing has changed");
     });
 }
 
-/// Each hand-over makes accepted jobs wait anew for the lease of a worker that does not answer.
+/// Guards against repeated hand-overs while a worker does not answer: each would make accepted jobs wait anew
+/// for that worker's lease.
 #[test]
 fn a_tenure_is_not_handed_over_while_a_worker_does_not_answer() {
     support::run(async {
@@ -98,7 +103,7 @@
         time::sleep(Duration::from_secs(3)).await;
         assert_eq!(bench.latest_holder(), Some(0));
         let strong = bench.start_instance_with_strength(STRONG_ADDRESS, STRONG);
-        time::sleep(LEASE_AND_MORE).await;
+        time::sleep(LEASE_BOUND).await;
         assert_eq!(bench.fleet.running().len(), 2);
         time::sleep(Duration::from_secs(9)).await;
         assert_eq!(bench.holder(), strong);
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -1,4 +1,4 @@
-//! How long a successor waits for what holders before it may have left on a worker that does not answer.
+//! How long a successor waits for tasks that earlier holders may have left on a worker that does not answer.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 
 use crate::support;
 
-/// The last order of a holder extends leases for this long, on a clock that is 2% slow, and what is found then
-/// starts within a turn.
-const LEASE: Duration = Duration::from_millis(6_900);
+/// The last order of a holder extends leases for this long, on a clock that is 2% slow; jobs that waited for
+/// that start within a round.
+const LEASE_BOUND: Duration = Duration::from_millis(6_900);
 
-/// The work of the task that waits, and looks at it.
-const WORK: Duration = Duration::from_millis(700);
+/// Duration of the waiting task, with the polls that find its start and end.
+const WORK_BOUND: Duration = Duration::from_millis(700);
 
-/// Accepted work of a pool of two workers: job 1 fills both for long, job 2 waits for it.
-async fn start_full(n_instances: usize) -> support::PoolBench {
+/// Starts a pool of two workers with accepted jobs: job 1 fills both workers for long, job 2 waits for it.
+async fn start_with_full_workers(n_instances: usize) -> support::PoolBench {
     let bench = support::PoolBench::start(n_instances, 2).await;
     bench.submit(0, 1, support::job(16, 60_000)).await;
     bench.submit(0, 2, support::job(1, 500)).await;
@@ -25,13 +25,13 @@
     bench
 }
 
-/// Nobody reaches a worker any more.
-fn silence_worker(bench: &support::PoolBench) {
+/// Cuts a worker off from all instances.
+fn cut_off_worker(bench: &support::PoolBench) {
     bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Silent);
 }
 
-/// Job 1 is cancelled, and job 2 has to be done in its room by `due`.
-async fn assert_waiting_job_is_done_by(bench: &support::PoolBench, due: Instant) {
+/// Cancels job 1, and checks that job 2 is done on its resources by `due`.
+async fn assert_waiting_job_completes_by(bench: &support::PoolBench, due: Instant) {
     bench.cancel(0, 1).await;
     let limit = due.saturating_duration_since(Instant::now());
     bench.await_state(0, 2, model::GraphState::Completed, limit).await;
@@ -44,11 +44,12 @@
     }
 }
 
-/// A successor counts the lease from the moment at which a former holder answers it, not from its last order.
+/// Guards against a successor that counts the lease from the time at which a former holder answers it,
+/// instead of from that holder's last order.
 #[test]
-fn a_former_holder_tells_since_when_it_has_given_no_orders() {
+fn a_former_holder_reports_when_it_stopped_giving_orders() {
     support::run(async {
-        let bench = start_full(2).await;
+        let bench = start_with_full_workers(2).await;
         let (former, other) = (bench.holder(), bench.non_holder());
         let address = &bench.instances[former].address;
         let other = &bench.instances[other].address;
@@ -60,16 +61,17 @@
         let query = model::TenureQuery { holder, epoch: 1 };
         let answer = bench.net.link(other).call(address, query, Duration::from_secs(1)).await;
         let over_for_ms = answer.expect("an answer").over_for_ms.expect("it is over");
-        // Its term, and as long as it may go on without the store.
+        // The former holder gave orders for its term and for as long as it may go on without the store.
         assert!((4_000..12_000).contains(&over_for_ms), "{over_for_ms}");
     });
 }
 
-/// Accepted work waits for a lease from the moment at which a successor reads that the tenure was given up.
+/// Guards against accepted jobs that wait for a lease from the time at which a successor reads that the
+/// tenure was released, instead of from the release.
 #[test]
-fn a_holder_that_has_given_up_is_asked_since_when() {
+fn a_holder_that_released_the_tenure_is_asked_since_when() {
     support::run(async {
-        let mut bench = start_full(2).await;
+        let mut bench = start_with_full_workers(2).await;
         let former = bench.holder();
         let other = bench.non_holder();
         let stronger = bench.start_instance_with_strength("10.0.1.1:7000", 400);
@@ -82,7 +84,7 @@
             time::sleep(Duration::from_millis(10)).await;
         }
         let given_up_at = Instant::now();
-        silence_worker(&bench);
+        cut_off_worker(&bench);
         for instance in &bench.instances {
             instance.store_faults.set(fault::Condition::Refusing);
         }
@@ -91,16 +93,18 @@
             instance.store_faults.set(fault::Condition::Up);
         }
         await_holder(&bench).await;
-        assert_waiting_job_is_done_by(&bench, given_up_at + LEASE + Duration::from_secs(1)).await;
+        assert_waiting_job_completes_by(&bench, given_up_at + LEASE_BOUND + Duration::from_secs(1))
+            .await;
     });
 }
 
-/// Accepted work waits for holders before the last one as if nothing were known of them.
+/// Guards against a successor that assumes the longest wait for holders before the last one, although the row
+/// names them.
 #[test]
-fn holders_before_the_last_one_are_over_as_the_row_tells() {
+fn holders_before_the_last_one_settle_as_the_row_reports() {
     support::run(async {
-        let mut bench = start_full(3).await;
-        silence_worker(&bench);
+        let mut bench = start_with_full_workers(3).await;
+        cut_off_worker(&bench);
         kill_and_start(&mut bench, Duration::from_millis(500)).await;
         await_holder(&bench).await;
         time::sleep(Duration::from_millis(500)).await;
@@ -109,16 +113,17 @@
         await_holder(&bench).await;
         let back_at = Instant::now();
         bench.start_instance(&address);
-        assert_waiting_job_is_done_by(&bench, back_at + LEASE + WORK).await;
+        assert_waiting_job_completes_by(&bench, back_at + LEASE_BOUND + WORK_BOUND).await;
     });
 }
 
-/// A successor that goes before the holder ahead of it was heard of leaves nobody who would ask that one.
+/// Guards against earlier holders that no instance queries: a successor stops before it has an answer from
+/// the holder before it, and the next one queries only that successor.
 #[test]
 fn each_holder_that_may_go_on_is_asked() {
     support::run(async {
-        let mut bench = start_full(3).await;
-        silence_worker(&bench);
+        let mut bench = start_with_full_workers(3).await;
+        cut_off_worker(&bench);
         let first = bench.holder();
         let first = bench.kill(first).await;
         await_holder(&bench).await;
@@ -128,16 +133,17 @@
         bench.start_instance(&first);
         let back_at = Instant::now();
         await_holder(&bench).await;
-        assert_waiting_job_is_done_by(&bench, back_at + LEASE + WORK).await;
+        assert_waiting_job_completes_by(&bench, back_at + LEASE_BOUND + WORK_BOUND).await;
     });
 }
 
-/// A tenure that has just settled is given away before what has waited for that has started.
+/// Guards against a tenure that is handed over just after it has settled, before jobs that waited for the
+/// settling have started.
 #[test]
-fn a_tenure_is_kept_for_a_while_behind_its_settling() {
+fn a_tenure_is_kept_for_a_while_after_it_settles() {
     support::run(async {
-        let mut bench = start_full(1).await;
-        silence_worker(&bench);
+        let mut bench = start_with_full_workers(1).await;
+        cut_off_worker(&bench);
         bench.start_instance_with_strength("10.0.1.1:7000", 400);
         let weak = bench.holder();
         let address = bench.kill(weak).await;
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -1,4 +1,4 @@
-//! A few instances, workers, a store and a network, all in one process.
+//! Test bench: instances, workers, a store and a network in one process.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -18,39 +18,40 @@
 use tokio::task::JoinHandle;
 use tokio::time::{self, Instant};
 
-/// Whose workers they are.
+/// Upstream of all workers.
 const UPSTREAM: &str = "analysis";
 
-/// What each worker offers.
+/// Resources of each worker.
 const CAPACITY: resources::Resources =
     resources::Resources { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 8 };
 
-/// Classes of jobs, with their priorities.
+/// Job classes with their priorities.
 pub(crate) const CLASSES: [(&str, u32); 3] = [("urgent", 0), ("trend", 1), ("bulk", 2)];
 
-/// Thousandths of a core of an instance.
+/// Share of a core that an instance has by default, in thousandths.
 const STRENGTH_MILLI: u32 = 250;
 
-/// A worker whose entry the store did not take writes it again after this.
-const ENTRY_AGAIN: Duration = Duration::from_millis(200);
+/// Wait before a worker writes its entry again after the store rejected it.
+const ENTRY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Workers write their entries this often.
+/// Interval between two writes of a worker's entry.
 pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_500);
 
-/// For a write of the operator.
-const OPERATOR_DEADLINE: Duration = Duration::from_secs(1);
+/// Timeout of a write by the operator.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether a task has crashed its worker is looked at this often.
-const CRASH_TICK: Duration = Duration::from_millis(20);
+/// Interval between two checks for workers that a task has crashed.
+const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// More than the workers of any test; a multiple of the workers of a rack.
-const N_IDS: usize = 800;
+/// Distance between the ids of a worker's incarnations: more than the workers of any test, and a multiple of
+/// the workers of a rack.
+const ID_STRIDE: usize = 800;
 
-/// What each task takes.
+/// Resources of each task.
 const TASK: resources::Resources =
     resources::Resources { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 1 };
 
-/// The pieces that an instance is given.
+/// The store, workers, reader, peers and clock of an instance.
 #[derive(Clone)]
 pub(crate) struct BenchSite {
     store: table::TableFake,
@@ -87,26 +88,26 @@
     }
 }
 
-/// The workers, with calls at which the caller panics.
+/// The workers' control interface, which panics when the test asks for it.
 #[derive(Clone)]
 pub(crate) struct BenchControl {
     fleet: pool_fleet::PoolFleet,
     panics: PanicPlan,
 }
 
-/// At which call to a worker an instance panics.
+/// The call to a worker at which an instance panics.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PanicPlan {
     step: Arc<Mutex<Option<&'static str>>>,
 }
 
 impl PanicPlan {
-    /// At the next call of `step`.
+    /// Panics at the next call of `step`.
     pub(crate) fn panic_at_next(&self, step: &'static str) {
         *self.step.lock().expect("a step") = Some(step);
     }
 
-    /// Whether that call is still to come.
+    /// Whether the panic is still to come.
     pub(crate) fn is_pending(&self) -> bool {
         self.step.lock().expect("a step").is_some()
     }
@@ -147,12 +148,12 @@
     }
 }
 
-/// A document at which its reader panics.
+/// A document at which the reader panics.
 pub(crate) const PANICKING_DOCUMENT: &[u8] = b"panic";
 
-/// A document is the number of its version, with a `!` behind it if workers refuse nothing. A worker's row
-/// is its rack, its incarnation, its address, its accelerators and its number, with a `-` behind them once
-/// it leaves.
+/// Reads the documents and worker rows of the bench. A document is the number of its version, followed by `!`
+/// if workers refuse nothing. A worker's row is its rack, incarnation, address, accelerators and sequence
+/// number, followed by `-` once the worker leaves.
 #[derive(Clone, Debug)]
 pub(crate) struct BenchReader;
 
@@ -191,11 +192,11 @@
     fn worker(&self, value: &[u8]) -> Result<worker::WorkerListing, worker_entry::EntryFault> {
         let form = |fault: std::str::Utf8Error| worker_entry::EntryFault::Form(fault.to_string());
         let text = std::str::from_utf8(value).map_err(form)?;
-        let staying = text.trim_end_matches('-');
-        let (staying, sequence) = staying.split_once('+').unwrap_or((staying, ""));
-        let (staying, accelerators) = staying.split_once('~').unwrap_or((staying, "8"));
-        let (staying, address) = staying.split_once('#').unwrap_or((staying, "worker"));
-        let (rack, incarnation) = staying.split_once('@').unwrap_or((staying, ""));
+        let rest = text.trim_end_matches('-');
+        let (rest, sequence) = rest.split_once('+').unwrap_or((rest, ""));
+        let (rest, accelerators) = rest.split_once('~').unwrap_or((rest, "8"));
+        let (rest, address) = rest.split_once('#').unwrap_or((rest, "worker"));
+        let (rack, incarnation) = rest.split_once('@').unwrap_or((rest, ""));
         let rack = rack.to_owned();
         Ok(worker::WorkerListing {
             address: address.to_owned(),
@@ -211,18 +212,18 @@
     }
 }
 
-/// How a worker comes back that a task has crashed.
+/// How a worker restarts after a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RestartMode {
-    /// Under another id, at its address.
+    /// Under another id, at the same address.
     SameAddress,
     /// Under another id, at another address.
     NewAddress,
-    /// Under its id.
+    /// Under the same id.
     SameId,
     /// Not at all.
     Never,
-    /// In any of these ways, one after the other.
+    /// In each of the first three ways in turn.
     Rotating,
 }
 
@@ -233,7 +234,7 @@
     }
 }
 
-/// Everything at once.
+/// A whole deployment: store, workers, network and instances.
 pub(crate) struct PoolBench {
     pub(crate) store: table::TableFake,
     pub(crate) fleet: pool_fleet::PoolFleet,
@@ -244,7 +245,7 @@
     n_started: usize,
 }
 
-/// One instance, with the faults on its own ways.
+/// An instance, with the faults that are injected into its calls.
 pub(crate) struct BenchInstance {
     pub(crate) state: Arc<state::PoolState<BenchSite>>,
     pub(crate) address: String,
@@ -255,7 +256,7 @@
 }
 
 impl PoolBench {
-    /// `n_instances` instances and `n_workers` workers, settled.
+    /// Starts `n_instances` instances and `n_workers` workers, and waits until the tenure has settled.
     pub(crate) async fn start(n_instances: usize, n_workers: usize) -> PoolBench {
         let mut bench = PoolBench {
             store: table::TableFake::shared_numbering(),
@@ -278,12 +279,13 @@
         bench
     }
 
-    /// Another process at `address`, in place of a former one there.
+    /// Starts a process at `address`, in place of an earlier one there. Returns the index of the instance.
     pub(crate) fn start_instance(&mut self, address: &str) -> usize {
         self.start_instance_with_strength(address, STRENGTH_MILLI)
     }
 
-    /// The same, on a machine of that strength.
+    /// Starts a process at `address` on a machine with that share of a core, in thousandths. Returns the
+    /// index of the instance.
     pub(crate) fn start_instance_with_strength(
         &mut self,
         address: &str,
@@ -320,18 +322,18 @@
 
     /// Kills the process of an instance; returns its address.
     pub(crate) async fn kill(&mut self, index: usize) -> String {
-        let dead = self.instances.remove(index);
-        tracing::info!(address = dead.address, "instance is killed");
-        self.net.crash(&dead.address);
-        // What the dead process had under way does not reach anybody any more.
-        dead.store_faults.set(fault::Condition::Silent);
-        dead.worker_faults.set(fault::Condition::Silent);
-        dead.running.abort();
-        let _ = dead.running.await;
-        dead.address
-    }
-
-    /// Nothing passes between an instance and its peers at these addresses, where its own may be among them.
+        let crashed = self.instances.remove(index);
+        tracing::info!(address = crashed.address, "instance is killed");
+        self.net.crash(&crashed.address);
+        // Calls that the dead process had in progress reach nobody any more.
+        crashed.store_faults.set(fault::Condition::Silent);
+        crashed.worker_faults.set(fault::Condition::Silent);
+        crashed.running.abort();
+        let _ = crashed.running.await;
+        crashed.address
+    }
+
+    /// Cuts an instance off from its peers at these addresses, among which its own address is ignored.
     pub(crate) fn cut_from_peers<'a>(
         &self,
         index: usize,
@@ -342,14 +344,14 @@
         self.net.partition(&[here], &others, fault::Condition::Silent);
     }
 
-    /// Whoever holds the tenure, by the latest epoch.
+    /// Index of the instance that holds the tenure with the highest epoch.
     pub(crate) fn latest_holder(&self) -> Option<usize> {
         let leads = self.instances.iter().enumerate();
         let leads = leads.filter_map(|(index, it)| Some((it.state.leader()?.epoch, index)));
         leads.max().map(|(_, index)| index)
     }
 
-    /// Index of the instance that holds the tenure.
+    /// Index of the first instance that holds the tenure.
     pub(crate) fn holder(&self) -> usize {
         self.instances.iter().position(|it| it.state.leader().is_some()).expect("a holder")
     }
@@ -366,7 +368,7 @@
         self.write("documents//newest", source).await;
     }
 
-    /// A document by which workers start whatever they are told to.
+    /// Writes a document by which workers start whatever is ordered.
     pub(crate) async fn set_document_unguarded(&self, version: u64) {
         self.write("documents//newest", format!("{version}!").as_bytes()).await;
     }
@@ -377,54 +379,55 @@
         self.write_entry(index).await;
     }
 
-    /// The operator evacuates a data centre, as far as the store takes it.
+    /// The operator evacuates a data centre. Returns whether the store committed the write in time.
     pub(crate) async fn evacuate(&self, data_center: &str) -> bool {
         self.try_put(&evacuation_key(data_center), Some(blob::Blob::from(b"{}".to_vec()))).await
     }
 
-    /// The operator takes a data centre back, as far as the store takes it.
+    /// The operator ends the evacuation of a data centre. Returns whether the store committed the write in
+    /// time.
     pub(crate) async fn end_evacuation(&self, data_center: &str) -> bool {
         self.try_put(&evacuation_key(data_center), None).await
     }
 
-    /// When the store ended an evacuation of a data centre, whoever had asked for it.
+    /// Times at which the store removed the row of a data centre's evacuation, whichever call asked for it.
     pub(crate) fn evacuation_removals(&self, data_center: &str) -> Vec<Instant> {
         self.store.removals(&evacuation_key(data_center))
     }
 
-    /// Somebody else writes over the entry of a worker.
+    /// Overwrites the entry of a worker with one that can't be read.
     pub(crate) async fn corrupt_entry(&self, index: usize) {
         self.write(&entry_key(index), b"\xff\xfe").await;
     }
 
-    /// A worker dies, and starts again under the id that it had. Its entry tells of it at its next
-    /// heartbeat only, which the test plays by `write_entry`.
+    /// Crashes a worker and restarts it under the same id. Its entry shows this only at its next heartbeat,
+    /// which the test sends by `write_entry`.
     pub(crate) async fn restart_worker(&self, index: usize, down: Duration) {
         let id = worker_id(index);
         let capacity = self.fleet.crash(&id).expect("a worker");
-        tracing::info!(worker = id, ?down, "worker dies and starts again");
+        tracing::info!(worker = id, ?down, "worker crashes and restarts");
         time::sleep(down).await;
         self.fleet.add(&id, capacity);
     }
 
-    /// A worker writes its entry anew.
+    /// A worker rewrites its entry.
     pub(crate) async fn write_entry(&self, index: usize) {
         self.write(&entry_key(index), entry_of(&self.fleet, index).as_bytes()).await;
     }
 
-    /// The room of a worker changes; its entry tells at its next heartbeat.
+    /// Changes the resources of a worker; its entry shows this at its next heartbeat.
     pub(crate) fn set_accelerators(&self, worker: &ids::WorkerId, accelerators: u32) {
-        tracing::info!(worker, accelerators, "room changes");
+        tracing::info!(worker, accelerators, "resources change");
         self.fleet.set_capacity(worker, capacity_for(accelerators));
     }
 
-    /// Each worker that is up writes its entry at each heartbeat from now on, as far as the store takes it.
+    /// From now on each worker that is up writes its entry at each heartbeat if the store accepts it.
     pub(crate) fn start_heartbeats(&self) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         tokio::spawn(async move {
             loop {
                 for worker in fleet.workers_up() {
-                    // What the store does not take is told of by the next one.
+                    // An entry that the store rejects is replaced by the next one.
                     tokio::spawn(try_write_entry(store.clone(), fleet.clone(), index_of(&worker)));
                 }
                 time::sleep(HEARTBEAT).await;
@@ -432,57 +435,57 @@
         });
     }
 
-    /// The worker says that it leaves.
+    /// The worker announces that it leaves.
     pub(crate) async fn drain_worker(&self, index: usize) {
         let entry = format!("{}-", entry_of(&self.fleet, index));
         self.write(&entry_key(index), entry.as_bytes()).await;
     }
 
-    /// A worker that is up writes its entry within a heartbeat, and again until the store takes it.
+    /// A worker that is up writes its entry after `delay`, and again until the store accepts it.
     pub(crate) fn write_entry_later(&self, index: usize, delay: Duration) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         tokio::spawn(async move {
             time::sleep(delay).await;
             while fleet.is_up(&worker_id(index)) {
                 let value = blob::Blob::from(entry_of(&fleet, index).into_bytes());
-                if store.transact(put_of(&entry_key(index), Some(value))).await.is_ok() {
+                if store.transact(put_transaction(&entry_key(index), Some(value))).await.is_ok() {
                     return;
                 }
-                time::sleep(ENTRY_AGAIN).await;
+                time::sleep(ENTRY_RETRY_DELAY).await;
             }
         });
     }
 
-    /// A worker dies, and comes back `down` later that way, if at all.
-    pub(crate) fn crash_worker(&self, index: usize, way: RestartMode, down: Duration) {
+    /// Crashes a worker, which restarts after `down` in the given way, if at all.
+    pub(crate) fn crash_worker(&self, index: usize, mode: RestartMode, down: Duration) {
         let worker = worker_id(index);
         let address = self.fleet.address_of(&worker);
         let Some(capacity) = self.fleet.crash(&worker) else { return };
-        tracing::info!(worker, ?way, ?down, "worker dies");
-        let dead = pool_fleet::CrashedWorker { worker: worker.clone(), address, capacity };
-        tokio::spawn(restart_crashed(self.fleet.clone(), self.store.clone(), dead, way, down));
-        if way != RestartMode::SameId {
+        tracing::info!(worker, way = ?mode, ?down, "worker dies");
+        let crashed = pool_fleet::CrashedWorker { worker: worker.clone(), address, capacity };
+        tokio::spawn(restart_crashed(self.fleet.clone(), self.store.clone(), crashed, mode, down));
+        if mode != RestartMode::SameId {
             tokio::spawn(expire_entry(self.store.clone(), worker));
         }
     }
 
-    /// Workers that tasks crash come back from now on, `down` later, as the platform lets them.
-    pub(crate) fn restart_crashed_workers(&self, comeback: RestartMode, down: Duration) {
+    /// From now on workers that tasks crash restart after `down` in the given way.
+    pub(crate) fn restart_crashed_workers(&self, restart_mode: RestartMode, down: Duration) {
         let (store, fleet) = (self.store.clone(), self.fleet.clone());
         tokio::spawn(async move {
             let mut n_crashes = 0;
             loop {
-                for dead in fleet.take_crashed() {
-                    let way = comeback.of(n_crashes);
+                for crashed in fleet.take_crashed() {
+                    let mode = restart_mode.of(n_crashes);
                     n_crashes += 1;
                     let back =
-                        restart_crashed(fleet.clone(), store.clone(), dead.clone(), way, down);
+                        restart_crashed(fleet.clone(), store.clone(), crashed.clone(), mode, down);
                     tokio::spawn(back);
-                    if way != RestartMode::SameId {
-                        tokio::spawn(expire_entry(store.clone(), dead.worker));
+                    if mode != RestartMode::SameId {
+                        tokio::spawn(expire_entry(store.clone(), crashed.worker));
                     }
                 }
-                time::sleep(CRASH_TICK).await;
+                time::sleep(CRASH_CHECK_INTERVAL).await;
             }
         });
     }
@@ -496,15 +499,16 @@
     }
 
     async fn try_put(&self, key: &str, value: Option<blob::Blob>) -> bool {
-        let writing = time::timeout(OPERATOR_DEADLINE, self.store.transact(put_of(key, value)));
+        let writing =
+            time::timeout(OPERATOR_TIMEOUT, self.store.transact(put_transaction(key, value)));
         matches!(writing.await, Ok(Ok(model::TableOutcome::Committed { .. })))
     }
 
     async fn put(&self, key: &str, value: Option<blob::Blob>) {
-        self.store.transact(put_of(key, value)).await.expect("a write");
+        self.store.transact(put_transaction(key, value)).await.expect("a write");
     }
 
-    /// Hands a job in at an instance.
+    /// Submits a job at an instance.
     pub(crate) async fn submit(
         &self,
         index: usize,
@@ -544,7 +548,7 @@
         job_query::job_state(&self.instances[index].state, graph, Some("lab"), deadline).await
     }
 
-    /// Waits until a job is shown with `wanted`, for at most `limit`.
+    /// Waits until a job is shown in state `wanted`, for at most `limit`.
     pub(crate) async fn await_state(
         &self,
         index: usize,
@@ -563,8 +567,8 @@
         }
     }
 
-    /// No task ran twice at a time, and none began again after it had ended well. An end that was
-    /// not acknowledged before its worker's lease lapsed does not stand.
+    /// Checks that no task ran twice at a time, and that none was started again after it had succeeded. A
+    /// success that was not acknowledged before the worker's lease lapsed does not count.
     pub(crate) fn assert_nothing_ran_twice(&self) {
         let mut by_task = BTreeMap::<task_key::TaskKey, Vec<pool_worker::RunRecord>>::new();
         for record in self.fleet.records() {
@@ -585,13 +589,13 @@
     format!("documents//evacuate-{data_center}")
 }
 
-/// Writes or removes one row, whatever it holds.
-fn put_of(key: &str, value: Option<blob::Blob>) -> model::TableTransaction {
+/// A transaction that writes one row unconditionally, or removes it.
+fn put_transaction(key: &str, value: Option<blob::Blob>) -> model::TableTransaction {
     let write = model::TableWrite { key: key.to_owned(), value };
     model::TableTransaction { conditions: Vec::new(), writes: vec![write] }
 }
 
-/// A worker writes its entry once. Whether the store has taken it.
+/// A worker writes its entry once. Returns whether the store committed the write within a heartbeat.
 async fn try_write_entry(
     store: table::TableFake,
     fleet: pool_fleet::PoolFleet,
@@ -604,8 +608,8 @@
         let entry = entry_of(&fleet, index);
         tracing::info!(entry, version, "entry is written");
         let value = blob::Blob::from(entry.into_bytes());
-        let mut put = put_of(&key, Some(value));
-        // One that is carried out late must not overwrite what was told since.
+        let mut put = put_transaction(&key, Some(value));
+        // A write that is executed late must not overwrite a newer entry.
         put.conditions.push(model::TableCondition { key, version });
         store.transact(put).await.ok()
     };
@@ -613,54 +617,55 @@
     matches!(written, Ok(Some(model::TableOutcome::Committed { .. })))
 }
 
-/// Lets a worker that was crashed start again, and write its entry once the store takes it.
+/// Restarts a crashed worker, and lets it write its entry until the store accepts it.
 async fn restart_crashed(
     fleet: pool_fleet::PoolFleet,
     store: table::TableFake,
-    dead: pool_fleet::CrashedWorker,
-    way: RestartMode,
+    crashed: pool_fleet::CrashedWorker,
+    mode: RestartMode,
     down: Duration,
 ) {
     time::sleep(down).await;
-    let fresh = unused_id(&fleet, &dead.worker);
-    let worker = match way {
-        RestartMode::SameId => dead.worker,
+    let fresh = unused_id(&fleet, &crashed.worker);
+    let worker = match mode {
+        RestartMode::SameId => crashed.worker,
         _ => fresh,
     };
-    match way {
-        RestartMode::SameAddress => fleet.add_at(&worker, &dead.address, dead.capacity),
+    match mode {
+        RestartMode::SameAddress => fleet.add_at(&worker, &crashed.address, crashed.capacity),
         RestartMode::Never => return,
-        _ => fleet.add(&worker, dead.capacity),
+        _ => fleet.add(&worker, crashed.capacity),
     }
     while !try_write_entry(store.clone(), fleet.clone(), index_of(&worker)).await {
-        time::sleep(ENTRY_AGAIN).await;
+        time::sleep(ENTRY_RETRY_DELAY).await;
     }
 }
 
-/// An id that no worker had, of the same rack.
+/// An id of the same rack that no worker has had.
 fn unused_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
-    let mut index = index_of(worker) + N_IDS;
+    let mut index = index_of(worker) + ID_STRIDE;
     while fleet.was_up(&worker_id(index)) {
-        index += N_IDS;
+        index += ID_STRIDE;
     }
     worker_id(index)
 }
 
-/// The entry of a worker that is silent for three heartbeats goes.
+/// Removes the entry of a worker that has been silent for three heartbeats.
 async fn expire_entry(store: table::TableFake, worker: ids::WorkerId) {
     time::sleep(3 * HEARTBEAT).await;
     let key = entry_key(index_of(&worker));
-    while store.transact(put_of(&key, None)).await.is_err() {
-        time::sleep(ENTRY_AGAIN).await;
+    while store.transact(put_transaction(&key, None)).await.is_err() {
+        time::sleep(ENTRY_RETRY_DELAY).await;
     }
 }
 
-/// Where the entry of a worker stands in the platform's list.
+/// Key of a worker's entry in the platform's list.
 pub(crate) fn entry_key(index: usize) -> String {
     format!("workers//{}", worker_id(index))
 }
 
-/// The next entry of a worker: its rack, its incarnation where it tells it, its address and so on.
+/// The next entry of a worker: its rack, its incarnation if the worker reports it, its address, accelerators
+/// and sequence number.
 fn entry_of(fleet: &pool_fleet::PoolFleet, index: usize) -> String {
     let worker = worker_id(index);
     let incarnation = fleet.incarnation(&worker);
@@ -670,7 +675,7 @@
     format!("r{}@{incarnation}#{address}~{accelerators}+{sequence}", index / 8)
 }
 
-/// What a worker offers of which that many accelerators are left; the rest shrinks alike.
+/// Resources of a worker with that many accelerators left; the other resources shrink in proportion.
 pub(crate) fn capacity_for(accelerators: u32) -> resources::Resources {
     let share = |all: u32| all * accelerators / CAPACITY.accelerators;
     resources::Resources {
@@ -680,7 +685,7 @@
     }
 }
 
-/// Index of a worker by its id.
+/// Index of the worker with this id.
 pub(crate) fn index_of(worker: &str) -> usize {
     worker.trim_start_matches('w').parse().expect("the id of a worker")
 }
@@ -689,7 +694,7 @@
     format!("w{index:02}")
 }
 
-/// A job of `n` tasks that work `millis` each.
+/// A job of one step with `n` tasks that each run for `millis` ms.
 pub(crate) fn job(n: u32, millis: u64) -> model::GraphRow {
     model::GraphRow {
         account: Some("lab".to_owned()),
@@ -724,16 +729,16 @@
 }
 
 /// Log lines carry the time by the test's clock, in milliseconds.
-struct PausedTime;
+struct TestClockTime;
 
-impl tracing_subscriber::fmt::time::FormatTime for PausedTime {
+impl tracing_subscriber::fmt::time::FormatTime for TestClockTime {
     fn format_time(&self, w: &mut tracing_subscriber::fmt::format::Writer<'_>) -> std::fmt::Result {
         static BEGAN: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
         write!(w, "{}", BEGAN.get_or_init(Instant::now).elapsed().as_millis())
     }
 }
 
-/// The seeds of storms that the environment names, or the first few.
+/// Seeds of the storms: those that the environment selects, or the first few.
 pub(crate) fn storm_seeds() -> Range<u64> {
     let first = number("POOL_STORM_SEED", 0);
     first..first + number("POOL_STORM_CASES", 8)
@@ -743,26 +748,26 @@
     std::env::var(variable).ok().and_then(|it| it.parse().ok()).unwrap_or(default)
 }
 
-/// Shows the logs of a test, if it is set.
+/// Environment variable that shows the logs of a test if it is set.
 const LOG_VARIABLE: &str = "POOL_LOG";
 
-/// What is logged while a test runs, a line each.
+/// The log lines of a test.
 #[derive(Clone, Default)]
 pub(crate) struct LogLines {
     written: Arc<Mutex<Vec<u8>>>,
 }
 
 impl LogLines {
-    /// Gathers what the thread logs from now on.
+    /// Captures what the thread logs from now on, until the guard is dropped.
     pub(crate) fn capture() -> (LogLines, tracing::subscriber::DefaultGuard) {
         let lines = LogLines::default();
         let writer = lines.clone();
-        let log = tracing_subscriber::fmt().with_ansi(false).with_timer(PausedTime);
+        let log = tracing_subscriber::fmt().with_ansi(false).with_timer(TestClockTime);
         let log = log.with_writer(move || writer.clone()).finish();
         (lines, tracing::subscriber::set_default(log))
     }
 
-    /// The lines with `wanted` in them.
+    /// The lines that contain `wanted`.
     pub(crate) fn containing(&self, wanted: &str) -> Vec<String> {
         let written = self.written.lock().expect("lines");
         let text = String::from_utf8_lossy(&written);
@@ -784,16 +789,18 @@
 /// Runs a test on the paused clock, on one thread like the deployed program.
 pub(crate) fn run<F: Future>(test: F) -> F::Output {
     if std::env::var_os(LOG_VARIABLE).is_some() {
-        let log = tracing_subscriber::fmt().with_timer(PausedTime).with_ansi(false);
+        let log = tracing_subscriber::fmt().with_timer(TestClockTime).with_ansi(false);
         let _ = log.with_writer(std::io::stderr).try_init();
     }
-    // A line that is met first by a thread without a subscriber would be off for all threads.
+    // A log call site that is first reached by a thread without a subscriber would be disabled for all
+    // threads.
     let _ = tracing::subscriber::set_global_default(DiscardingSubscriber);
     let runtime = runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("a runtime").block_on(test)
 }
 
-/// Writes nothing, and is asked for each line, so that each thread may have lines of its own.
+/// Writes nothing, but keeps each log call site enabled, so that each thread may have a subscriber of its
+/// own.
 struct DiscardingSubscriber;
 
 impl tracing::Subscriber for DiscardingSubscriber {
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -1,4 +1,4 @@
-//! The holder of the tenure goes, and another takes over.
+//! The holder of the tenure stops, and another instance takes over.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 
 const SOON: Duration = Duration::from_secs(30);
 
-/// What was started by a scheduler that is over ends within its lease.
-const LEASE_AND_MORE: Duration = Duration::from_millis(7_200);
+/// Upper bound for a lease: tasks of a scheduler that has ended stop within this time.
+const LEASE_BOUND: Duration = Duration::from_millis(7_200);
 /// More reads than a successor makes in any of these tests.
-const N_REFUSED: u64 = 400;
+const MAX_READS: u64 = 400;
 
-/// Tables that a successor reads at once.
-const N_TABLES: u64 = 4;
+/// Tables that a successor reads concurrently.
+const N_CONCURRENT_READS: u64 = 4;
 
-/// Tasks run on through the takeover, and none starts twice.
+/// Tasks continue through the takeover, and none starts twice.
 #[test]
 fn tasks_outlive_the_scheduler_that_started_them() {
     support::run(async {
@@ -39,7 +39,7 @@
     });
 }
 
-/// An accepted job is never lost, though everything that knew of it is gone.
+/// An accepted job is not lost when all instances are killed.
 #[test]
 fn a_job_outlives_all_instances() {
     support::run(async {
@@ -60,11 +60,14 @@
     });
 }
 
-/// Symptom: after a power loss of all instances nobody scheduled for 0.8 s more than it took to start.
+/// Symptom: after a power loss of all instances scheduling began 0.8 s later than the instances were up.
+///
 /// Sequence: the former holder's machine starts; it reads the tenure's row before it has read the
-/// configuration. Cause: without a configuration it waited for its next look at the row.
+/// configuration.
+///
+/// Cause: without a configuration it waited for its next regular read of the row.
 #[test]
-fn a_holder_that_starts_again_schedules_at_once() {
+fn a_restarted_holder_schedules_at_once() {
     support::run(async {
         let mut bench = support::PoolBench::start(1, 2).await;
         let address = bench.kill(0).await;
@@ -77,8 +80,11 @@
 }
 
 /// Symptom: after a power loss of all instances, jobs that had not started yet waited for 13 s.
-/// Sequence: a worker has left; all instances go and come back. Cause: the successor waited for
-/// everything that might run on the worker, although the earlier holder knew that nothing did.
+///
+/// Sequence: a worker has left; all instances stop and restart.
+///
+/// Cause: the successor waited for everything that might run on the worker, although the earlier holder knew
+/// that nothing did.
 #[test]
 fn a_worker_that_has_left_holds_up_no_successor() {
     support::run(async {
@@ -94,7 +100,7 @@
     });
 }
 
-/// The earlier process at the own address is over, and so are its orders.
+/// The earlier process at the instance's own address has ended, so its orders bound only the lease.
 #[test]
 fn an_unreachable_worker_holds_up_a_restarted_holder_for_its_lease() {
     support::run(async {
@@ -107,8 +113,8 @@
     });
 }
 
-/// The only instance is killed and starts again. Job 1 is cancelled, and job 2, which waits for its
-/// room, has to end within `limit`.
+/// Kills and restarts the only instance. Job 1 is cancelled, and job 2, which waits for its resources, has to
+/// end within `limit`.
 async fn assert_waiting_job_starts(bench: &mut support::PoolBench, limit: Duration) {
     let address = bench.kill(0).await;
     time::sleep(Duration::from_secs(1)).await;
@@ -119,7 +125,7 @@
     bench.assert_nothing_ran_twice();
 }
 
-/// A worker that the new scheduler can't reach may run anything that is not found elsewhere: it
+/// A worker that the new scheduler can't reach may run any task that is not found elsewhere: the scheduler
 /// waits for the lease there.
 #[test]
 fn nothing_starts_elsewhere_while_an_unreachable_worker_may_run_it() {
@@ -138,8 +144,8 @@
     });
 }
 
-/// A holder that is cut off from the store alone goes on until another shows up at the workers;
-/// from then on its orders have no effect.
+/// A holder that is cut off from the store alone goes on until another instance reaches the workers; from
+/// then on its orders have no effect.
 #[test]
 fn a_holder_without_the_store_is_fenced_at_the_workers() {
     support::run(async {
@@ -158,7 +164,8 @@
     });
 }
 
-/// A process that is asked to leave hands the tenure on within a look of the next one.
+/// A holder that is asked to leave releases the tenure, and another instance acquires it at its next read of
+/// the row.
 #[test]
 fn a_leaving_holder_hands_over_at_once() {
     support::run(async {
@@ -170,8 +177,10 @@
     });
 }
 
-/// Symptom: one instance after the other took the tenure, and none got as far as to schedule.
-/// Sequence: the holder is gone; its successor's reads of the tables take longer than the term.
+/// Symptom: one instance after the other acquired the tenure, and none began to schedule.
+///
+/// Sequence: the holder is killed; its successor's reads of the tables take longer than the term.
+///
 /// Cause: it did not renew the tenure before it had read them.
 #[test]
 fn a_successor_keeps_the_tenure_while_it_reads() {
@@ -182,7 +191,7 @@
         let epoch = bench.instances[holder].state.leader().expect("a tenure").epoch;
         bench.kill(holder).await;
         for instance in &bench.instances {
-            for nth in 1..=2 * N_TABLES {
+            for nth in 1..=2 * N_CONCURRENT_READS {
                 instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
             }
         }
@@ -194,9 +203,9 @@
     });
 }
 
-/// A start whose answer is lost, with the task running: it is found, not started again.
+/// A start whose answer is lost although the task runs: the task is found by a poll, not started again.
 #[test]
-fn a_start_without_answer_is_settled_by_a_look() {
+fn a_start_without_answer_is_settled_by_a_poll() {
     support::run(async {
         let bench = support::PoolBench::start(1, 1).await;
         let faults = bench.fleet.faults(&support::worker_id(0));
@@ -208,9 +217,9 @@
     });
 }
 
-/// A start that is carried out seconds later, when its task has long run elsewhere.
+/// A start that is executed seconds late, when its task has long run elsewhere.
 #[test]
-fn a_late_start_finds_itself_refused() {
+fn a_late_start_is_refused() {
     support::run(async {
         let bench = support::PoolBench::start(1, 2).await;
         for worker in 0..2 {
@@ -224,7 +233,7 @@
     });
 }
 
-/// The store has forgotten its history just when a job was accepted and the nudge was lost.
+/// The store drops its history just when a job was accepted and the nudge was lost.
 #[test]
 fn a_job_is_found_although_the_history_is_gone() {
     support::run(async {
@@ -239,7 +248,8 @@
     });
 }
 
-/// Accepted jobs wait for orders of a scheduler that is over, because one worker is dead.
+/// Guards against accepted jobs that wait longer than a lease for the orders of a former scheduler because
+/// one worker is dead.
 #[test]
 fn a_dead_worker_holds_up_accepted_jobs_no_longer_than_its_lease() {
     support::run(async {
@@ -254,15 +264,15 @@
         time::sleep(Duration::from_secs(3)).await;
         assert!(bench.latest_holder().is_some());
         bench.start_instance(&address);
-        time::sleep(LEASE_AND_MORE).await;
+        time::sleep(LEASE_BOUND).await;
         assert_eq!(bench.fleet.running().len(), 2);
     });
 }
 
-/// A process that starts again reads late that its former one held the tenure, and waits from then on for
-/// what that one had ordered.
+/// Guards against a restarted process that reads late that its predecessor at the same address held the
+/// tenure, and counts the wait for that one's orders only from then on.
 #[test]
-fn a_restarted_holder_counts_from_its_own_start() {
+fn a_restarted_holder_counts_the_lease_from_its_own_start() {
     support::run(async {
         let mut bench = support::PoolBench::start(1, 16).await;
         bench.start_heartbeats();
@@ -282,12 +292,13 @@
         bench.instances[0].store_faults.set(fault::Condition::Refusing);
         time::sleep(Duration::from_secs(3)).await;
         bench.instances[0].store_faults.set(fault::Condition::Up);
-        time::sleep(LEASE_AND_MORE - Duration::from_secs(3)).await;
+        time::sleep(LEASE_BOUND - Duration::from_secs(3)).await;
         assert_eq!(bench.fleet.running().len(), 2);
     });
 }
 
-/// A tenure that is over for its successor goes on, or one that goes on counts as over.
+/// Guards against a tenure that goes on although its successor was told that it has ended, and against one
+/// that goes on but is reported as ended.
 #[test]
 fn a_former_tenure_ends_when_its_successor_asks() {
     support::run(async {
@@ -314,9 +325,10 @@
     });
 }
 
-/// Guards against a tenure that lies idle for a look because the answer to the write that took it was lost.
+/// Guards against a tenure that is not served until the next read of the row because the answer to the write
+/// that acquired it was lost.
 #[test]
-fn a_tenure_whose_taking_had_no_answer_is_served_at_once() {
+fn a_tenure_whose_acquisition_got_no_answer_is_served_at_once() {
     support::run(async {
         let mut bench = support::PoolBench::start(3, 2).await;
         let holder = bench.holder();
@@ -326,8 +338,8 @@
             instance.store_faults.next(step, fault::Fault::AnswerLost);
         }
         let version = || bench.store.peek(&keys::pool_tenure()).first().map(|it| it.version);
-        let left_at = version();
-        while version() == left_at {
+        let released_version = version();
+        while version() == released_version {
             time::sleep(Duration::from_millis(10)).await;
         }
         time::sleep(Duration::from_millis(300)).await;
@@ -335,16 +347,17 @@
     });
 }
 
-/// Guards against an instance that can write and not read, and takes the tenure again and again.
+/// Guards against an instance that can write but not read, and acquires the tenure again and again.
 #[test]
 fn a_tenure_that_can_not_be_served_is_left_to_others() {
     support::run(async {
         let mut bench = support::PoolBench::start(3, 2).await;
         bench.kill(bench.holder()).await;
-        // Whichever is first.
+        // Time for one of the instances to acquire the tenure.
         time::sleep(Duration::from_millis(1_500)).await;
-        let lame = bench.instances[0].store_faults.clone();
-        (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+        let read_faults = bench.instances[0].store_faults.clone();
+        (1..=MAX_READS)
+            .for_each(|nth| read_faults.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
         bench.instances[1].store_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[1].store_faults.set(fault::Condition::Up);
@@ -353,52 +366,56 @@
     });
 }
 
-/// Guards against a task that runs twice: the write that took the tenure from a holder that goes on without
-/// the store had no answer, and the successor took its own row for that of a holder that is over.
+/// Guards against a task that runs twice: the write that acquired the tenure from a holder that goes on
+/// without the store got no answer, and the successor mistook its own row for that of a holder that has
+/// ended.
 #[test]
-fn a_tenure_that_is_taken_twice_waits_for_its_holder_before() {
+fn a_successor_that_acquires_twice_waits_for_the_earlier_holder() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
         let (old, successor) = (bench.holder(), bench.non_holder());
         let step = model::TableTransaction::PATH;
         bench.instances[successor].store_faults.next(step, fault::Fault::AnswerLost);
         cut_from_peers(&bench, old);
-        assert_detached_start_is_waited_for(&bench, old, successor).await;
+        assert_successor_waits_for_detached_start(&bench, old, successor).await;
     });
 }
 
-/// Guards against a task that runs twice: an instance takes the tenure from a holder that goes on without the
-/// store, can't read the tables and gives it up, and the next one believes that nobody gives orders.
+/// Guards against a task that runs twice: an instance acquires the tenure from a holder that goes on without
+/// the store, can't read the tables and releases the tenure, and the next holder assumes that no other one
+/// gives orders.
 #[test]
-fn a_tenure_that_was_given_up_unserved_waits_for_its_holder_before() {
+fn a_successor_of_an_unserved_tenure_waits_for_the_earlier_holder() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let old = bench.holder();
         let (between, successor) = ((old + 1) % 3, (old + 2) % 3);
-        let lame = bench.instances[between].store_faults.clone();
-        (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+        let read_faults = bench.instances[between].store_faults.clone();
+        (1..=MAX_READS)
+            .for_each(|nth| read_faults.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
         bench.instances[successor].store_faults.set(fault::Condition::Silent);
         cut_from_peers(&bench, old);
         let leaving = bench.instances[between].state.shutdown.clone();
-        let back = bench.instances[successor].store_faults.clone();
+        let successor_store = bench.instances[successor].store_faults.clone();
         tokio::spawn(async move {
             time::sleep(Duration::from_millis(3_500)).await;
             leaving.cancel();
-            back.set(fault::Condition::Up);
+            successor_store.set(fault::Condition::Up);
         });
-        assert_detached_start_is_waited_for(&bench, old, successor).await;
+        assert_successor_waits_for_detached_start(&bench, old, successor).await;
     });
 }
 
-/// Guards against a task that runs twice: a holder takes over from one that goes on without the store, and starts
-/// again.
+/// Guards against a task that runs twice: a holder takes over from one that goes on without the store, and
+/// restarts.
 #[test]
-fn a_holder_that_starts_again_waits_for_the_one_before_it() {
+fn a_restarted_holder_waits_for_the_earlier_holder() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
         let (old, successor) = (bench.holder(), bench.non_holder());
-        let [here, there] = [old, successor].map(|it| bench.instances[it].address.clone());
-        bench.net.partition(&[&here], &[&there], fault::Condition::Silent);
+        let [old_address, successor_address] =
+            [old, successor].map(|it| bench.instances[it].address.clone());
+        bench.net.partition(&[&old_address], &[&successor_address], fault::Condition::Silent);
         detach(&bench, old).await;
         time::sleep(Duration::from_millis(4_000)).await;
         assert!(bench.instances[successor].state.leader().is_some());
@@ -407,28 +424,29 @@
         let successor = bench.instances.len() - 1;
         bench.instances[successor].worker_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_millis(1_800)).await;
-        assert_waited_for(&bench, successor).await;
+        assert_successor_waits(&bench, successor).await;
     });
 }
 
-/// The holder `old` loses the store, and starts a task late at a worker that `successor` does not reach. It
-/// runs nowhere else until it has surely ended there.
-async fn assert_detached_start_is_waited_for(
+/// The holder `old` loses the store, and starts a task late at a worker that `successor` does not reach.
+/// Checks that the task runs nowhere else until it has certainly ended there.
+async fn assert_successor_waits_for_detached_start(
     bench: &support::PoolBench,
     old: usize,
     successor: usize,
 ) {
     detach(bench, old).await;
     time::sleep(Duration::from_millis(5_800)).await;
-    assert_waited_for(bench, successor).await;
+    assert_successor_waits(bench, successor).await;
 }
 
-/// No other instance reaches `index`, which would end its tenure once it is asked.
+/// Cuts instance `index` off from its peers, whose query would otherwise end its tenure.
 fn cut_from_peers(bench: &support::PoolBench, index: usize) {
     bench.cut_from_peers(index, bench.instances.iter().map(|it| it.address.as_str()));
 }
 
-/// The holder `old` loses the store, with a task to start in 5.4 s, and no other instance reaches the workers.
+/// The holder `old` loses the store, with a task to start in 5.4 s, and no other instance reaches the
+/// workers.
 async fn detach(bench: &support::PoolBench, old: usize) {
     let mut row = support::job(1, 20_000);
     let due = bench.clock.wall() + Duration::from_millis(5_500);
@@ -445,8 +463,9 @@
     }
 }
 
-/// The worker that has just started a task is cut off, and `successor` reaches the others.
-async fn assert_waited_for(bench: &support::PoolBench, successor: usize) {
+/// The worker that has just started a task is cut off, and `successor` reaches the others. Checks that the
+/// task runs once, on that worker.
+async fn assert_successor_waits(bench: &support::PoolBench, successor: usize) {
     bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Silent);
     bench.instances[successor].worker_faults.set(fault::Condition::Up);
     time::sleep(Duration::from_secs(60)).await;
@@ -456,7 +475,8 @@
     bench.assert_nothing_ran_twice();
 }
 
-/// A worker that had long been found silent held up each job that the next holder had not accepted itself.
+/// Guards against a worker long known to be silent that delays every job that the next holder has not
+/// accepted itself.
 #[test]
 fn a_worker_that_was_found_silent_holds_up_no_successor() {
     support::run(async {
--- a/crates/pool/tests/tenure.rs
+++ b/crates/pool/tests/tenure.rs
@@ -1,4 +1,4 @@
-//! When the tenure may be taken, and when its holder may act.
+//! Tests when the tenure may be acquired, and when its holder may act.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// A watch that saw `row` at `seen`, and whose read failed at `failed`: whether the tenure is free
-/// at `now` for an instance at `10.0.0.2:1`. Times in milliseconds.
+/// A watch that read `row` at 0 ms, and whose read failed at `failed`: whether the tenure is free at `now`
+/// for an instance at `10.0.0.2:1`. Times in milliseconds.
 struct WatchCase {
     row: Option<model::PoolTenure>,
     failed: Option<u64>,
@@ -44,7 +44,7 @@
     assert_eq!(free_at <= now, case.is_free);
 }
 
-macro_rules! watches {
+macro_rules! watch_tests {
     ($($(#[$doc:meta])* $name:ident: $row:expr, failed $failed:expr, at $now:literal => $is_free:literal;)*) => {
         $($(#[$doc])* #[test]
         fn $name() {
@@ -53,18 +53,20 @@
     };
 }
 
-watches! {
-    nobody_has_held_it: None, failed None, at 0 => true;
+watch_tests! {
+    no_instance_has_held_it: None, failed None, at 0 => true;
     a_holder_renewed_a_moment_ago: Some(row("10.0.0.1:1", false)), failed None, at 1_999 => false;
     a_holder_has_not_renewed_for_a_term: Some(row("10.0.0.1:1", false)), failed None, at 2_000 => true;
-    /// While the store is away nobody can renew.
-    a_read_that_failed_starts_the_count_again:
+    /// While the store is unavailable no holder can renew.
+    a_failed_read_restarts_the_count:
         Some(row("10.0.0.1:1", false)), failed Some(1_000), at 2_900 => false;
-    a_holder_has_given_it_up: Some(row("10.0.0.1:1", true)), failed None, at 0 => true;
-    /// Symptom: after a restart of all instances nothing ran for 2.6 s more. Sequence: all lose
-    /// power; the holder's machine starts again and finds its own row. Cause: it waited for a term
-    /// of a process that can't live beside it.
-    an_earlier_process_at_the_own_address_is_over:
+    a_holder_has_released_it: Some(row("10.0.0.1:1", true)), failed None, at 0 => true;
+    /// Symptom: after a restart of all instances nothing ran for another 2.6 s.
+    ///
+    /// Sequence: all instances lose power; the holder's machine restarts and finds its own row.
+    ///
+    /// Cause: it waited for the term of a process that can't run at the same address.
+    an_earlier_process_at_the_own_address_has_ended:
         Some(row("10.0.0.2:1", false)), failed None, at 0 => true;
 }
 
@@ -77,16 +79,16 @@
     Duration::from_secs(100) + Duration::from_millis(millis)
 }
 
-/// The holder's own count is shorter than that of a watcher.
+/// The holder's own count of the term is shorter than that of a watcher.
 #[test]
-fn a_holder_is_firm_for_less_than_its_term() {
+fn a_holder_is_exclusive_for_less_than_its_term() {
     assert_eq!(state().status(at(1_600)), tenure_status::TenureStatus::Firm);
     assert_eq!(state().status(at(1_800)), tenure_status::TenureStatus::Stale);
 }
 
-/// A machine that was frozen wakes up behind its term: another may hold the tenure by now.
+/// A suspended machine resumes after its term: another instance may hold the tenure by then.
 #[test]
-fn a_holder_that_stood_still_gives_no_orders() {
+fn a_suspended_holder_gives_no_orders() {
     let mut state = state();
     state.record_failure(at(500));
     assert!(!state.may_order(at(4_000)));
@@ -94,7 +96,7 @@
     assert!(state.may_order(at(4_001)));
 }
 
-/// While the store gives no answers the work that is known goes on, for a bounded time.
+/// While the store gives no answers, scheduling of known jobs goes on for a bounded time.
 #[test]
 fn a_holder_goes_on_through_an_outage_it_sees() {
     let mut state = state();
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn nothing_goes_on_after_the_end() {
+fn no_orders_are_given_after_the_end() {
     let mut state = state();
     state.end();
     assert!(!state.may_order(at(1)));
