--- a/crates/graph/src/candidate.rs
+++ b/crates/graph/src/candidate.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerCandidate {
     /// The worker.
-    pub place: Arc<WorkerProfile>,
+    pub profile: Arc<WorkerProfile>,
     /// Number of its rack, from 0; racks are compared often.
     pub rack: usize,
     /// Number of the upstream whose tasks it runs, for the same reason.
@@ -38,7 +38,7 @@
     /// Tasks there, those included that should not be.
     pub n_runs: usize,
     /// Failed lately; used last.
-    pub suspect: bool,
+    pub failed_lately: bool,
     /// Whether a task has it for itself, as it may crash it: nothing else starts there.
     pub is_exclusive: bool,
     /// Room that is being cleared for units.
@@ -92,7 +92,7 @@
     /// Most tasks of the step on one worker; 0 for no limit.
     pub per_worker: u32,
     /// Tasks of the step on each berth already; empty where there is no limit.
-    pub present: Vec<u32>,
+    pub n_present: Vec<u32>,
     /// Workers to avoid, as tasks of the unit failed there.
     pub avoids: Vec<&'a str>,
     /// Workers that it has to leave empty.
@@ -108,13 +108,13 @@
     /// Whether it needs workers of its own.
     pub is_isolated: bool,
     /// Whether it may have them now.
-    pub may_be_apart: bool,
+    pub may_be_isolated: bool,
 }
 
 impl PlacementRequest<'_> {
     /// How many of its tasks fit on that berth as it is, as far as the berth may be used at all.
     pub fn count_now(&self, index: usize, candidate: &WorkerCandidate) -> u32 {
-        if self.is_isolated && !(self.may_be_apart && candidate.is_empty()) {
+        if self.is_isolated && !(self.may_be_isolated && candidate.is_empty()) {
             return 0;
         }
         self.count_on(index, candidate, candidate.free)
@@ -122,7 +122,7 @@
 
     /// What has to be kept on a berth for one of its tasks: all of it where the unit runs apart.
     pub fn kept_resources(&self, candidate: &WorkerCandidate) -> resources::Resources {
-        if self.is_isolated { candidate.place.capacity } else { self.per_task }
+        if self.is_isolated { candidate.profile.capacity } else { self.per_task }
     }
 
     /// How many of its tasks fit in `free` of that berth, as far as the berth may be used at all.
@@ -144,14 +144,14 @@
         if self.per_worker == 0 {
             return fitting;
         }
-        let present = self.present.get(index).copied().unwrap_or_default();
+        let present = self.n_present.get(index).copied().unwrap_or_default();
         fitting.min(self.per_worker.saturating_sub(present))
     }
 
     fn allows(&self, candidate: &WorkerCandidate) -> bool {
         candidate.upstream == self.upstream
-            && self.label.is_none_or(|it| candidate.place.labels.iter().any(|label| label == it))
-            && !self.avoids.contains(&candidate.place.worker.as_str())
+            && self.label.is_none_or(|it| candidate.profile.labels.iter().any(|label| label == it))
+            && !self.avoids.contains(&candidate.profile.worker.as_str())
     }
 }
 
--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -25,7 +25,7 @@
     /// Takes note of the time, then starts what can start and clears room for urgent work.
     pub fn run_round(&mut self, now: Duration) {
         self.note_turn(now);
-        self.keep_up(now);
+        self.run_maintenance(now);
         let all = self.startable_accelerators();
         let urgent = self.urgent_accelerators();
         self.headroom.observe(&urgent, all, now);
@@ -163,15 +163,15 @@
         let mut racks = BTreeMap::<&str, usize>::new();
         let mut upstreams = BTreeMap::<&str, usize>::new();
         let candidates = usable.map(|(_, it)| candidate::WorkerCandidate {
-            place: Arc::clone(&it.place),
+            profile: Arc::clone(&it.place),
             rack: number_of(&it.place.rack, &mut racks),
             upstream: number_of(&it.place.upstream, &mut upstreams),
             used: it.in_use(),
             free: it.free(),
-            n_runs: it.runs.len() + it.strays.len(),
-            suspect: it.health.is_suspect(),
-            is_exclusive: !it.apart_runs.is_empty(),
-            claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
+            n_runs: it.runs.len() + it.unwanted_runs.len(),
+            failed_lately: it.health.has_recent_failures(),
+            is_exclusive: !it.isolated_runs.is_empty(),
+            claims: it.claims.iter().map(|it| (it.unit, it.resources)).collect(),
             reserved: Vec::new(),
         });
         candidates.collect()
@@ -180,7 +180,7 @@
     /// Accelerators of the workers on which something may start while they are well.
     fn startable_accelerators(&self) -> u32 {
         let workers = self.workers.values().filter(|it| !self.is_evacuated(it));
-        workers.map(|it| it.listing.capacity.accelerators).sum()
+        workers.map(|it| it.entry.capacity.accelerators).sum()
     }
 
     fn try_start(
@@ -208,7 +208,7 @@
         let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
         let is_remote = is_off || (request.same_rack && racks.len() > 1);
         let workers =
-            chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
+            chosen.iter().map(|it| candidates[*it].profile.worker.clone()).collect::<Vec<_>>();
         let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_remote };
         self.start_unit(unit, places, now);
         StartOutcome::Started
@@ -269,7 +269,7 @@
             is_confirmed_by_incarnation: false,
             is_remote,
             is_from_scratch: task.checkpoint.is_none(),
-            since: now,
+            tracked_since: now,
             percent: 0,
             percent_changed_at: now,
             pace: pace::RunPace::not_started(),
@@ -278,7 +278,7 @@
         record.runs.insert(key);
         record.used = record.used.plus(room);
         if is_isolated {
-            record.apart_runs.insert(key);
+            record.isolated_runs.insert(key);
         }
         tracing::info!(
             job = format_args!("{:016x}", key.graph),
@@ -292,7 +292,7 @@
         );
         self.orders.push(order::PoolOrder::Start(order::StartOrder {
             worker,
-            address: record.listing.address.clone(),
+            address: record.entry.address.clone(),
             generation: record.generation,
             ordered_at: now,
             task: key,
--- a/crates/graph/src/isolation.rs
+++ b/crates/graph/src/isolation.rs
@@ -65,7 +65,7 @@
 ) -> BTreeSet<&'a str> {
     let lost_workers = tasks.iter().flat_map(|it| &it.lost_workers).map(String::as_str);
     let lost_workers = lost_workers.collect::<BTreeSet<_>>();
-    let has_others = candidates.iter().any(|it| !lost_workers.contains(it.place.worker.as_str()));
+    let has_others = candidates.iter().any(|it| !lost_workers.contains(it.profile.worker.as_str()));
     if has_others { lost_workers } else { BTreeSet::new() }
 }
 
@@ -201,7 +201,7 @@
             let attempt = task.run.as_ref().map(|it| it.attempt);
             if task.suspicion.saved_attempt != attempt {
                 task.suspicion.saved_attempt = attempt;
-                self.touch(key);
+                self.mark_task_changed(key);
             }
         }
     }
@@ -211,7 +211,7 @@
         let Some(task) = self.task_record_mut(key) else { return false };
         if task.suspicion.saved_attempt != Some(attempt) {
             task.suspicion.saved_attempt = Some(attempt);
-            let mark = self.touch(key);
+            let mark = self.mark_task_changed(key);
             if let Some(task) = self.task_record_mut(key) {
                 task.start_change = mark;
             }
--- a/crates/graph/src/job.rs
+++ b/crates/graph/src/job.rs
@@ -96,7 +96,7 @@
     /// Since when it could run apart, as far as its start and its room go; before `waits_since` where it could not yet.
     pub isolatable_since: Duration,
     /// The change that puts its next start on record.
-    pub start_change: Option<save_queue::SaveMark>,
+    pub start_change: Option<save_queue::RowChange>,
 }
 
 /// The attempts that failed. Each counts once although a worker may list its end to two
@@ -130,7 +130,7 @@
     /// Whether it was here from its beginning, so that its end tells how long its class takes.
     pub is_from_scratch: bool,
     /// When it was ordered, or found.
-    pub since: Duration,
+    pub tracked_since: Duration,
     /// Progress that the worker reported last, in percent.
     pub percent: u32,
     /// When the progress last changed.
--- a/crates/graph/src/waiting.rs
+++ b/crates/graph/src/waiting.rs
@@ -300,7 +300,7 @@
         let outlook =
             wait.unit.and_then(|it| self.outlook(it, candidates, now)).unwrap_or_default();
         let reason = self.reason(wait, job, &outlook, now);
-        let n_workers = candidates.iter().filter(|it| it.place.upstream == job.upstream).count();
+        let n_workers = candidates.iter().filter(|it| it.profile.upstream == job.upstream).count();
         let message = if is_left { "job is left standing beside room" } else { "job waits" };
         macro_rules! tell {
             ($level:ident) => {
@@ -399,12 +399,12 @@
     /// How many workers of an upstream are no place, why, and for how long at most none of them was heard.
     fn barred(&self, upstream: &str, now: Duration) -> String {
         let mut barred = BTreeMap::<exclusion_reason::ExclusionReason, (usize, Duration)>::new();
-        let of_upstream = self.workers.iter().filter(|(_, it)| it.listing.upstream == upstream);
+        let of_upstream = self.workers.iter().filter(|(_, it)| it.entry.upstream == upstream);
         for (id, worker) in of_upstream {
             let Some(bar) = self.exclusion_reason(id, worker, now) else { continue };
             let (n_workers, age) = barred.entry(bar).or_default();
             *n_workers += 1;
-            *age = (*age).max(now.saturating_sub(worker.answered_at));
+            *age = (*age).max(now.saturating_sub(worker.last_contact_at));
         }
         let named = barred.iter().map(|(bar, (n_workers, age))| {
             format!("{n_workers} {} (heard up to {} ms ago)", bar.name(), age.as_millis())
@@ -415,10 +415,10 @@
 
 /// The order that has been open for longest.
 fn open_order_reason(job: &job::JobRecord, now: Duration) -> WaitReason {
-    let oldest = job.runs().min_by_key(|it| it.since);
+    let oldest = job.runs().min_by_key(|it| it.tracked_since);
     let detail = oldest.map_or(String::new(), |it| {
         format!("attempt {} on {}: {:?}", it.attempt, it.worker, it.phase)
     });
-    let age = oldest.map_or(Duration::ZERO, |it| now.saturating_sub(it.since));
+    let age = oldest.map_or(Duration::ZERO, |it| now.saturating_sub(it.tracked_since));
     WaitReason { cause: WaitCause::OpenOrder, detail, age }
 }
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -59,7 +59,7 @@
             let over_at = now.saturating_sub(Duration::from_millis(over_for_ms));
             record_end(&state, &leader, former, over_at);
             let mut core = leader.core();
-            answer.unsaved.into_iter().for_each(|it| core.learn_suspicions(it, now));
+            answer.unsaved.into_iter().for_each(|it| core.merge_suspicions(it, now));
         }
         time::sleep(QUERY_INTERVAL).await;
     }
@@ -109,7 +109,7 @@
         // No two processes listen at one address, so the queried process ended before this one started.
         return over_for(state.started_at, Vec::new());
     }
-    if state.taken_epoch().is_some_and(|it| it > query.epoch) {
+    if state.acquired_epoch().is_some_and(|it| it > query.epoch) {
         return over_for(clock.now(), Vec::new());
     }
     let leader = state.leader();
@@ -122,7 +122,7 @@
         if ends_now {
             return over_for(clock.now(), leader.core().unsaved_suspicions());
         }
-    } else if leader.is_none() && state.taken_epoch().is_some() {
+    } else if leader.is_none() && state.acquired_epoch().is_some() {
         return model::TenureAnswer::default();
     }
     let ordered_at = leader.as_ref().and_then(|it| it.ordered_at()).max(state.last_order_at());
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -133,8 +133,8 @@
 /// seconds, so a worker is soon found once its upstream is added.
 fn check_upstream<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
-    listing: worker::WorkerListing,
-) -> Result<worker::WorkerListing, worker_entry::EntryFault> {
+    listing: worker::WorkerEntry,
+) -> Result<worker::WorkerEntry, worker_entry::EntryFault> {
     let document = state.document.current();
     if document.is_none_or(|it| it.upstreams.contains(&listing.upstream)) {
         return Ok(listing);
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -141,7 +141,7 @@
         let now = self.state.adapters.clock().now();
         let mut writes = Vec::new();
         let mut n_bytes = 0;
-        let batch = self.leader.core().take_batch(now, |row| {
+        let batch = self.leader.core().take_save_batch(now, |row| {
             let write = encode_row(row);
             n_bytes += encoded_size(&write);
             writes.push(write);
@@ -277,13 +277,13 @@
 
 fn encode_row(row: &saving::SaveRow) -> model::TableWrite {
     let key = match row.key {
-        save_queue::SaveKey::Progress { graph, chunk } => keys::progress(graph, chunk),
-        save_queue::SaveKey::Roster { page } => keys::roster(page),
+        save_queue::SaveRowKey::Progress { graph, chunk } => keys::progress(graph, chunk),
+        save_queue::SaveRowKey::Roster { page } => keys::roster(page),
     };
     match &row.content {
         saving::SaveContent::Progress(content) => encode_write(key, content),
         saving::SaveContent::Roster(content) => encode_write(key, content),
-        saving::SaveContent::Gone => removal_write(key),
+        saving::SaveContent::Removed => removal_write(key),
     }
 }
 
