--- a/crates/pool/src/contender.rs
+++ b/crates/pool/src/contender.rs
@@ -39,8 +39,8 @@
             address: it.address.clone(),
         }));
         match acquire(&state, &watch, &mut unnamed_bound).await {
-            AcquireOutcome::Acquired(taken) => {
-                let was_release_requested = leader::run(Arc::clone(&state), taken).await;
+            AcquireOutcome::Acquired(acquired) => {
+                let was_release_requested = leader::run(Arc::clone(&state), acquired).await;
                 watch = tenure_watch::TenureWatch::default();
                 if was_release_requested {
                     yield_to_others(&state).await;
@@ -122,8 +122,8 @@
         row: Option<&model::PoolTenure>,
     ) {
         let Some((before, row)) = before.zip(row) else { return };
-        let is_other = before.row.as_ref().is_some_and(|it| it.epoch < row.epoch);
-        if is_other && !row.names_earlier {
+        let is_new_epoch = before.row.as_ref().is_some_and(|it| it.epoch < row.epoch);
+        if is_new_epoch && !row.names_earlier {
             let earlier = predecessor_list::PredecessorList::from_row(state, before);
             self.until = self.until.max(earlier.settles_at());
         }
@@ -132,7 +132,7 @@
 
 /// Outcome of an attempt to acquire the tenure.
 enum AcquireOutcome {
-    Acquired(leader::TakenTenure),
+    Acquired(leader::AcquiredTenure),
     /// The tenure is not free, or another instance was faster.
     NotAcquired,
     /// The write got no answer, so it may have succeeded.
@@ -167,7 +167,7 @@
         losses: losses.clone(),
         settles_in_ms: settles_at.saturating_sub(now).as_millis() as u64,
         notes_silence,
-        earlier: predecessors.entries(now),
+        earlier: predecessors.row_entries(now),
         names_earlier: true,
     };
     let transaction = model::TableTransaction {
@@ -182,7 +182,7 @@
     };
     let Some(version) = versions.first().copied() else { return AcquireOutcome::NotAcquired };
     let epoch = row.epoch;
-    AcquireOutcome::Acquired(leader::TakenTenure {
+    AcquireOutcome::Acquired(leader::AcquiredTenure {
         epoch,
         version,
         sent_at,
@@ -201,8 +201,8 @@
 ) -> Option<Duration> {
     let settings = &state.settings;
     let free_at = seen.free_at(&settings.peer_address, settings.tenure.term);
-    let may_take_at = free_at + yield_delay(state, seen);
-    let wait = may_take_at.saturating_sub(state.adapters.clock().now());
+    let may_acquire_at = free_at + yield_delay(state, seen);
+    let wait = may_acquire_at.saturating_sub(state.adapters.clock().now());
     (!wait.is_zero()).then_some(wait)
 }
 
@@ -213,14 +213,14 @@
     state: &state::PoolState<S>,
     seen: &tenure_watch::SeenRow,
 ) -> Duration {
-    let times = state.settings.tenure;
+    let timing = state.settings.tenure;
     if seen.is_held_at(&state.settings.peer_address) {
         return Duration::ZERO;
     }
     // Which instances are stronger is known only once all of them have written their rows.
-    let startup_delay = if seen.row.is_none() { times.first_start_delay } else { Duration::ZERO };
+    let startup_delay = if seen.row.is_none() { timing.first_start_delay } else { Duration::ZERO };
     let stronger_delay =
-        if state.knows_stronger_instance() { times.weaker_delay } else { Duration::ZERO };
+        if state.knows_stronger_instance() { timing.weaker_delay } else { Duration::ZERO };
     startup_delay + stronger_delay
 }
 
--- a/crates/pool/src/control.rs
+++ b/crates/pool/src/control.rs
@@ -33,7 +33,7 @@
 /// Calls to workers, each with a fencing token (see [`crate::fencing`]).
 pub trait TaskControl: Clone + Send + Sync + 'static {
     /// Polls a worker: extends its lease, acknowledges ends, and returns its running and ended tasks.
-    fn hold(
+    fn poll(
         &self,
         target: &WorkerTarget,
         token: ids::FencingToken,
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -32,7 +32,7 @@
     pub epoch: ids::Epoch,
     /// Version of the tenure's row when the tenure was acquired: rows with lower versions were written before
     /// it.
-    pub taken_version: ids::RowVersion,
+    pub acquired_version: ids::RowVersion,
     core: Mutex<core::PoolCore>,
     tenure: Mutex<tenure_status::TenureState>,
     /// Time at which an order may last have been sent, if any was.
@@ -55,7 +55,7 @@
 
 /// A tenure that was just acquired.
 #[derive(Clone, Debug)]
-pub(crate) struct TakenTenure {
+pub(crate) struct AcquiredTenure {
     pub(crate) epoch: ids::Epoch,
     pub(crate) version: ids::RowVersion,
     pub(crate) sent_at: Duration,
@@ -70,17 +70,17 @@
 
 impl LeaderState {
     pub(crate) fn new(
-        taken: &TakenTenure,
-        times: settings::TenureTimes,
+        acquired: &AcquiredTenure,
+        times: settings::TenureTiming,
         core: core::PoolCore,
     ) -> LeaderState {
         LeaderState {
-            epoch: taken.epoch,
-            taken_version: taken.version,
+            epoch: acquired.epoch,
+            acquired_version: acquired.version,
             core: Mutex::new(core),
-            tenure: Mutex::new(tenure_status::TenureState::new(times, taken.sent_at)),
+            tenure: Mutex::new(tenure_status::TenureState::new(times, acquired.sent_at)),
             ordered_at: Mutex::default(),
-            predecessors: Mutex::new(taken.predecessors.clone()),
+            predecessors: Mutex::new(acquired.predecessors.clone()),
             applied_graph_version: AtomicU64::new(0),
             missed_jobs: Mutex::default(),
             senders: Mutex::default(),
@@ -187,25 +187,25 @@
 /// release was requested although the instance stays.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
-    taken: TakenTenure,
+    acquired: AcquiredTenure,
 ) -> bool {
-    tracing::info!(epoch = taken.epoch, version = taken.version, "tenure taken");
+    tracing::info!(epoch = acquired.epoch, version = acquired.version, "tenure taken");
     metrics::counter!("almondpass_pool_tenures_total").increment(1);
-    let (epoch, version) = (taken.epoch, taken.version);
+    let (epoch, version) = (acquired.epoch, acquired.version);
     state.set_acquired_epoch(Some(epoch));
     let mut core = core::PoolCore::new(core::PoolStart {
-        timing: state.settings.terms,
+        timing: state.settings.timing,
         catalog: Arc::default(),
-        settles_at: taken.settles_at,
+        settles_at: acquired.settles_at,
     });
     // Each renewal of the tenure also saves the known losses, and renewals begin before the tables are
     // loaded.
-    core.inherit_silence_notes(taken.notes_silence);
-    core.restore_loss_history(taken.losses.as_ref(), state.adapters.clock().now());
-    let leader = Arc::new(LeaderState::new(&taken, state.settings.tenure, core));
+    core.inherit_silence_notes(acquired.notes_silence);
+    core.restore_loss_history(acquired.losses.as_ref(), state.adapters.clock().now());
+    let leader = Arc::new(LeaderState::new(&acquired, state.settings.tenure, core));
     let _guard = TenureGuard { state: &state, leader: &leader };
     let mut parts = JoinSet::new();
-    parts.spawn(serve(Arc::clone(&state), Arc::clone(&leader), taken));
+    parts.spawn(serve(Arc::clone(&state), Arc::clone(&leader), acquired));
     // Renewals begin at once: while the store is slow, loading takes longer than the term, and each successor
     // would lose the tenure to the next one before it had scheduled anything.
     writer::run(&state, &leader, version).await;
@@ -238,13 +238,13 @@
 async fn serve<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     leader: Arc<LeaderState>,
-    taken: TakenTenure,
+    acquired: AcquiredTenure,
 ) {
     // Requests the release when this function ends, also by a panic: a tenure that is renewed but not served
     // would keep other instances from scheduling.
-    let _giving_up = leader.release_requested.clone().drop_guard();
-    let Some(loaded) = tenure_loader::load(&state, &taken).await else {
-        tracing::warn!(epoch = taken.epoch, "tenure is released: its rows can't be read");
+    let _release_on_return = leader.release_requested.clone().drop_guard();
+    let Some(loaded) = tenure_loader::load(&state, &acquired).await else {
+        tracing::warn!(epoch = acquired.epoch, "tenure is given up: its rows can't be read");
         return;
     };
     *leader.core() = loaded.core;
--- a/crates/pool/src/order_sender.rs
+++ b/crates/pool/src/order_sender.rs
@@ -26,7 +26,7 @@
             send(&state, &leader, order).await;
             leader.round_due.notify_one();
         } else {
-            withhold(&state, &leader, &order);
+            report_unsent(&state, &leader, &order);
         }
     }
 }
@@ -74,9 +74,9 @@
     }
 }
 
-/// Reports an order that was not sent to the core. A start that was not sent has no effect; any other order
-/// is decided again.
-pub(crate) fn withhold<S: state::PoolAdapters>(
+/// Notifies the core of an order that was not sent. A start that was not sent has no effect; any other order is
+/// decided again.
+pub(crate) fn report_unsent<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     order: &order::PoolOrder,
--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -32,8 +32,8 @@
 
 /// Time at which everything that a holder has ordered has ended, also on workers that do not answer, if the
 /// holder gives no orders from `over_at` on.
-pub(crate) fn settles_after(over_at: Duration, terms: &timing::PoolTiming) -> Duration {
-    over_at + ORDER_SLACK + lease_clock::max_local_span(terms.lease)
+pub(crate) fn settles_after(stopped_at: Duration, timing: &timing::PoolTiming) -> Duration {
+    stopped_at + ORDER_SLACK + lease_clock::max_local_span(timing.lease)
 }
 
 /// Queries the addresses of the former holders until each of them is known to have stopped, or all that they
@@ -56,8 +56,8 @@
             let Some(over_for_ms) = answer.over_for_ms else { continue };
             answered.insert(former.epoch);
             let now = state.adapters.clock().now();
-            let over_at = now.saturating_sub(Duration::from_millis(over_for_ms));
-            record_end(&state, &leader, former, over_at);
+            let stopped_at = now.saturating_sub(Duration::from_millis(over_for_ms));
+            record_end(&state, &leader, former, stopped_at);
             let mut core = leader.core();
             answer.unsaved.into_iter().for_each(|it| core.merge_suspicions(it, now));
         }
@@ -69,9 +69,9 @@
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     former: &predecessor_list::Predecessor,
-    over_at: Duration,
+    stopped_at: Duration,
 ) {
-    let settles_at = settles_after(over_at, &state.settings.terms);
+    let settles_at = settles_after(stopped_at, &state.settings.timing);
     let left_ms = settles_at.saturating_sub(state.adapters.clock().now()).as_millis() as u64;
     tracing::info!(
         former = former.holder,
@@ -79,7 +79,7 @@
         left_ms,
         "former holder of the tenure gives no more orders"
     );
-    leader.predecessors().settles_by(former.epoch, settles_at);
+    leader.predecessors().bound_settling(former.epoch, settles_at);
     let settles_at = leader.predecessors().settles_at();
     leader.core().bound_settling(settles_at);
 }
--- a/crates/pool/src/predecessor_list.rs
+++ b/crates/pool/src/predecessor_list.rs
@@ -52,8 +52,8 @@
             }));
         } else {
             // The holder before the last one may have gone on without the store.
-            let over_at = seen.epoch_since + state.settings.tenure.max_detached;
-            let settles_at = predecessor::settles_after(over_at, &state.settings.terms);
+            let stopped_at = seen.epoch_since + state.settings.tenure.max_detached;
+            let settles_at = predecessor::settles_after(stopped_at, &state.settings.timing);
             list.unnamed_settle_at = settles_at.max(reported_at(row.settles_in_ms));
         }
         list.settle_own_process(state);
@@ -73,7 +73,7 @@
     }
 
     /// Records that everything that the holder of `epoch` has ordered has ended at `settles_at`.
-    pub(crate) fn settles_by(&mut self, epoch: ids::Epoch, settles_at: Duration) {
+    pub(crate) fn bound_settling(&mut self, epoch: ids::Epoch, settles_at: Duration) {
         for it in self.holders.iter_mut().filter(|it| it.epoch == epoch) {
             it.settles_at = it.settles_at.min(settles_at);
         }
@@ -89,7 +89,7 @@
 
     /// Holders whose orders may not have ended, as entries of the tenure's row. Holders without a name, and
     /// those beyond the row's limit, share an entry without an address.
-    pub(crate) fn entries(&self, now: Duration) -> Vec<model::EarlierHolder> {
+    pub(crate) fn row_entries(&self, now: Duration) -> Vec<model::EarlierHolder> {
         let unsettled = self.unsettled(now);
         let mut named = unsettled.iter().take(MAX_NAMED).cloned().collect::<Vec<_>>();
         let unlisted = unsettled.iter().skip(MAX_NAMED).map(|it| it.settles_at).max();
@@ -118,8 +118,9 @@
         for it in self.holders.iter_mut().filter(|it| it.address == settings.peer_address) {
             let is_this = it.holder == settings.instance;
             let ordered_at = state.last_order_at().filter(|_| is_this);
-            let over_at = ordered_at.unwrap_or(state.started_at);
-            it.settles_at = it.settles_at.min(predecessor::settles_after(over_at, &settings.terms));
+            let stopped_at = ordered_at.unwrap_or(state.started_at);
+            it.settles_at =
+                it.settles_at.min(predecessor::settles_after(stopped_at, &settings.timing));
         }
     }
 }
@@ -132,11 +133,11 @@
 ) -> Predecessor {
     let times = state.settings.tenure;
     let may_go_on_for = if row.released { Duration::ZERO } else { times.term + times.max_detached };
-    let over_at = seen.first_seen + may_go_on_for;
+    let stopped_at = seen.first_seen + may_go_on_for;
     Predecessor {
         holder: row.holder.clone(),
         address: row.address.clone(),
         epoch: row.epoch,
-        settles_at: predecessor::settles_after(over_at, &state.settings.terms),
+        settles_at: predecessor::settles_after(stopped_at, &state.settings.timing),
     }
 }
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -60,22 +60,22 @@
         if let Some(document) = state.document.current() {
             leader.core().set_catalog(Arc::clone(&document.catalog));
         }
-        let began = Instant::now();
-        if began >= metrics_at + METRICS_INTERVAL {
+        let started_at = Instant::now();
+        if started_at >= metrics_at + METRICS_INTERVAL {
             record_pool_size(&leader.core().summary());
             record_waits(&leader.core().take_wait_counts());
-            metrics_at = began;
+            metrics_at = started_at;
         }
         run_round(&state, &leader);
-        let took = began.elapsed();
-        if took >= LONG_ROUND {
-            time::sleep((took * PAUSE_FACTOR).min(MAX_PAUSE)).await;
+        let duration = started_at.elapsed();
+        if duration >= LONG_ROUND {
+            time::sleep((duration * PAUSE_FACTOR).min(MAX_PAUSE)).await;
         }
     }
 }
 
 fn record_pool_size(summary: &core::PoolSummary) {
-    let figures = [
+    let sizes = [
         ("jobs", summary.n_jobs),
         ("waiting_tasks", summary.n_waiting),
         ("running_tasks", summary.n_running),
@@ -84,16 +84,15 @@
         ("accelerators", summary.accelerators as usize),
         ("accelerators_used", summary.accelerators_used as usize),
     ];
-    for (of, figure) in figures {
-        metrics::gauge!("almondpass_pool_size", "of" => of).set(figure as f64);
+    for (kind, count) in sizes {
+        metrics::gauge!("almondpass_pool_size", "of" => kind).set(count as f64);
     }
 }
 
 fn record_waits(counts: &waiting::WaitCounts) {
-    let figures =
-        [("standing_jobs", counts.n_idle), ("standing_jobs_beside_room", counts.n_starved)];
-    for (of, figure) in figures {
-        metrics::gauge!("almondpass_pool_size", "of" => of).set(figure as f64);
+    let sizes = [("standing_jobs", counts.n_idle), ("standing_jobs_beside_room", counts.n_starved)];
+    for (kind, count) in sizes {
+        metrics::gauge!("almondpass_pool_size", "of" => kind).set(count as f64);
     }
     metrics::counter!("almondpass_pool_jobs_left_standing_total").increment(counts.n_newly_starved);
 }
@@ -142,7 +141,7 @@
     }
     for order in orders {
         if let Some(unsent) = leader.send_order(order) {
-            order_sender::withhold(state, leader, &unsent);
+            order_sender::report_unsent(state, leader, &unsent);
         }
     }
     if has_changes {
--- a/crates/pool/src/session.rs
+++ b/crates/pool/src/session.rs
@@ -36,7 +36,7 @@
         }
         match poll(&state, &leader, &worker).await {
             PollOutcome::Answered => await_save(&leader, &worker).await,
-            PollOutcome::Missed => time::sleep(POLL_RETRY_DELAY).await,
+            PollOutcome::Failed => time::sleep(POLL_RETRY_DELAY).await,
             PollOutcome::Unlisted => break,
         }
     }
@@ -49,7 +49,7 @@
     /// The worker answered.
     Answered,
     /// The worker did not answer, or rejected the poll.
-    Missed,
+    Failed,
     /// The core no longer knows the worker.
     Unlisted,
 }
@@ -62,8 +62,8 @@
     worker: &ids::WorkerId,
 ) -> PollOutcome {
     let now = state.adapters.clock().now();
-    let Some(ask) = leader.core().next_poll(worker, now) else { return PollOutcome::Unlisted };
-    poll_with(state, leader, worker, ask).await
+    let Some(request) = leader.core().next_poll(worker, now) else { return PollOutcome::Unlisted };
+    poll_with(state, leader, worker, request).await
 }
 
 /// Polls a worker that has to answer at once.
@@ -73,22 +73,24 @@
     worker: &ids::WorkerId,
 ) -> PollOutcome {
     let now = state.adapters.clock().now();
-    let Some(mut ask) = leader.core().next_poll(worker, now) else { return PollOutcome::Unlisted };
-    ask.wait = Duration::ZERO;
-    poll_with(state, leader, worker, ask).await
+    let Some(mut request) = leader.core().next_poll(worker, now) else {
+        return PollOutcome::Unlisted;
+    };
+    request.wait = Duration::ZERO;
+    poll_with(state, leader, worker, request).await
 }
 
 async fn poll_with<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     worker: &ids::WorkerId,
-    ask: order::PollRequest,
+    request: order::PollRequest,
 ) -> PollOutcome {
     let clock = state.adapters.clock();
     let sent_at = clock.now();
-    let target = control::WorkerTarget { worker: worker.clone(), address: ask.address.clone() };
-    let token = fencing::token(leader.epoch, ask.generation);
-    let answer = state.adapters.control().hold(&target, token, &ask).await;
+    let target = control::WorkerTarget { worker: worker.clone(), address: request.address.clone() };
+    let token = fencing::token(leader.epoch, request.generation);
+    let answer = state.adapters.control().poll(&target, token, &request).await;
     let now = clock.now();
     let mut core = leader.core();
     match answer {
@@ -99,19 +101,19 @@
             PollOutcome::Answered
         }
         Err(control::ControlFault::Replaced(_)) => {
-            core.worker_replaced(worker, &ask.address, now);
+            core.worker_replaced(worker, &request.address, now);
             leader.round_due.notify_one();
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
         Err(control::ControlFault::Fenced) => {
-            core.note_fenced_off(worker, ask.generation);
+            core.note_fenced_off(worker, request.generation);
             leader.round_due.notify_one();
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
         Err(control::ControlFault::Call(error)) => {
             tracing::debug!(worker, %error, "worker did not answer a poll");
             core.poll_missed(worker);
-            PollOutcome::Missed
+            PollOutcome::Failed
         }
     }
 }
--- a/crates/pool/src/sessions.rs
+++ b/crates/pool/src/sessions.rs
@@ -63,7 +63,7 @@
         error: &task::JoinError,
     ) {
         let Some(worker) = self.workers.remove(&error.id()) else { return };
-        tracing::error!(worker, %error, "session with a worker has panicked and is restarted");
+        tracing::error!(worker, %error, "session with a worker has failed and is begun again");
         metrics::counter!("almondpass_pool_sessions_failed_total").increment(1);
         // Another session may have started while this one sent its last orders.
         if !self.workers.values().any(|it| *it == worker) {
--- a/crates/pool/src/settings.rs
+++ b/crates/pool/src/settings.rs
@@ -17,14 +17,14 @@
     /// Addresses of peers that are known from the start; these peers may be gone.
     pub seeds: Vec<ids::PeerAddress>,
     /// Leases and time bounds of the platform.
-    pub terms: timing::PoolTiming,
+    pub timing: timing::PoolTiming,
     /// Timing of the tenure.
-    pub tenure: TenureTimes,
+    pub tenure: TenureTiming,
 }
 
 /// Timing of the tenure: how long it lasts without a renewal, and how often it is read and renewed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TenureTimes {
+pub struct TenureTiming {
     /// A watcher takes over when the tenure's row has not changed for this long.
     pub term: Duration,
     /// The holder's own count of the term is shorter by this.
@@ -41,9 +41,9 @@
     pub first_start_delay: Duration,
 }
 
-impl Default for TenureTimes {
-    fn default() -> TenureTimes {
-        TenureTimes {
+impl Default for TenureTiming {
+    fn default() -> TenureTiming {
+        TenureTiming {
             // Two consecutive renewals may be lost. A write takes up to 0.54 s while the store is 60 times
             // slower, the most that the users' sites report; renewals then follow each other by 1.04 s and
             // are visible 0.54 s later.
--- a/crates/pool/src/tenure_loader.rs
+++ b/crates/pool/src/tenure_loader.rs
@@ -38,13 +38,13 @@
 /// leaving.
 pub(crate) async fn load<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &leader::TakenTenure,
+    acquired: &leader::AcquiredTenure,
 ) -> Option<LoadedTenure> {
     for _ in 0..MAX_READ_ATTEMPTS {
         if state.shutdown.is_cancelled() {
             return None;
         }
-        match read(state, taken).await {
+        match read_tables(state, acquired).await {
             Ok(loaded) => return Some(loaded),
             Err(error) => tracing::warn!(%error, "rows of the tenure can't be read"),
         }
@@ -53,11 +53,11 @@
     None
 }
 
-async fn read<S: state::PoolAdapters>(
+async fn read_tables<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
-    taken: &leader::TakenTenure,
+    acquired: &leader::AcquiredTenure,
 ) -> Result<LoadedTenure, error::CallError> {
-    let asked_at = state.adapters.clock().now();
+    let requested_at = state.adapters.clock().now();
     let (operators, graphs, progress, workers, roster) = tokio::try_join!(
         store_call::snapshot(state, S::Reader::DOCUMENT_TABLE),
         store_call::snapshot(state, keys::GRAPHS),
@@ -71,27 +71,27 @@
     let now = state.adapters.clock().now();
     let catalog = state.document.current().map(|it| Arc::clone(&it.catalog));
     let mut core = core::PoolCore::new(core::PoolStart {
-        timing: state.settings.terms,
+        timing: state.settings.timing,
         catalog: catalog.unwrap_or_default(),
-        settles_at: taken.settles_at,
+        settles_at: acquired.settles_at,
     });
     core.set_evacuated(state.evacuations.data_centers());
     let (graphs_version, workers_version) = (graphs.version, workers.version);
-    core.note_list_read(asked_at);
+    core.note_list_read(requested_at);
     for row in workers.rows {
         apply_worker_row(state, &mut core, &row, now);
     }
-    core.restore_loss_history(taken.losses.as_ref(), now);
+    core.restore_loss_history(acquired.losses.as_ref(), now);
     for row in &roster.rows {
         inherit_roster_page(&mut core, row);
     }
-    core.inherit_silence_notes(taken.notes_silence);
+    core.inherit_silence_notes(acquired.notes_silence);
     let mut progress = progress_by_graph(progress);
     let accepted = graphs.rows.iter().filter_map(|it| task_key::parse_graph(&it.key));
     let accepted = accepted.collect::<BTreeSet<_>>();
     for row in graphs.rows {
-        let read = decode_graph_row(&row, intake::JobOrigin::Load, taken.version);
-        let Some(mut admitted) = read else { continue };
+        let result = decode_graph_row(&row, intake::JobOrigin::Load, acquired.version);
+        let Some(mut admitted) = result else { continue };
         admitted.progress = progress.remove(&admitted.graph).unwrap_or_default();
         admitted.inherited |= !admitted.progress.is_empty();
         core.admit(admitted, now);
@@ -116,9 +116,9 @@
         core.unlist_worker(&row.key, now);
         return true;
     };
-    let read = state.adapters.reader().worker(value).and_then(|it| check_upstream(state, it));
-    state.faulty_entries().observe(&row.key, &read);
-    match read {
+    let result = state.adapters.reader().worker(value).and_then(|it| check_upstream(state, it));
+    state.faulty_entries().observe(&row.key, &result);
+    match result {
         Ok(listing) => core.update_worker(row.key.clone(), listing, now),
         // Tasks on the worker still count as running: the worker may be healthy and only its entry
         // overwritten.
@@ -147,11 +147,11 @@
 pub(crate) fn decode_graph_row(
     row: &row_feed::FeedRow,
     origin: intake::JobOrigin,
-    taken: ids::RowVersion,
+    acquired: ids::RowVersion,
 ) -> Option<intake::AdmittedJob> {
     let graph = task_key::parse_graph(&row.key)?;
     let content = decode::<model::GraphRow>(row)?;
-    let inherited = row.version < taken;
+    let inherited = row.version < acquired;
     Some(intake::AdmittedJob {
         graph,
         row: content,
--- a/crates/pool/src/tenure_status.rs
+++ b/crates/pool/src/tenure_status.rs
@@ -26,7 +26,7 @@
 /// Renewals and failures of a tenure, as its holder has observed them.
 #[derive(Clone, Copy, Debug)]
 pub struct TenureState {
-    times: settings::TenureTimes,
+    timing: settings::TenureTiming,
     exclusive_until: Duration,
     last_failure_at: Option<Duration>,
     ended: bool,
@@ -34,15 +34,15 @@
 
 impl TenureState {
     /// Creates the state of a tenure whose row was written by a call sent at `sent_at`.
-    pub fn new(times: settings::TenureTimes, sent_at: Duration) -> TenureState {
-        let exclusive_until = sent_at + times.term - times.clock_margin;
-        TenureState { times, exclusive_until, last_failure_at: None, ended: false }
+    pub fn new(timing: settings::TenureTiming, sent_at: Duration) -> TenureState {
+        let exclusive_until = sent_at + timing.term - timing.clock_margin;
+        TenureState { timing, exclusive_until, last_failure_at: None, ended: false }
     }
 
     /// Records that a write that was first sent at `sent_at` succeeded.
     pub fn record_renewal(&mut self, sent_at: Duration) {
         self.exclusive_until =
-            self.exclusive_until.max(sent_at + self.times.term - self.times.clock_margin);
+            self.exclusive_until.max(sent_at + self.timing.term - self.timing.clock_margin);
         self.last_failure_at = None;
     }
 
@@ -67,7 +67,7 @@
         // A process that was suspended through its term finds an old sign of an outage, or none, and must not
         // rely on it: the store may be available again and another instance may have taken over.
         let is_outage = self.last_failure_at.is_some_and(|it| now < it + OUTAGE_TIMEOUT);
-        if is_outage && now < self.exclusive_until + self.times.max_detached {
+        if is_outage && now < self.exclusive_until + self.timing.max_detached {
             return TenureStatus::Detached;
         }
         TenureStatus::Stale
--- a/crates/pool/src/tenure_watch.rs
+++ b/crates/pool/src/tenure_watch.rs
@@ -39,8 +39,8 @@
             Some(seen) if seen.version == version => {}
             seen => {
                 let epoch = |row: &Option<model::PoolTenure>| row.as_ref().map(|it| it.epoch);
-                let known = seen.as_ref().filter(|it| epoch(&it.row) == epoch(&row));
-                let epoch_since = known.map_or(now, |it| it.epoch_since);
+                let same_epoch = seen.as_ref().filter(|it| epoch(&it.row) == epoch(&row));
+                let epoch_since = same_epoch.map_or(now, |it| it.epoch_since);
                 *seen = Some(SeenRow {
                     version,
                     row,
--- a/crates/pool/src/worker_follower.rs
+++ b/crates/pool/src/worker_follower.rs
@@ -40,14 +40,14 @@
         if monitor.claim_table_read() {
             after = reread_list(&state, &leader, after).await.map_or(after, |it| after.max(it));
         }
-        let asked_at = state.adapters.clock().now();
+        let requested_at = state.adapters.clock().now();
         match store_call::follow(&state, S::Reader::WORKER_TABLE, after, Duration::ZERO).await {
             Ok(rows) => {
                 monitor.record_answer(after);
                 apply(&state, &leader, &rows.rows, after);
                 after = after.max(rows.version);
                 if !rows.more {
-                    leader.core().note_list_read(asked_at);
+                    leader.core().note_list_read(requested_at);
                 }
                 // Every worker rewrites its row continually, and an answer holds a bounded number of changes.
                 // With pauses between full answers the changes of a large list would be read later and later,
@@ -85,8 +85,8 @@
     let now = state.adapters.clock().now();
     let mut core = leader.core();
     for row in rows {
-        let is_news = tenure_loader::apply_worker_row(state, &mut core, row, now);
-        if is_news && row.version > after {
+        let has_changed = tenure_loader::apply_worker_row(state, &mut core, row, now);
+        if has_changed && row.version > after {
             core.note_entry_read(&row.key);
         }
     }
@@ -123,12 +123,12 @@
     leader: &leader::LeaderState,
     after: ids::RowVersion,
 ) -> Option<row_feed::FeedRows> {
-    let asked_at = state.adapters.clock().now();
+    let requested_at = state.adapters.clock().now();
     let read = store_call::snapshot(state, S::Reader::WORKER_TABLE).await;
     let rows =
         read.inspect_err(|error| tracing::debug!(%error, "the worker list can't be read")).ok()?;
     apply(state, leader, &rows.rows, after);
-    leader.core().note_list_read(asked_at);
+    leader.core().note_list_read(requested_at);
     Some(rows)
 }
 
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -81,9 +81,9 @@
     /// The write is durable.
     Written,
     /// The tenure is lost, or the write was abandoned.
-    Over,
+    Stopped,
     /// The store permanently rejects one of the rows.
-    Refused(error::CallError),
+    Rejected(error::CallError),
 }
 
 impl<S: state::PoolAdapters> TenureWriter<'_, S> {
@@ -116,21 +116,21 @@
     /// the tenure lapses, and then by each successor. Halving the batch isolates it in a few writes, each of
     /// which renews the tenure.
     async fn save(&mut self, released: bool) -> bool {
-        let mut waiting = vec![self.take_rows()];
-        while let Some(sent) = waiting.pop() {
-            let released = released && waiting.is_empty();
+        let mut pending = vec![self.take_rows()];
+        while let Some(sent) = pending.pop() {
+            let released = released && pending.is_empty();
             match self.write(&sent.writes, released).await {
                 WriteOutcome::Written => self.mark_saved(sent.rows),
-                WriteOutcome::Over => return false,
-                WriteOutcome::Refused(error) if sent.rows.len() == 1 => {
+                WriteOutcome::Stopped => return false,
+                WriteOutcome::Rejected(error) if sent.rows.len() == 1 => {
                     self.exclude_refused_row(&sent, &error);
                     if released {
-                        waiting.push(WriteBatch::default());
+                        pending.push(WriteBatch::default());
                     }
                 }
-                WriteOutcome::Refused(_) => {
+                WriteOutcome::Rejected(_) => {
                     let (first, second) = sent.halves();
-                    waiting.extend([second, first]);
+                    pending.extend([second, first]);
                 }
             }
         }
@@ -175,7 +175,7 @@
         self.renewal += 1;
         let first_sent = self.state.adapters.clock().now();
         let writes = self.with_tenure(rows, released);
-        let counts_from = loop {
+        let renewed_from = loop {
             let sent_at = self.state.adapters.clock().now();
             let outcome = self.transact(writes.clone()).await;
             match outcome {
@@ -190,21 +190,21 @@
                         break first_sent;
                     }
                     ConflictKind::Outdated(version) => self.version = version,
-                    ConflictKind::Lost => return WriteOutcome::Over,
+                    ConflictKind::Lost => return WriteOutcome::Stopped,
                 },
                 Err(error) if error.fault.is_for_good() && !rows.is_empty() => {
-                    return WriteOutcome::Refused(error);
+                    return WriteOutcome::Rejected(error);
                 }
                 Err(error) => {
                     self.record_failure(&error);
                     if released || self.leader.ended.is_cancelled() {
-                        return WriteOutcome::Over;
+                        return WriteOutcome::Stopped;
                     }
                     time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         };
-        self.leader.tenure().record_renewal(counts_from);
+        self.leader.tenure().record_renewal(renewed_from);
         WriteOutcome::Written
     }
 
@@ -240,7 +240,7 @@
             released,
             settles_in_ms: settles_in.as_millis() as u64,
             notes_silence,
-            earlier: self.leader.predecessors().entries(now),
+            earlier: self.leader.predecessors().row_entries(now),
             names_earlier: true,
             losses: Some(losses),
         };
