--- a/crates/pool/src/predecessor.rs
+++ b/crates/pool/src/predecessor.rs
@@ -31,7 +31,7 @@
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time at which everything that a holder has ordered has ended, also on workers that do not answer, if the
-/// holder gives no orders from `over_at` on.
+/// holder gives no orders from `stopped_at` on.
 pub(crate) fn settles_after(stopped_at: Duration, timing: &timing::PoolTiming) -> Duration {
     stopped_at + ORDER_SLACK + lease_clock::max_local_span(timing.lease)
 }
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -32,7 +32,7 @@
         bench.await_state(0, 1, model::GraphState::Completed, Duration::from_secs(5)).await;
         bench.restart_worker(0, DOWN).await;
         bench.write_entry(0).await;
-        time::sleep(support::HEARTBEAT).await;
+        time::sleep(support::HEARTBEAT_INTERVAL).await;
 
         bench.submit(0, 2, support::job(4, 2_000)).await;
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(20)).await;
@@ -65,7 +65,7 @@
         bench.submit(0, 2, wide).await;
         for index in [0, 1, 2, 0, 1] {
             bench.restart_worker(index, DOWN).await;
-            time::sleep(support::HEARTBEAT).await;
+            time::sleep(support::HEARTBEAT_INTERVAL).await;
             bench.write_entry(index).await;
         }
         // After the last restart each task of the wide step runs at most once: two rounds of 3 s on 32 slots.
@@ -119,7 +119,7 @@
         time::sleep(Duration::from_secs(300)).await;
         bench.restart_worker(0, DOWN).await;
         bench.write_entry(0).await;
-        time::sleep(support::HEARTBEAT).await;
+        time::sleep(support::HEARTBEAT_INTERVAL).await;
         bench.submit(0, 2, support::job(12, 3_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.fleet.crash(&support::worker_id(0));
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -50,14 +50,14 @@
 fn a_former_holder_reports_when_it_stopped_giving_orders() {
     support::run(async {
         let bench = start_with_full_workers(2).await;
-        let (former, other) = (bench.holder(), bench.non_holder());
-        let address = &bench.instances[former].address;
+        let (former_holder, other) = (bench.holder(), bench.non_holder());
+        let address = &bench.instances[former_holder].address;
         let other = &bench.instances[other].address;
         bench.net.partition(&[address], &[other], fault::Condition::Silent);
-        bench.instances[former].store_faults.set(fault::Condition::Silent);
+        bench.instances[former_holder].store_faults.set(fault::Condition::Silent);
         time::sleep(Duration::from_secs(12)).await;
         bench.net.partition(&[address], &[other], fault::Condition::Up);
-        let holder = bench.instances[former].state.settings.instance.clone();
+        let holder = bench.instances[former_holder].state.settings.instance.clone();
         let query = model::TenureQuery { holder, epoch: 1 };
         let answer = bench.net.link(other).call(address, query, Duration::from_secs(1)).await;
         let over_for_ms = answer.expect("an answer").over_for_ms.expect("it is over");
@@ -72,7 +72,7 @@
 fn a_holder_that_released_the_tenure_is_asked_since_when() {
     support::run(async {
         let mut bench = start_with_full_workers(2).await;
-        let former = bench.holder();
+        let former_holder = bench.holder();
         let other = bench.non_holder();
         let stronger = bench.start_instance_with_strength("10.0.1.1:7000", 400);
         for index in [other, stronger] {
@@ -80,7 +80,7 @@
                 .store_faults
                 .set(fault::Condition::Slow(Duration::from_millis(50)));
         }
-        while bench.instances[former].state.leader().is_some() {
+        while bench.instances[former_holder].state.leader().is_some() {
             time::sleep(Duration::from_millis(10)).await;
         }
         let given_up_at = Instant::now();
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -35,7 +35,7 @@
 const ENTRY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Interval between two writes of a worker's entry.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_500);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Timeout of a write by the operator.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(1);
@@ -53,14 +53,14 @@
 
 /// The store, workers, reader, peers and clock of an instance.
 #[derive(Clone)]
-pub(crate) struct BenchSite {
+pub(crate) struct BenchAdapters {
     store: table::TableFake,
     control: BenchControl,
     peers: net::FakeLink,
     clock: boot_clock::RuntimeClock,
 }
 
-impl state::PoolAdapters for BenchSite {
+impl state::PoolAdapters for BenchAdapters {
     type Store = table::TableFake;
     type Control = BenchControl;
     type Reader = BenchReader;
@@ -228,9 +228,9 @@
 }
 
 impl RestartMode {
-    fn of(self, n_crashes: usize) -> RestartMode {
-        let ways = [RestartMode::SameAddress, RestartMode::NewAddress, RestartMode::SameId];
-        if self == RestartMode::Rotating { ways[n_crashes % ways.len()] } else { self }
+    fn for_crash(self, n_crashes: usize) -> RestartMode {
+        let modes = [RestartMode::SameAddress, RestartMode::NewAddress, RestartMode::SameId];
+        if self == RestartMode::Rotating { modes[n_crashes % modes.len()] } else { self }
     }
 }
 
@@ -247,7 +247,7 @@
 
 /// An instance, with the faults that are injected into its calls.
 pub(crate) struct BenchInstance {
-    pub(crate) state: Arc<state::PoolState<BenchSite>>,
+    pub(crate) state: Arc<state::PoolState<BenchAdapters>>,
     pub(crate) address: String,
     pub(crate) store_faults: fault::FaultPlan,
     pub(crate) worker_faults: fault::FaultPlan,
@@ -294,7 +294,7 @@
         self.n_started += 1;
         let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
-        let site = BenchSite {
+        let site = BenchAdapters {
             store: self.store.seen_through(store_faults.clone()),
             control: BenchControl {
                 fleet: self.fleet.seen_through(worker_faults.clone()),
@@ -315,8 +315,9 @@
         self.net.register(address, peer_handler::PeerHandler::new(Arc::clone(&state)));
         let running = tokio::spawn(instance::run(Arc::clone(&state)));
         let address = address.to_owned();
-        let fresh = BenchInstance { state, address, store_faults, worker_faults, panics, running };
-        self.instances.push(fresh);
+        let instance =
+            BenchInstance { state, address, store_faults, worker_faults, panics, running };
+        self.instances.push(instance);
         self.instances.len() - 1
     }
 
@@ -333,22 +334,22 @@
         crashed.address
     }
 
-    /// Cuts an instance off from its peers at these addresses, among which its own address is ignored.
+    /// Cuts an instance off from the peers at `addresses`; its own address among them is ignored.
     pub(crate) fn cut_from_peers<'a>(
         &self,
         index: usize,
         addresses: impl Iterator<Item = &'a str>,
     ) {
-        let here = self.instances[index].address.as_str();
-        let others = addresses.filter(|it| *it != here).collect::<Vec<_>>();
-        self.net.partition(&[here], &others, fault::Condition::Silent);
+        let own_address = self.instances[index].address.as_str();
+        let others = addresses.filter(|it| *it != own_address).collect::<Vec<_>>();
+        self.net.partition(&[own_address], &others, fault::Condition::Silent);
     }
 
     /// Index of the instance that holds the tenure with the highest epoch.
     pub(crate) fn latest_holder(&self) -> Option<usize> {
-        let leads = self.instances.iter().enumerate();
-        let leads = leads.filter_map(|(index, it)| Some((it.state.leader()?.epoch, index)));
-        leads.max().map(|(_, index)| index)
+        let leaders = self.instances.iter().enumerate();
+        let leaders = leaders.filter_map(|(index, it)| Some((it.state.leader()?.epoch, index)));
+        leaders.max().map(|(_, index)| index)
     }
 
     /// Index of the first instance that holds the tenure.
@@ -430,7 +431,7 @@
                     // An entry that the store rejects is replaced by the next one.
                     tokio::spawn(try_write_entry(store.clone(), fleet.clone(), index_of(&worker)));
                 }
-                time::sleep(HEARTBEAT).await;
+                time::sleep(HEARTBEAT_INTERVAL).await;
             }
         });
     }
@@ -476,7 +477,7 @@
             let mut n_crashes = 0;
             loop {
                 for crashed in fleet.take_crashed() {
-                    let mode = restart_mode.of(n_crashes);
+                    let mode = restart_mode.for_crash(n_crashes);
                     n_crashes += 1;
                     let back =
                         restart_crashed(fleet.clone(), store.clone(), crashed.clone(), mode, down);
@@ -526,20 +527,20 @@
 
     pub(crate) async fn lookup(&self, index: usize, graph: ids::GraphId) -> model::LookOutcome {
         let deadline = Instant::now() + Duration::from_secs(2);
-        self.lookup_by(index, graph, deadline).await.outcome
+        self.lookup_before(index, graph, deadline).await.outcome
     }
 
-    /// Why a job has failed, as its caller is told.
+    /// Why a job has failed, as reported to its caller.
     pub(crate) async fn failure(
         &self,
         index: usize,
         graph: ids::GraphId,
     ) -> Option<model::FailureCause> {
         let deadline = Instant::now() + Duration::from_secs(2);
-        self.lookup_by(index, graph, deadline).await.failure
+        self.lookup_before(index, graph, deadline).await.failure
     }
 
-    async fn lookup_by(
+    async fn lookup_before(
         &self,
         index: usize,
         graph: ids::GraphId,
@@ -578,8 +579,8 @@
             records.sort_by_key(|it| it.began);
             for pair in records.windows(2) {
                 assert!(pair[0].ended <= pair[1].began, "{task} ran twice: {pair:?}");
-                let stands = pair[0].how == order::EndKind::Done && pair[0].is_noted;
-                assert!(!stands, "{task} ran again: {pair:?}");
+                let was_acknowledged = pair[0].how == order::EndKind::Done && pair[0].is_noted;
+                assert!(!was_acknowledged, "{task} ran again: {pair:?}");
             }
         }
     }
@@ -613,7 +614,7 @@
         put.conditions.push(model::TableCondition { key, version });
         store.transact(put).await.ok()
     };
-    let written = time::timeout(HEARTBEAT, writing).await;
+    let written = time::timeout(HEARTBEAT_INTERVAL, writing).await;
     matches!(written, Ok(Some(model::TableOutcome::Committed { .. })))
 }
 
@@ -626,10 +627,10 @@
     down: Duration,
 ) {
     time::sleep(down).await;
-    let fresh = unused_id(&fleet, &crashed.worker);
+    let replacement = unused_id(&fleet, &crashed.worker);
     let worker = match mode {
         RestartMode::SameId => crashed.worker,
-        _ => fresh,
+        _ => replacement,
     };
     match mode {
         RestartMode::SameAddress => fleet.add_at(&worker, &crashed.address, crashed.capacity),
@@ -652,7 +653,7 @@
 
 /// Removes the entry of a worker that has been silent for three heartbeats.
 async fn expire_entry(store: table::TableFake, worker: ids::WorkerId) {
-    time::sleep(3 * HEARTBEAT).await;
+    time::sleep(3 * HEARTBEAT_INTERVAL).await;
     let key = entry_key(index_of(&worker));
     while store.transact(put_transaction(&key, None)).await.is_err() {
         time::sleep(ENTRY_RETRY_DELAY).await;
@@ -740,11 +741,11 @@
 
 /// Seeds of the storms: those that the environment selects, or the first few.
 pub(crate) fn storm_seeds() -> Range<u64> {
-    let first = number("POOL_STORM_SEED", 0);
-    first..first + number("POOL_STORM_CASES", 8)
+    let first = env_number("POOL_STORM_SEED", 0);
+    first..first + env_number("POOL_STORM_CASES", 8)
 }
 
-fn number(variable: &str, default: u64) -> u64 {
+fn env_number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|it| it.parse().ok()).unwrap_or(default)
 }
 
