--- a/crates/policy/src/baseline_board.rs
+++ b/crates/policy/src/baseline_board.rs
@@ -245,8 +245,8 @@
             return;
         }
         let reason = wait_reason(model::WaitCode::Queued, "cancelled");
-        let fate = decision::StopFate::End;
-        self.out.push(decision::Decision::Stop { work, fate, reason });
+        let after_stop = decision::AfterStop::End;
+        self.out.push(decision::Decision::Stop { work, after_stop, reason });
     }
 
     fn started(&mut self, work: work::WorkId, now: time::WallTime) {
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -29,7 +29,7 @@
             while self.serve_claim(group) {
                 budget -= 1;
                 if budget == 0 {
-                    self.leftover = true;
+                    self.budget_exhausted = true;
                     return;
                 }
             }
@@ -168,6 +168,6 @@
         home: u32,
     ) -> Option<Vec<HeldTask>> {
         let block = &self.homes[home as usize].block;
-        reclaim::cheapest(self, ask, rule, block, self.terms.grace)
+        reclaim::cheapest(self, ask, rule, block, self.parameters.grace)
     }
 }
--- a/crates/policy/src/clearing.rs
+++ b/crates/policy/src/clearing.rs
@@ -11,7 +11,7 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
+use crate::decision::AfterStop;
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::{Booking, HeldTask, Usage};
 use crate::placement::{self, PlaceAsk, PlaceRule};
@@ -61,7 +61,8 @@
             && (!self.hard || ledger.home[at] == NONE)
             && (!self.homes_only || ledger.home[at] != NONE)
             && (reserved == NONE || self.overdue && self.goes_before(reserved))
-            && (ledger.holder[at] == NONE || self.core.items.at(ledger.holder[at]).claim.is_none())
+            && (ledger.holder[at] == NONE
+                || self.core.items.at(ledger.holder[at]).claimed_home.is_none())
     }
 
     fn room(&self, worker: u32) -> u32 {
@@ -100,7 +101,7 @@
 impl HallCore {
     /// Whether a gang has waited its bound.
     pub(crate) fn overdue(&self, index: u32) -> bool {
-        self.terms.gang_wait <= self.waited(index)
+        self.parameters.gang_wait <= self.waited(index)
     }
 
     /// Reserves blocks for the gangs that waited long enough.
@@ -116,16 +117,16 @@
         let mut searches = 0;
         for group in self.ranked_groups(wants) {
             let Some(it) = self.queue.group(group) else { continue };
-            if it.blocked_at != Some(self.version) {
+            if it.blocked_at != Some(self.capacity_version) {
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.terms.clearing_after();
+            let due = entry.submitted_at + self.parameters.clearing_after();
             if self.now < due {
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.terms.clearings() <= n_clearing && !self.overdue(entry.item);
+            let full = self.parameters.clearings() <= n_clearing && !self.overdue(entry.item);
             if full || self.held_back(entry.item).is_some() {
                 continue;
             }
@@ -169,11 +170,11 @@
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Clearing, None);
         let presses = self.overdue(index);
-        self.items.at_mut(index).presses = presses;
+        self.items.at_mut(index).chosen_overdue = presses;
         if presses {
             self.move_younger(index);
         } else {
-            let due = self.submitted(index) + self.terms.gang_wait;
+            let due = self.submitted(index) + self.parameters.gang_wait;
             self.set_timer(due, TimerKind::Patience, NONE);
         }
         true
@@ -187,7 +188,7 @@
                 return self.now;
             }
             if holder != last.0 {
-                let away = self.now + self.terms.grace + self.terms.margin;
+                let away = self.now + self.parameters.grace + self.parameters.margin;
                 let makes_way = self.makes_way(holder, index);
                 let end = self.expected_end(self.items.at(holder));
                 last = (holder, if makes_way { end.min(away) } else { end });
@@ -322,17 +323,17 @@
             return;
         }
         let opening = self.opening(index, &item.tasks);
-        if self.overdue(index) && !item.presses {
+        if self.overdue(index) && !item.chosen_overdue {
             // Chosen anew, it counts on younger work to make way.
             self.withdraw(index);
             return;
         }
-        let planned = item.opening.since(item.since);
-        let slipped = opening.since(item.opening);
+        let planned = item.expected_free_at.since(item.state_since);
+        let slipped = opening.since(item.expected_free_at);
         if planned.mul_f64(SLIP) < slipped && !self.overdue(index) {
             self.withdraw(index);
         } else {
-            self.items.at_mut(index).opening = opening;
+            self.items.at_mut(index).expected_free_at = opening;
         }
     }
 
@@ -348,7 +349,7 @@
             && !rule.request
             && !rule.urgent
             && rule.priority <= other.priority
-            && item.claim.is_none()
+            && item.claimed_home.is_none()
             && gang.work.submitted_at < item.work.submitted_at
     }
 
@@ -368,7 +369,7 @@
             if running && self.makes_way(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.wind_down(it, self.terms.grace, StopFate::Requeue, reason);
+                self.wind_down(it, self.parameters.grace, AfterStop::Requeue, reason);
             }
         }
     }
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -15,10 +15,10 @@
 use crate::homes;
 use crate::item_table::ItemTable;
 use crate::ledger::{Booking, HallLedger, Usage};
+use crate::parameters::PolicyParameters;
 use crate::queue::WaitQueue;
 use crate::scheduler;
 use crate::share::{AccountUse, HallCapacity};
-use crate::terms::PolicyTerms;
 use crate::timers::{TimerEntry, TimerKind, TimerQueue};
 use crate::topology::{HallTopology, NONE, WorkerSpec};
 use crate::work;
@@ -31,8 +31,8 @@
 pub struct HallCore {
     pub(crate) hall: ids::HallName,
     pub(crate) layout: model::HallLayout,
-    pub(crate) kinds: Vec<model::WorkerKind>,
-    pub(crate) terms: PolicyTerms,
+    pub(crate) worker_kinds: Vec<model::WorkerKind>,
+    pub(crate) parameters: PolicyParameters,
     pub(crate) topology: HallTopology,
     pub(crate) capacity: HallCapacity,
     pub(crate) catalog: RuleCatalog,
@@ -49,26 +49,26 @@
     /// Counts configurations.
     pub(crate) config_number: u64,
     /// When homes were last brought back to where they are in an empty hall.
-    pub(crate) restored_at: time::WallTime,
+    pub(crate) homes_restored_at: time::WallTime,
     pub(crate) health: Vec<WorkerHealth>,
     /// What is known of workers that the configuration does not have.
-    pub(crate) strangers: BTreeMap<ids::WorkerId, WorkerHealth>,
+    pub(crate) unlisted_health: BTreeMap<ids::WorkerId, WorkerHealth>,
     /// State of each worker as last decided.
-    pub(crate) told: Vec<model::WorkerState>,
+    pub(crate) reported_states: Vec<model::WorkerState>,
     pub(crate) failures: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
-    pub(crate) uses: Vec<AccountUse>,
+    pub(crate) account_usage: Vec<AccountUse>,
     pub(crate) headroom: HeadroomBook,
     pub(crate) timers: TimerQueue,
     pub(crate) outbox: Vec<decision::Decision>,
     /// Grows with everything by which work may fit that did not before.
-    pub(crate) version: u64,
-    pub(crate) reserved_version: u64,
+    pub(crate) capacity_version: u64,
+    pub(crate) reservation_check_version: u64,
     /// Whether the last turn stopped at its bound.
-    pub(crate) leftover: bool,
+    pub(crate) budget_exhausted: bool,
     /// Whether something was learned since the last turn.
-    pub(crate) stirred: bool,
-    pub(crate) began: time::WallTime,
+    pub(crate) changed_since_round: bool,
+    pub(crate) created_at: time::WallTime,
     pub(crate) now: time::WallTime,
 }
 
@@ -84,8 +84,8 @@
         let mut core = HallCore {
             hall: hall.clone(),
             layout,
-            kinds: config.worker_kinds.clone(),
-            terms: PolicyTerms::new(&config),
+            worker_kinds: config.worker_kinds.clone(),
+            parameters: PolicyParameters::new(&config),
             capacity: HallCapacity::default(),
             catalog: RuleCatalog::default(),
             ledger: HallLedger::new(&topology),
@@ -97,21 +97,21 @@
             homes_dirty: true,
             homes_version: 0,
             config_number: 1,
-            restored_at: time::WallTime::default(),
+            homes_restored_at: time::WallTime::default(),
             health: topology.workers.iter().map(|_| WorkerHealth::new()).collect(),
-            strangers: BTreeMap::new(),
-            told: vec![model::WorkerState::Lost; topology.workers.len()],
+            unlisted_health: BTreeMap::new(),
+            reported_states: vec![model::WorkerState::Lost; topology.workers.len()],
             failures: crate::probing::FailureRates::default(),
             estimates: EstimateTable::default(),
-            uses: Vec::new(),
+            account_usage: Vec::new(),
             headroom: HeadroomBook::default(),
             timers: TimerQueue::default(),
             outbox: Vec::new(),
-            version: 1,
-            reserved_version: 0,
-            leftover: false,
-            stirred: true,
-            began: now,
+            capacity_version: 1,
+            reservation_check_version: 0,
+            budget_exhausted: false,
+            changed_since_round: true,
+            created_at: now,
             now,
             topology,
         };
@@ -129,30 +129,30 @@
         let all_homes = homes::assign(&config)?;
         self.now = now;
         self.all_homes = all_homes;
-        if layout != self.layout || config.worker_kinds != self.kinds {
+        if layout != self.layout || config.worker_kinds != self.worker_kinds {
             self.layout = layout;
-            self.kinds = config.worker_kinds.clone();
+            self.worker_kinds = config.worker_kinds.clone();
             self.rebuild();
         }
         self.config_number += 1;
-        self.terms = PolicyTerms::new(&config);
+        self.parameters = PolicyParameters::new(&config);
         self.adopt_rules(&config);
         self.rebook_all();
         self.queue.unblock();
-        self.bump();
+        self.note_capacity_change();
         Ok(())
     }
 
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime) {
         self.now = now;
-        self.stirred = true;
-        self.take_in(event);
+        self.changed_since_round = true;
+        self.handle_event(event);
     }
 
     fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         self.now = now;
-        self.leftover = false;
-        self.stirred = false;
+        self.budget_exhausted = false;
+        self.changed_since_round = false;
         self.fire_timers();
         self.tell_workers();
         self.keep_homes();
@@ -166,7 +166,7 @@
     }
 
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
-        if self.leftover || self.stirred || !self.outbox.is_empty() {
+        if self.budget_exhausted || self.changed_since_round || !self.outbox.is_empty() {
             return Some(now);
         }
         self.timers.next()
@@ -190,7 +190,7 @@
     /// Takes classes, accounts, drains and guarantees from a configuration.
     fn adopt_rules(&mut self, config: &model::ConfigDocument) {
         self.catalog.configure(&self.hall, config);
-        self.uses.resize(self.catalog.accounts.len(), AccountUse::default());
+        self.account_usage.resize(self.catalog.accounts.len(), AccountUse::default());
         for (worker, health) in self.health.iter_mut().enumerate() {
             let spec = &self.topology.workers[worker];
             let named = |it: &model::DrainOrder| {
@@ -219,7 +219,7 @@
             self.withdraw(it);
         }
         self.leave_homes();
-        self.topology = HallTopology::new(&self.layout, &self.kinds);
+        self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
         let mut moved: Vec<u32> = Vec::with_capacity(old.workers.len());
         for spec in &old.workers {
             let index = self.topology.find(&spec.name);
@@ -234,16 +234,17 @@
             });
         }
         self.ledger = HallLedger::new(&self.topology);
-        let strangers = &mut self.strangers;
-        let known = |it: &WorkerSpec| strangers.remove(&it.name).unwrap_or_else(WorkerHealth::new);
+        let unlisted_health = &mut self.unlisted_health;
+        let known =
+            |it: &WorkerSpec| unlisted_health.remove(&it.name).unwrap_or_else(WorkerHealth::new);
         self.health = self.topology.workers.iter().map(known).collect();
-        self.told = vec![model::WorkerState::Lost; self.health.len()];
+        self.reported_states = vec![model::WorkerState::Lost; self.health.len()];
         for (index, health) in old_health.into_iter().enumerate() {
             if moved[index] != NONE {
-                self.told[moved[index] as usize] = health.state(self.now);
+                self.reported_states[moved[index] as usize] = health.state(self.now);
                 self.health[moved[index] as usize] = health;
             } else {
-                self.strangers.insert(old.workers[index].name.clone(), health);
+                self.unlisted_health.insert(old.workers[index].name.clone(), health);
             }
         }
         self.rebook_moved(&old, &moved);
@@ -300,9 +301,9 @@
     }
 
     /// Notes that work may fit that did not before.
-    pub(crate) fn bump(&mut self) {
-        self.version += 1;
-        self.stirred = true;
+    pub(crate) fn note_capacity_change(&mut self) {
+        self.capacity_version += 1;
+        self.changed_since_round = true;
     }
 
     /// Looks at an item again at a time.
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::core::HallCore;
-use crate::decision::{Decision, StopFate};
+use crate::decision::{AfterStop, Decision};
 use crate::item::ItemState;
 use crate::reasons;
 use crate::timers::TimerKind;
@@ -27,7 +27,7 @@
         if !rule.request {
             let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
             let throttle = item.saved_at + left(rule.max_run);
-            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.terms.overrun));
+            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun));
             let saves = rule.checkpoint;
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
@@ -45,13 +45,13 @@
         for _ in 0..TIMERS_A_TURN {
             let Some(it) = self.timers.pop(self.now) else { return };
             if it.item == NONE {
-                self.version += 1;
+                self.capacity_version += 1;
                 self.homes_dirty |= it.kind == TimerKind::Capacity;
             } else if self.items.get(it.item, it.generation).is_some() {
                 self.fire(it.item, it.kind);
             }
         }
-        self.leftover = true;
+        self.budget_exhausted = true;
     }
 
     fn fire(&mut self, index: u32, kind: TimerKind) {
@@ -59,7 +59,7 @@
         match (kind, item.state) {
             // A timer of an earlier attempt must not cut this checkpoint short.
             (TimerKind::Grace, ItemState::Checkpointing) if item.stop_by <= self.now => {
-                self.stop(index, item.fate, reasons::grace_over());
+                self.stop(index, item.after_stop, reasons::grace_over());
             }
             (TimerKind::Throttle, ItemState::Running) => self.throttle(index),
             (TimerKind::Save, ItemState::Running) => self.save(index),
@@ -75,7 +75,7 @@
     fn save(&mut self, index: u32) {
         let item = self.items.at(index);
         let interval = if self.urgent_about() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
-        let due = item.saved_at.max(item.asked_at) + interval;
+        let due = item.saved_at.max(item.checkpoint_requested_at) + interval;
         if self.now < due {
             // Urgent work may come before the long interval is over.
             let next = due.min(self.now + EXPOSED_INTERVAL);
@@ -84,7 +84,7 @@
         }
         let work = item.work.work;
         let now = self.now;
-        self.items.at_mut(index).asked_at = now;
+        self.items.at_mut(index).checkpoint_requested_at = now;
         let reason = reasons::saved();
         self.outbox.push(Decision::Checkpoint { work, stop_by: None, reason });
         self.set_timer(now + EXPOSED_INTERVAL, TimerKind::Save, index);
@@ -106,12 +106,12 @@
     fn overrun(&mut self, index: u32) {
         let total = self.total_run(index);
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if total < rule.max_run.mul_f64(self.terms.overrun) {
+        if total < rule.max_run.mul_f64(self.parameters.overrun) {
             return;
         }
         let reason = reasons::overran(rule);
         self.items.at_mut(index).overran = true;
-        self.wind_down(index, self.terms.grace, StopFate::End, reason);
+        self.wind_down(index, self.parameters.grace, AfterStop::End, reason);
     }
 
     /// Run time over all attempts that counts.
@@ -139,7 +139,7 @@
                 }
             }
             ItemState::Running if rule.repeatable && !rule.request && deadline <= self.now => {
-                self.stop(index, StopFate::End, reasons::deadline(deadline, Duration::ZERO));
+                self.stop(index, AfterStop::End, reasons::deadline(deadline, Duration::ZERO));
             }
             _ => {}
         }
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -30,7 +30,7 @@
         /// The work.
         work: work::WorkId,
         /// What becomes of it afterwards.
-        fate: StopFate,
+        after_stop: AfterStop,
         /// Why.
         reason: model::WaitReason,
     },
@@ -81,7 +81,7 @@
 
 /// What becomes of work once it is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopFate {
+pub enum AfterStop {
     /// It waits again, with its age and checkpoint.
     Requeue,
     /// It is over.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -43,7 +43,7 @@
     /// Priority with ageing.
     pub(crate) fn level(&self, item: &QueueItem, priority: u8) -> u64 {
         let waited = self.now.since(item.work.submitted_at);
-        let steps = waited.as_millis() / self.terms.ageing_step.as_millis().max(1);
+        let steps = waited.as_millis() / self.parameters.ageing_step.as_millis().max(1);
         (u64::from(priority) + steps as u64).min(HIGHEST_LEVEL.max(u64::from(priority)))
     }
 
@@ -55,7 +55,7 @@
         Some(GroupRank {
             not_urgent: !rule.urgent,
             level: Reverse(self.level(item, rule.priority)),
-            share: self.uses[group.key.account as usize].dominant(&self.capacity),
+            share: self.account_usage[group.key.account as usize].dominant(&self.capacity),
             eldest,
         })
     }
@@ -75,7 +75,9 @@
     /// Starts what fits, in order, within the bound of a turn.
     pub(crate) fn dispatch(&mut self) {
         let fresh = |it: &u32| {
-            self.queue.group(*it).is_some_and(|group| group.blocked_at != Some(self.version))
+            self.queue
+                .group(*it)
+                .is_some_and(|group| group.blocked_at != Some(self.capacity_version))
         };
         let mut heap: BinaryHeap<Reverse<(GroupRank, u32)>> = self
             .queue
@@ -88,7 +90,7 @@
         let mut starts = 0;
         while let Some(Reverse((rank, group))) = heap.pop() {
             if STEPS_A_TURN <= steps || STARTS_A_TURN <= starts {
-                self.leftover = true;
+                self.budget_exhausted = true;
                 return;
             }
             // Shares grow with each start of the turn.
@@ -135,7 +137,7 @@
         if self.gives_up(group) {
             return true;
         }
-        let version = self.version;
+        let version = self.capacity_version;
         if let Some(it) = self.queue.group_mut(group) {
             it.blocked_at = Some(version);
             it.block = code;
@@ -172,7 +174,7 @@
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let account = &self.catalog.accounts[item.account as usize];
-        let uses = &self.uses[item.account as usize];
+        let uses = &self.account_usage[item.account as usize];
         if !rule.known {
             return Some(model::WaitCode::UnknownClass);
         }
@@ -243,7 +245,7 @@
     /// for all urgent work that waits. Short runs end all the time; stopping a long one for each
     /// piece of a burst would lose much work for nothing.
     fn opens_soon(&mut self, index: u32) -> bool {
-        let patience = self.submitted(index) + self.terms.urgent_start / URGENT_PATIENCE;
+        let patience = self.submitted(index) + self.parameters.urgent_start / URGENT_PATIENCE;
         if patience <= self.now || 1 < self.items.at(index).width() {
             return false;
         }
@@ -277,7 +279,7 @@
         }
         let rule = crate::urgent::UrgentRule::new(self, index);
         let starts: Vec<u32> = (0..self.topology.n_accelerators()).collect();
-        let grace = self.terms.urgent_grace();
+        let grace = self.parameters.urgent_grace();
         let Some(tasks) = reclaim::cheapest(self, &ask, &rule, &starts, grace) else {
             return false;
         };
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
+use crate::decision::AfterStop;
 use crate::event::{HallEvent, StartFault, WorkExit};
 use crate::health::WorkerHealth;
 use crate::item::{ItemState, QueueItem};
@@ -16,7 +16,7 @@
 
 impl HallCore {
     /// Learns of an event.
-    pub(crate) fn take_in(&mut self, event: HallEvent) {
+    pub(crate) fn handle_event(&mut self, event: HallEvent) {
         match event {
             HallEvent::Arrived(item) => self.arrive(item),
             HallEvent::Adopted { item, placement, started_at } => {
@@ -72,7 +72,7 @@
         }
         let class = self.catalog.class(&work.class, 0 < work.demand.slots);
         let account = self.catalog.account(&work.account);
-        self.uses.resize(self.catalog.accounts.len(), Default::default());
+        self.account_usage.resize(self.catalog.accounts.len(), Default::default());
         let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find(it));
         let mut failed_on = failed_on.collect::<Vec<_>>();
         failed_on.sort_unstable();
@@ -82,28 +82,28 @@
             class,
             account,
             state: ItemState::Waiting,
-            since: self.now,
+            state_since: self.now,
             tasks: Vec::new(),
             booking: Booking::Soft,
-            claim: None,
+            claimed_home: None,
             started_at,
             saved_at: started_at,
-            opening: self.now,
+            expected_free_at: self.now,
             stop_by: self.now,
             urgent_width: 0,
-            asked_at: started_at,
-            fate: StopFate::Requeue,
-            begun: false,
-            ran: 0 < work.attempt,
+            checkpoint_requested_at: started_at,
+            after_stop: AfterStop::Requeue,
+            start_reported: false,
+            ever_started: 0 < work.attempt,
             cancelled: false,
             throttled: false,
             overran: false,
             failed_on,
             failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
             exclude,
-            presses: false,
-            end: None,
-            reclaimed: 0,
+            chosen_overdue: false,
+            end_reason: None,
+            n_reclaims: 0,
             work,
         })
     }
@@ -125,8 +125,8 @@
         let tasks: Vec<HeldTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
         let index = self.insert(work, started_at);
         let item = self.items.at_mut(index);
-        item.begun = true;
-        item.ran = true;
+        item.start_reported = true;
+        item.ever_started = true;
         let booking = self.booking_of(index);
         self.hold(index, tasks, booking, None);
         let item = self.items.at_mut(index);
@@ -166,20 +166,20 @@
             ..Default::default()
         });
         self.health.push(WorkerHealth::new());
-        self.told.push(model::WorkerState::Lost);
+        self.reported_states.push(model::WorkerState::Lost);
         worker
     }
 
     fn cancel(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         item.cancelled = true;
-        item.fate = StopFate::End;
+        item.after_stop = AfterStop::End;
         match item.state {
             ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
                 self.finish_unrun(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
-                self.stop(index, StopFate::End, reasons::cancelled());
+                self.stop(index, AfterStop::End, reasons::cancelled());
             }
             ItemState::Stopping => {}
         }
@@ -188,17 +188,17 @@
     fn started(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
-        if !matches!(item.state, ItemState::Starting | ItemState::Stopping) || item.begun {
+        if !matches!(item.state, ItemState::Starting | ItemState::Stopping) || item.start_reported {
             return;
         }
-        item.begun = true;
-        item.ran = true;
+        item.start_reported = true;
+        item.ever_started = true;
         item.work.attempt += 1;
         item.started_at = now;
         item.saved_at = now;
         if item.state == ItemState::Starting {
             item.state = ItemState::Running;
-            item.since = now;
+            item.state_since = now;
             self.set_run_timers(index);
         }
     }
@@ -221,7 +221,7 @@
                 StartFault::Withdrawn => {}
             }
         }
-        if self.items.at(index).fate == StopFate::End && state == ItemState::Stopping {
+        if self.items.at(index).after_stop == AfterStop::End && state == ItemState::Stopping {
             let reason = self.end_reason(index);
             self.finish_unrun(index, reason);
             return;
@@ -243,8 +243,8 @@
         item.work.saved_run += now.since(item.saved_at);
         item.saved_at = now;
         if item.state == ItemState::Checkpointing {
-            let fate = item.fate;
-            self.stop(index, fate, reasons::checkpoint_kept());
+            let after_stop = item.after_stop;
+            self.stop(index, after_stop, reasons::checkpoint_kept());
         }
     }
 
@@ -254,7 +254,7 @@
             return;
         }
         // Unlike a failed start, an end says that some of it may have run.
-        item.ran = true;
+        item.ever_started = true;
         match exit {
             WorkExit::Succeeded => self.succeeded(index),
             WorkExit::Stopped => self.stopped(index),
@@ -273,7 +273,7 @@
         let Some(worker) = self.topology.find(name) else {
             // What is learned of a worker that the configuration does not have holds when it gets
             // it: a worker drained meanwhile must not take work then.
-            change(self.strangers.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
+            change(self.unlisted_health.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
             return;
         };
         let health = &mut self.health[worker as usize];
@@ -282,7 +282,7 @@
         if health.usable() != before {
             self.homes_dirty = true;
         }
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Capacity of what one task uses.
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -9,7 +9,7 @@
 
 impl HallCore {
     pub(crate) fn report_homes(&mut self, before: &[Vec<u32>]) {
-        let settling = self.now.since(self.began) < SETTLE_TIME;
+        let settling = self.now.since(self.created_at) < SETTLE_TIME;
         for home in 0..self.homes.len() as u32 {
             let now_settled = self.homes[home as usize].settled();
             let was = self.homes[home as usize].reported;
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -179,9 +179,9 @@
                 }
                 let item = self.items.at(holder);
                 let rule = &self.catalog.classes[item.class as usize];
-                let claims = item.claim == Some(home as u32);
+                let claims = item.claimed_home == Some(home as u32);
                 let stops = !rule.request && (rule.repeatable || item.cancelled || item.overran);
-                let ends = self.certain_end(item) <= now + self.terms.reclaim;
+                let ends = self.certain_end(item) <= now + self.parameters.reclaim;
                 if !(claims || stops || ends) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -59,29 +59,29 @@
     pub(crate) account: u32,
     pub(crate) state: ItemState,
     /// Since when it stands so.
-    pub(crate) since: time::WallTime,
+    pub(crate) state_since: time::WallTime,
     /// Where it is held or reserved.
     pub(crate) tasks: Vec<ledger::HeldTask>,
     pub(crate) booking: ledger::Booking,
     /// Home block that it claims.
-    pub(crate) claim: Option<u32>,
+    pub(crate) claimed_home: Option<u32>,
     pub(crate) started_at: time::WallTime,
     /// Run time saved up to this point of the attempt.
     pub(crate) saved_at: time::WallTime,
     /// When its place is expected to open, while reserving.
-    pub(crate) opening: time::WallTime,
+    pub(crate) expected_free_at: time::WallTime,
     /// Accelerators by which it counts as urgent use while held.
     pub(crate) urgent_width: u32,
     /// When a checkpoint of a run that goes on was last asked for.
-    pub(crate) asked_at: time::WallTime,
+    pub(crate) checkpoint_requested_at: time::WallTime,
     /// When the checkpoint under way is cut short.
     pub(crate) stop_by: time::WallTime,
     /// What becomes of it after the stop under way.
-    pub(crate) fate: decision::StopFate,
+    pub(crate) after_stop: decision::AfterStop,
     /// Whether this attempt was reported as started.
-    pub(crate) begun: bool,
+    pub(crate) start_reported: bool,
     /// Whether it ever started, so that `not run` would be untrue.
-    pub(crate) ran: bool,
+    pub(crate) ever_started: bool,
     pub(crate) cancelled: bool,
     pub(crate) throttled: bool,
     /// Stopped for an overrun; the reason of its end.
@@ -92,11 +92,11 @@
     /// Workers on which it must not start again.
     pub(crate) exclude: Vec<u32>,
     /// Whether its block was chosen when it was overdue already.
-    pub(crate) presses: bool,
+    pub(crate) chosen_overdue: bool,
     /// Why it ends, where a stop for good is under way.
-    pub(crate) end: Option<model::WaitReason>,
+    pub(crate) end_reason: Option<model::WaitReason>,
     /// Times it was a victim.
-    pub(crate) reclaimed: u32,
+    pub(crate) n_reclaims: u32,
 }
 
 impl QueueItem {
--- a/crates/policy/src/lending.rs
+++ b/crates/policy/src/lending.rs
@@ -52,10 +52,10 @@
     /// reclaimed. Work was admitted if it fits beside these places; homes that have moved about may
     /// leave no run for it, and nothing else would ever move them in a quiet hall.
     pub(crate) fn restore_homes(&mut self) -> bool {
-        if self.now < self.restored_at + STAYS {
+        if self.now < self.homes_restored_at + STAYS {
             return false;
         }
-        self.restored_at = self.now;
+        self.homes_restored_at = self.now;
         let moved: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
             .map(|it| (it, self.homes[it as usize].block.clone()))
             .filter(|(home, block)| {
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::model;
 
 use crate::core::HallCore;
-use crate::decision::{Decision, StopFate};
+use crate::decision::{AfterStop, Decision};
 use crate::item::ItemState;
 use crate::ledger::{Booking, HeldTask};
 use crate::queue::{GroupKey, QueueEntry};
@@ -46,9 +46,9 @@
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Waiting;
-        item.since = now;
+        item.state_since = now;
         self.queue.push(self.group_key(index), self.entry(index));
-        self.stirred = true;
+        self.changed_since_round = true;
     }
 
     /// Takes an item out of the queue.
@@ -69,7 +69,7 @@
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
         let width = item.width();
-        let account = &mut self.uses[item.account as usize];
+        let account = &mut self.account_usage[item.account as usize];
         account.accelerators += width;
         account.usage.add(usage.times(item.work.tasks));
         account.requests += u32::from(request);
@@ -92,7 +92,7 @@
         let item = self.items.at_mut(index);
         let tasks = std::mem::take(&mut item.tasks);
         let width = item.width();
-        let account = &mut self.uses[item.account as usize];
+        let account = &mut self.account_usage[item.account as usize];
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
         account.requests -= u32::from(request);
@@ -100,7 +100,7 @@
         item.urgent_width = 0;
         let booking = item.booking;
         self.ledger.release(index, &tasks, usage, booking);
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Starts an item that is in no queue and reserves nothing.
@@ -121,11 +121,11 @@
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Starting;
-        item.since = now;
-        item.begun = false;
+        item.state_since = now;
+        item.start_reported = false;
         item.started_at = now;
         item.saved_at = now;
-        item.fate = StopFate::Requeue;
+        item.after_stop = AfterStop::Requeue;
         item.throttled = false;
         let work = item.work.work;
         self.outbox.push(Decision::Start { work, placement, reason });
@@ -145,17 +145,17 @@
     }
 
     /// Orders a whole gang to stop at once.
-    pub(crate) fn stop(&mut self, index: u32, fate: StopFate, reason: model::WaitReason) {
+    pub(crate) fn stop(&mut self, index: u32, after_stop: AfterStop, reason: model::WaitReason) {
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Stopping;
-        item.since = now;
-        item.fate = fate;
-        if fate == StopFate::End && item.end.is_none() {
-            item.end = Some(reason.clone());
+        item.state_since = now;
+        item.after_stop = after_stop;
+        if after_stop == AfterStop::End && item.end_reason.is_none() {
+            item.end_reason = Some(reason.clone());
         }
         let work = item.work.work;
-        self.outbox.push(Decision::Stop { work, fate, reason });
+        self.outbox.push(Decision::Stop { work, after_stop, reason });
     }
 
     /// Asks a gang for a checkpoint within a grace, where it can make one, and then stops it.
@@ -163,24 +163,24 @@
         &mut self,
         index: u32,
         grace: Duration,
-        fate: StopFate,
+        after_stop: AfterStop,
         reason: model::WaitReason,
     ) {
         let item = self.items.at(index);
         let able = self.catalog.classes[item.class as usize].checkpoint;
         if item.state != ItemState::Running || !able || grace.is_zero() {
-            self.stop(index, fate, reason);
+            self.stop(index, after_stop, reason);
             return;
         }
         let stop_by = self.now + grace;
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Checkpointing;
-        item.since = now;
+        item.state_since = now;
         item.stop_by = stop_by;
-        item.fate = fate;
-        if fate == StopFate::End {
-            item.end = Some(reason.clone());
+        item.after_stop = after_stop;
+        if after_stop == AfterStop::End {
+            item.end_reason = Some(reason.clone());
         }
         let work = item.work.work;
         let stop_by = Some(stop_by);
@@ -203,7 +203,7 @@
             let now = self.now;
             let item = self.items.at_mut(index);
             item.state = ItemState::Delayed;
-            item.since = now;
+            item.state_since = now;
             self.set_timer(now + wait, TimerKind::Retry, index);
         }
         self.check_deadline(index);
@@ -211,12 +211,12 @@
 
     /// Why an item ends whose stop was ordered.
     pub(crate) fn end_reason(&self, index: u32) -> model::WaitReason {
-        self.items.at(index).end.clone().unwrap_or_else(reasons::cancelled)
+        self.items.at(index).end_reason.clone().unwrap_or_else(reasons::cancelled)
     }
 
     /// Ends an item that holds nothing now: `not run` only where it never ran.
     pub(crate) fn finish_unrun(&mut self, index: u32, reason: model::WaitReason) {
-        let outcome = match self.items.at(index).ran {
+        let outcome = match self.items.at(index).ever_started {
             true => model::RequestOutcome::Failed,
             false => model::RequestOutcome::NotRun,
         };
@@ -254,11 +254,11 @@
         self.release(index);
         let item = self.items.at(index);
         let asked = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
-        if item.fate == StopFate::End && asked {
+        if item.after_stop == AfterStop::End && asked {
             let reason = self.end_reason(index);
             self.finish_unrun(index, reason);
         } else if asked || self.retries(index) {
-            self.items.at_mut(index).reclaimed += 1;
+            self.items.at_mut(index).n_reclaims += 1;
             self.requeue(index, Duration::ZERO, reasons::stopped());
         } else {
             self.finish(index, model::RequestOutcome::Unknown, reasons::stopped());
--- a/crates/policy/src/terms.rs
+++ b/crates/policy/src/parameters.rs
@@ -12,7 +12,7 @@
 
 /// Bounds and weights in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct PolicyTerms {
+pub(crate) struct PolicyParameters {
     pub(crate) reclaim: Duration,
     /// Time for a checkpoint that still leaves time for the stop.
     pub(crate) grace: Duration,
@@ -25,14 +25,14 @@
     pub(crate) fragmentation: f64,
 }
 
-impl PolicyTerms {
-    pub(crate) fn new(config: &model::ConfigDocument) -> PolicyTerms {
+impl PolicyParameters {
+    pub(crate) fn new(config: &model::ConfigDocument) -> PolicyParameters {
         let bounds = &config.bounds;
         let margin = STOP_MARGIN.min(bounds.reclaim.0 / 4);
         let weights = &config.objective;
         let sum = weights.completion_time + weights.fragmentation;
         let fragmentation = if 0.0 < sum { weights.fragmentation / sum } else { 0.5 };
-        PolicyTerms {
+        PolicyParameters {
             reclaim: bounds.reclaim.0,
             grace: bounds.checkpoint_grace.0.min(bounds.reclaim.0 - margin),
             margin,
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -33,7 +33,7 @@
             ItemState::Checkpointing => reasons::until(
                 model::WaitCode::Reclaiming,
                 "makes a checkpoint, and is stopped then",
-                item.since + self.terms.grace,
+                item.state_since + self.parameters.grace,
             ),
             ItemState::Stopping => reasons::plain(model::WaitCode::Reclaiming, "is being stopped"),
         }
@@ -54,7 +54,7 @@
     }
 
     fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
-        let opening = self.items.at(index).opening;
+        let opening = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(opening);
         match kind {
@@ -144,7 +144,7 @@
         let rule = &self.catalog.classes[item.class as usize];
         match code {
             model::WaitCode::AccountLimit => {
-                let uses = &self.uses[item.account as usize];
+                let uses = &self.account_usage[item.account as usize];
                 format!(
                     "{} is at its limit, with {} accelerators and {} running",
                     item.work.account,
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -123,7 +123,7 @@
             health.succeeded(work);
             if out && health.usable() {
                 self.homes_dirty = true;
-                self.version += 1;
+                self.capacity_version += 1;
             }
         }
     }
@@ -146,10 +146,10 @@
     pub(crate) fn tell_workers(&mut self) {
         for worker in 0..self.health.len() {
             let state = self.health[worker].state(self.now);
-            if state == self.told[worker] {
+            if state == self.reported_states[worker] {
                 continue;
             }
-            self.told[worker] = state;
+            self.reported_states[worker] = state;
             let reason = self.worker_reason(worker as u32, state);
             let worker = self.topology.workers[worker].name.clone();
             self.outbox.push(Decision::Worker { worker, state, reason });
@@ -214,7 +214,7 @@
         if health.quarantined_until.is_some_and(|it| it + PROBE_PATIENCE <= self.now) {
             health.release();
             self.homes_dirty = true;
-            self.bump();
+            self.note_capacity_change();
         }
     }
 
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::model;
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
+use crate::decision::AfterStop;
 use crate::item::{ItemState, QueueItem, ReserveKind};
 use crate::ledger::HeldTask;
 use crate::placement::{self, PlaceAsk, PlaceRule};
@@ -130,10 +130,10 @@
         }
         let rule = &self.catalog.classes[item.class as usize];
         // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.terms.grace <= grace;
+        let saves = rule.checkpoint && self.parameters.grace <= grace;
         let lost =
             if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
-        let repeat = 1.0 + REPEAT_COST * f64::from(item.reclaimed);
+        let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
         let width = f64::from(item.width().max(1));
         (lost + width * RESTART_COST + STOP_COST) * repeat * weight
@@ -142,8 +142,8 @@
     /// Sends away whoever is in the place reserved for an item.
     pub(crate) fn send_away(&mut self, index: u32, kind: ReserveKind) {
         let grace = match kind {
-            ReserveKind::Urgent => self.terms.urgent_grace(),
-            ReserveKind::Claim | ReserveKind::Clearing => self.terms.grace,
+            ReserveKind::Urgent => self.parameters.urgent_grace(),
+            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.grace,
         };
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
@@ -158,12 +158,12 @@
         // Requests and what is not repeatable end by themselves, within the bound.
         let stoppable = !rule.request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
-            if item.claim.is_some() {
+            if item.claimed_home.is_some() {
                 self.detach(victim);
                 let booking = self.booking_of(victim);
                 self.rebook(victim, booking);
             }
-            self.wind_down(victim, grace, StopFate::Requeue, reason);
+            self.wind_down(victim, grace, AfterStop::Requeue, reason);
         }
     }
 
@@ -203,11 +203,11 @@
             .filter(|it| !victims.contains(it) && !self.goes_anyway(*it))
             .filter(|it| {
                 let item = self.items.at(*it);
-                item.claim.is_none() && self.freeable(item)
+                item.claimed_home.is_none() && self.freeable(item)
             })
             .collect();
         others.sort_by(|a, b| {
-            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.terms.grace);
+            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
         others.dedup();
@@ -227,7 +227,7 @@
 
     fn reclaim_text(&self, index: u32) -> String {
         let item = self.items.at(index);
-        match item.claim {
+        match item.claimed_home {
             Some(home) => {
                 let label = self.homes[home as usize].label();
                 format!("its accelerators are reclaimed for guarantee {label}")
--- a/crates/policy/src/rehome.rs
+++ b/crates/policy/src/rehome.rs
@@ -73,9 +73,9 @@
         for it in homes {
             for claim in &it.claims {
                 let item = self.items.at_mut(*claim);
-                item.claim = None;
+                item.claimed_home = None;
                 let width = item.width();
-                self.uses[item.account as usize].claimed -= width;
+                self.account_usage[item.account as usize].claimed -= width;
                 if self.items.at(*claim).state.holds() {
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
@@ -104,13 +104,13 @@
         self.homes[home as usize].block = block;
         for it in holders.into_iter().filter(|it| *it != NONE) {
             let item = self.items.at(it);
-            if item.account == account && item.claim.is_none() && self.lies_in(it, home) {
+            if item.account == account && item.claimed_home.is_none() && self.lies_in(it, home) {
                 self.rebook(it, Booking::Claim);
                 self.attach(it, home);
             }
         }
         self.homes_version += 1;
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Whether all accelerators of held work lie in a home block, and no more of each worker is
@@ -129,7 +129,7 @@
 
     /// Notes a claim.
     pub(crate) fn attach(&mut self, index: u32, home: u32) {
-        self.items.at_mut(index).claim = Some(home);
+        self.items.at_mut(index).claimed_home = Some(home);
         let claims = &mut self.homes[home as usize].claims;
         if claims.contains(&index) {
             return;
@@ -137,16 +137,16 @@
         claims.push(index);
         let item = self.items.at(index);
         let width = item.width();
-        self.uses[item.account as usize].claimed += width;
+        self.account_usage[item.account as usize].claimed += width;
     }
 
     /// Forgets a claim.
     pub(crate) fn detach(&mut self, index: u32) {
         let item = self.items.at_mut(index);
-        let Some(home) = item.claim.take() else { return };
+        let Some(home) = item.claimed_home.take() else { return };
         let width = item.width();
         let account = item.account as usize;
-        self.uses[account].claimed -= width;
+        self.account_usage[account].claimed -= width;
         self.homes[home as usize].claims.retain(|it| *it != index);
     }
 
@@ -319,7 +319,7 @@
             }
             last = holder;
             let item = self.items.at(holder);
-            if self.freeable(item) || item.claim == Some(home) {
+            if self.freeable(item) || item.claimed_home == Some(home) {
                 return true;
             }
             let inside = |it: &u32| block.binary_search(it).is_ok();
@@ -356,7 +356,7 @@
         let cost = |it: &u32| {
             let item = self.items.at(*it);
             let own = item.account == shape.account;
-            if own && own_free { 0.0 } else { self.victim_cost(item, self.terms.grace) }
+            if own && own_free { 0.0 } else { self.victim_cost(item, self.parameters.grace) }
         };
         HomeCost {
             lost_work: holders.iter().map(cost).sum(),
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -43,13 +43,13 @@
         let item = self.items.at_mut(index);
         item.tasks = tasks;
         item.state = ItemState::Reserving(kind);
-        item.since = now;
-        item.opening = opening;
+        item.state_since = now;
+        item.expected_free_at = opening;
         self.reserving.insert(index);
         if let Some(home) = claim {
             self.attach(index, home);
         }
-        self.reserved_version = 0;
+        self.reservation_check_version = 0;
     }
 
     /// Gives the place up; the item is then in no queue.
@@ -59,7 +59,7 @@
         let tasks = std::mem::take(&mut self.items.at_mut(index).tasks);
         self.ledger.unreserve(index, &tasks, usage);
         self.reserving.remove(&index);
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Gives the place up and queues the item again.
@@ -102,15 +102,15 @@
                 return at;
             }
         }
-        self.now + self.terms.run_bound(self.terms.gang_wait)
+        self.now + self.parameters.run_bound(self.parameters.gang_wait)
     }
 
     /// Starts what has its whole place free, and sees to it that the rest goes on.
     pub(crate) fn check_reservations(&mut self) {
-        if self.reserved_version == self.version {
+        if self.reservation_check_version == self.capacity_version {
             return;
         }
-        self.reserved_version = self.version;
+        self.reservation_check_version = self.capacity_version;
         let all: Vec<u32> = self.reserving.iter().copied().collect();
         for index in all {
             // An earlier one of this round may have pushed it aside.
@@ -141,7 +141,7 @@
     /// have moved over a place after it was reserved; started there, the work would hold the
     /// guarantee up for its whole run.
     fn leaves_homes_alone(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claim.is_some() || self.booking_of(index) != Booking::Hard {
+        if self.items.at(index).claimed_home.is_some() || self.booking_of(index) != Booking::Hard {
             return true;
         }
         let outside = |it: &u32| self.ledger.home[*it as usize] == NONE;
@@ -158,7 +158,7 @@
     /// Whether work that can't be reclaimed leaves each worker, beside what of its kind runs there,
     /// the cores, memory and slots of the home blocks.
     fn spares_homes(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claim.is_some() || self.booking_of(index) != Booking::Hard {
+        if self.items.at(index).claimed_home.is_some() || self.booking_of(index) != Booking::Hard {
             return true;
         }
         let usage = self.usage_of(index);
@@ -180,7 +180,7 @@
     }
 
     fn start_reserved(&mut self, index: u32, kind: ReserveKind) {
-        let claim = self.items.at(index).claim;
+        let claim = self.items.at(index).claimed_home;
         let tasks = self.items.at(index).tasks.clone();
         self.unreserve(index);
         let reason = match (kind, claim) {
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -41,9 +41,11 @@
         let rule = &core.catalog.classes[item.class as usize];
         let estimate = core.estimate(item);
         let left = |whole: Duration| whole.saturating_sub(item.work.saved_run);
-        let bound = if rule.request { rule.max_run } else { core.terms.run_bound(rule.max_run) };
+        let bound =
+            if rule.request { rule.max_run } else { core.parameters.run_bound(rule.max_run) };
         // Where fragmentation counts more, only what is nearly sure to be gone in time goes in.
-        let likely = if 0.5 <= core.terms.fragmentation { estimate.high } else { estimate.median };
+        let likely =
+            if 0.5 <= core.parameters.fragmentation { estimate.high } else { estimate.median };
         OpenRule {
             core,
             index,
@@ -71,7 +73,7 @@
         // A gang past its bound is held up by no run that might outlast the opening.
         let end =
             if self.core.overdue(reserved_for) { self.certain_end } else { self.expected_end };
-        end <= gang.opening
+        end <= gang.expected_free_at
     }
 
     /// Whether something failed on the worker lately, or this very work did.
@@ -194,8 +196,8 @@
     /// Whether the holder can be sent away, or leaves by itself in time.
     fn takes(&self, holder: u32) -> bool {
         let item = self.core.items.at(holder);
-        let own = item.claim.is_some() && self.core.yields(holder, self.key);
-        (item.claim.is_none() || own) && self.core.freeable(item)
+        let own = item.claimed_home.is_some() && self.core.yields(holder, self.key);
+        (item.claimed_home.is_none() || own) && self.core.freeable(item)
     }
 }
 
@@ -212,7 +214,8 @@
         if !self.reclaims {
             return holder == NONE && reserved == NONE;
         }
-        let reservable = reserved == NONE || self.core.items.at(reserved).claim != Some(self.home);
+        let reservable =
+            reserved == NONE || self.core.items.at(reserved).claimed_home != Some(self.home);
         reservable && (holder == NONE || self.takes(holder))
     }
 
--- a/crates/policy/src/urgent.rs
+++ b/crates/policy/src/urgent.rs
@@ -28,7 +28,7 @@
         let rule = &core.catalog.classes[item.class as usize];
         let running = matches!(item.state, ItemState::Starting | ItemState::Running);
         running
-            && item.claim.is_none()
+            && item.claimed_home.is_none()
             && !rule.request
             && rule.repeatable
             && !rule.urgent
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use almondpass_policy::core::HallCore;
-use almondpass_policy::decision::{Decision, StopFate};
+use almondpass_policy::decision::{AfterStop, Decision};
 use almondpass_policy::event::{HallEvent, WorkExit};
 use almondpass_policy::scheduler::HallPolicy;
 use almondpass_policy::work;
@@ -325,7 +325,7 @@
     /// Whether a stop of this work was decided, to queue it again.
     pub fn reclaimed(&self, work: work::WorkId) -> bool {
         self.log.iter().any(|(_, it)| {
-            matches!(it, Decision::Stop { work: other, fate: StopFate::Requeue, .. } if *other == work)
+            matches!(it, Decision::Stop { work: other, after_stop: AfterStop::Requeue, .. } if *other == work)
         })
     }
 
--- a/crates/policy/tests/fuzz/oracle.rs
+++ b/crates/policy/tests/fuzz/oracle.rs
@@ -191,10 +191,10 @@
     }
 
     /// Judges a stop.
-    pub(crate) fn stop(&mut self, id: work::WorkId, fate: decision::StopFate) {
+    pub(crate) fn stop(&mut self, id: work::WorkId, after_stop: decision::AfterStop) {
         let class = self.class(&self.works[&id].item.class).clone();
         let case = self.works.get_mut(&id).expect("known work");
-        let keeps = fate == decision::StopFate::Requeue && !case.cancelled;
+        let keeps = after_stop == decision::AfterStop::Requeue && !case.cancelled;
         let lost = keeps && !class.repeatable && matches!(case.phase, Phase::Running(_));
         assert!(!lost, "{id} is not repeatable and was stopped to run again");
         case.stopping = true;
--- a/crates/policy/tests/fuzz/world.rs
+++ b/crates/policy/tests/fuzz/world.rs
@@ -594,10 +594,10 @@
                     self.plan(CHECKPOINT_TAKES, Due::Checkpoint { id: work, start });
                 }
             }
-            Decision::Stop { work, fate, .. } => {
+            Decision::Stop { work, after_stop, .. } => {
                 let start = self.oracle.works[&work].start;
                 assert!(oracle::holds(&self.oracle.works[&work]), "stop of idle {work}");
-                self.oracle.stop(work, fate);
+                self.oracle.stop(work, after_stop);
                 // A worker that died stops nothing; its lease lapses.
                 self.plan(STOP_TAKES, Due::Stop { id: work, start });
             }
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -36,8 +36,8 @@
                 .map_or("and go on".to_owned(), |it| format!("by {}s", it.since(START).as_secs()));
             format!("checkpoint #{} {by}: {}", work.as_u128(), reason.text)
         }
-        Decision::Stop { work, fate, reason } => {
-            format!("stop #{} ({fate:?}): {}", work.as_u128(), reason.text)
+        Decision::Stop { work, after_stop, reason } => {
+            format!("stop #{} ({after_stop:?}): {}", work.as_u128(), reason.text)
         }
         Decision::Throttle { work, reason } => {
             format!("throttle #{}: {}", work.as_u128(), reason.text)
