--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::catalog::ClassRule;
 use crate::core::HallCore;
 use crate::ledger::Usage;
-use crate::placement::{self, EmptyRule, PlaceAsk, PlaceRule};
+use crate::placement::{self, EmptyHallRule, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::rules::BlockRule;
 use crate::topology::NONE;
@@ -19,25 +19,25 @@
     usage: Usage,
 }
 
-impl PlaceRule for OutsideRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for OutsideRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         !self.homes[accelerator as usize] && self.core.topology.host(accelerator).rack != NONE
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         let spec = &self.core.topology.workers[worker as usize];
         if spec.rack == NONE {
             return 0;
         }
         let kept = Usage::share(spec, self.n_homes[worker as usize]);
-        Usage::capacity(spec).minus(kept).tasks(self.usage)
+        Usage::capacity(spec).minus(kept).max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
@@ -65,12 +65,12 @@
         if item.guarantee.is_some() {
             return self.check_claim(item, account);
         }
-        let ask = PlaceAsk::of(item);
-        let empty = EmptyRule { topology: &self.topology, usage: ask.usage };
-        if placement::best(&self.topology, &ask, &empty).is_none() {
+        let request = PlacementRequest::of(item);
+        let empty = EmptyHallRule { topology: &self.topology, usage: request.usage };
+        if placement::best(&self.topology, &request, &empty).is_none() {
             return Err(self.never_fits(item));
         }
-        self.check_outside(item, rule, account, &ask)
+        self.check_outside(item, rule, account, &request)
     }
 
     fn check_limit(&self, item: &work::WorkItem, account: u32) -> Result<(), model::WaitReason> {
@@ -123,16 +123,17 @@
 
     /// Whether the work fits a guarantee of its account as it is in an empty hall.
     fn fits_some_home(&self, item: &work::WorkItem, account: u32) -> bool {
-        let ask = PlaceAsk::of(item);
+        let request = PlacementRequest::of(item);
         self.homes.iter().any(|it| {
             let named = item.guarantee.as_ref().is_none_or(|name| *name == it.guarantee);
             let block = &it.canonical;
-            let rule = BlockRule { topology: &self.topology, block, ask: &ask, exclude: &[] };
+            let rule =
+                BlockRule { topology: &self.topology, block, request: &request, exclude: &[] };
             it.account == account
                 && named
-                && 0 < ask.total()
-                && ask.total() <= it.size
-                && placement::best(&self.topology, &ask, &rule).is_some()
+                && 0 < request.total_accelerators()
+                && request.total_accelerators() <= it.size
+                && placement::best(&self.topology, &request, &rule).is_some()
         })
     }
 
@@ -142,7 +143,7 @@
         item: &work::WorkItem,
         rule: &ClassRule,
         account: u32,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
     ) -> Result<(), model::WaitReason> {
         if !self.is_hard(rule) || self.fits_some_home(item, account) {
             return Ok(());
@@ -153,8 +154,8 @@
             homes[*it as usize] = true;
             n_homes[self.topology.worker_of[*it as usize] as usize] += 1;
         }
-        let rule = OutsideRule { core: self, homes, n_homes, usage: ask.usage };
-        if placement::best(&self.topology, ask, &rule).is_some() {
+        let rule = OutsideRule { core: self, homes, n_homes, usage: request.usage };
+        if placement::best(&self.topology, request, &rule).is_some() {
             return Ok(());
         }
         Err(never(format!(
--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -30,7 +30,7 @@
     if size == 0 {
         return Vec::new();
     }
-    let runs = placement::runs(topology, adjacency, allows);
+    let runs = placement::free_runs(topology, adjacency, allows);
     if adjacency == model::Adjacency::Any {
         return scattered(runs, size).into_iter().collect();
     }
@@ -60,10 +60,11 @@
         }
         let inside = size <= spec.accelerators;
         let step = if inside { size.next_power_of_two() } else { u32::MAX };
-        let mut at = spec.first;
-        while at < spec.end() {
+        let mut at = spec.first_accelerator;
+        while at < spec.accelerators_end() {
             let end = at + size;
-            let fits = run.start <= at && end <= run.end && (!inside || end <= spec.end());
+            let fits =
+                run.start <= at && end <= run.end && (!inside || end <= spec.accelerators_end());
             if fits {
                 starts.push(at);
             }
@@ -77,7 +78,7 @@
 fn unaligned(topology: &HallTopology, run: placement::FreeRun, size: u32) -> Option<u32> {
     (run.start..=run.end - size).find(|it| {
         let spec = topology.host(*it);
-        size <= spec.accelerators && it + size <= spec.end()
+        size <= spec.accelerators && it + size <= spec.accelerators_end()
     })
 }
 
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -5,8 +5,8 @@
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
 use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::ledger::{Booking, PlacedTask};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
 use crate::reasons;
 use crate::reclaim;
@@ -95,15 +95,15 @@
         let width = key.tasks * key.demand.accelerators;
         let homes: Vec<u32> =
             (0..self.homes.len() as u32).filter(|it| self.home_fits(*it, &key, width)).collect();
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         // What can't be reclaimed is as safe elsewhere, and would stand in the way of a claim of the
         // whole shape at home.
-        let hard = self.booking_of(index) == Booking::Hard;
+        let hard = self.booking_of(index) == Booking::NonReclaimable;
         if hard && key.guarantee.is_none() && self.place_open(index) {
             return true;
         }
         for home in &homes {
-            if let Some(tasks) = self.place_claim(index, *home, &ask, &key) {
+            if let Some(tasks) = self.place_claim(index, *home, &request, &key) {
                 return self.start_claim(index, *home, tasks, "home block is free");
             }
         }
@@ -113,7 +113,7 @@
             let most = self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
             if most
                 && self.move_to_free(*home, index)
-                && let Some(tasks) = self.place_claim(index, *home, &ask, &key)
+                && let Some(tasks) = self.place_claim(index, *home, &request, &key)
             {
                 return self.start_claim(index, *home, tasks, "block was moved to a free one");
             }
@@ -121,10 +121,10 @@
         if key.guarantee.is_none() && !hard && self.place_open(index) {
             return true;
         }
-        homes.iter().any(|it| self.reclaim_home(index, *it, &ask, &key))
+        homes.iter().any(|it| self.reclaim_home(index, *it, &request, &key))
     }
 
-    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<HeldTask>, how: &str) -> bool {
+    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, how: &str) -> bool {
         let reason = self.claim_reason(home, how);
         self.dequeue(index);
         self.start(index, tasks, Some(home), reason);
@@ -141,20 +141,26 @@
         &self,
         index: u32,
         home: u32,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         key: &GroupKey,
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let exclude = &self.items.at(index).exclude;
-        let rule = ClaimRule { core: self, home, key, ask, reclaims: false, exclude };
-        placement::best(&self.topology, ask, &rule)
+        let rule = ClaimRule { core: self, home, key, request, reclaims: false, exclude };
+        placement::best(&self.topology, request, &rule)
     }
 
     /// Reserves the cheapest place in the home block and sends away whoever is there.
-    fn reclaim_home(&mut self, index: u32, home: u32, ask: &PlaceAsk, key: &GroupKey) -> bool {
+    fn reclaim_home(
+        &mut self,
+        index: u32,
+        home: u32,
+        request: &PlacementRequest,
+        key: &GroupKey,
+    ) -> bool {
         self.move_to_cheaper(home, index);
         let exclude = &self.items.at(index).exclude;
-        let rule = ClaimRule { core: self, home, key, ask, reclaims: true, exclude };
-        let Some(tasks) = self.cheapest_place(ask, &rule, home) else { return false };
+        let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
+        let Some(tasks) = self.cheapest_place(request, &rule, home) else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Claim, Some(home));
         self.send_away(index, ReserveKind::Claim);
@@ -163,11 +169,11 @@
 
     fn cheapest_place(
         &self,
-        ask: &PlaceAsk,
-        rule: &impl PlaceRule,
+        request: &PlacementRequest,
+        rule: &impl PlacementRule,
         home: u32,
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let block = &self.homes[home as usize].block;
-        reclaim::cheapest(self, ask, rule, block, self.parameters.grace)
+        reclaim::cheapest_placement(self, request, rule, block, self.parameters.grace)
     }
 }
--- a/crates/policy/src/clearing.rs
+++ b/crates/policy/src/clearing.rs
@@ -13,8 +13,8 @@
 use crate::core::HallCore;
 use crate::decision::AfterStop;
 use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask, Usage};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::ledger::{Booking, PlacedTask, Usage};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
 use crate::reasons;
 use crate::reserve;
@@ -43,19 +43,19 @@
     exclude: &'a [u32],
 }
 
-impl PlaceRule for ClearRule<'_> {
-    fn opens(&self, worker: u32) -> bool {
+impl PlacementRule for ClearRule<'_> {
+    fn allows_worker(&self, worker: u32) -> bool {
         let others = &self.core.ledger.workers[worker as usize].reservations;
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
             && others.iter().all(|it| self.overdue && self.goes_before(*it))
     }
 
-    fn allows(&self, accelerator: u32) -> bool {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         let worker = self.core.topology.worker_of[at];
-        let reserved = ledger.reserved[at];
+        let reserved = ledger.reserved_for[at];
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
             && (!self.hard || ledger.home[at] == NONE)
@@ -65,19 +65,19 @@
                 || self.core.items.at(ledger.holder[at]).claimed_home.is_none())
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         let spec = &self.core.topology.workers[worker as usize];
         let book = &self.core.ledger.workers[worker as usize];
         let whole = Usage::capacity(spec);
         let kept = if self.hard { book.home_accelerators } else { 0 };
-        whole.minus(Usage::share(spec, kept)).tasks(self.usage)
+        whole.minus(Usage::share(spec, kept)).max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
@@ -136,7 +136,9 @@
             searches += 1;
             if self.clear_block(entry.item) {
                 n_clearing += 1;
-            } else if self.overdue(entry.item) && self.booking_of(entry.item) == Booking::Hard {
+            } else if self.overdue(entry.item)
+                && self.booking_of(entry.item) == Booking::NonReclaimable
+            {
                 self.restore_homes();
             }
         }
@@ -147,24 +149,24 @@
 
     fn clear_block(&mut self, index: u32) -> bool {
         let item = self.items.at(index);
-        let ask = PlaceAsk::of(&item.work);
+        let request = PlacementRequest::of(&item.work);
         let rule = ClearRule {
             core: self,
             index,
-            usage: ask.usage,
-            hard: self.booking_of(index) == Booking::Hard,
+            usage: request.usage,
+            hard: self.booking_of(index) == Booking::NonReclaimable,
             homes_only: self.crowds(index) && !self.overdue(index),
             overdue: self.overdue(index),
             exclude: &item.exclude,
         };
-        let ends = if ask.width == 0 { Vec::new() } else { self.ends(index) };
-        let scattered = 1 < ask.tasks && ask.adjacency == model::Adjacency::Any;
-        let found = if ask.width == 0 {
-            self.earliest_bare(&ask, &rule)
+        let ends = if request.accelerators_per_task == 0 { Vec::new() } else { self.ends(index) };
+        let scattered = 1 < request.tasks && request.adjacency == model::Adjacency::Any;
+        let found = if request.accelerators_per_task == 0 {
+            self.earliest_bare(&request, &rule)
         } else if scattered {
-            self.earliest_scattered(&ask, &rule, &ends)
+            self.earliest_scattered(&request, &rule, &ends)
         } else {
-            self.earliest_run(&ask, &rule, &ends)
+            self.earliest_run(&request, &rule, &ends)
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
@@ -200,16 +202,21 @@
 
     fn earliest_run(
         &self,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         rule: &ClearRule<'_>,
         ends: &[time::WallTime],
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let mut starts = Vec::new();
         let mut best: Option<ClearScore> = None;
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
-            let inner = if ask.total() < spec.accelerators { spec.end() } else { spec.first + 1 };
-            for start in spec.first..inner {
-                let Some(end) = placement::walk(&self.topology, ask, rule, start, &mut starts)
+            let inner = if request.total_accelerators() < spec.accelerators {
+                spec.accelerators_end()
+            } else {
+                spec.first_accelerator + 1
+            };
+            for start in spec.first_accelerator..inner {
+                let Some(end) =
+                    placement::place_run_at(&self.topology, request, rule, start, &mut starts)
                 else {
                     continue;
                 };
@@ -226,8 +233,8 @@
                 }
             }
         }
-        placement::walk(&self.topology, ask, rule, best?.start, &mut starts)?;
-        Some(placement::held(&self.topology, ask.width, &starts))
+        placement::place_run_at(&self.topology, request, rule, best?.start, &mut starts)?;
+        Some(placement::placed_tasks(&self.topology, request.accelerators_per_task, &starts))
     }
 
     /// Accelerators of a run that lie beside home blocks.
@@ -237,61 +244,75 @@
     }
 
     /// Workers whose cores, memory and slots are expected to be free first.
-    fn earliest_bare(&self, ask: &PlaceAsk, rule: &ClearRule<'_>) -> Option<Vec<HeldTask>> {
-        let together = ask.adjacency == model::Adjacency::Worker;
+    fn earliest_bare(
+        &self,
+        request: &PlacementRequest,
+        rule: &ClearRule<'_>,
+    ) -> Option<Vec<PlacedTask>> {
+        let together = request.adjacency == model::Adjacency::Worker;
         let mut places: Vec<(time::WallTime, u32)> = Vec::new();
         for worker in 0..self.topology.workers.len() as u32 {
-            let most = if rule.opens(worker) { rule.room(worker).min(ask.tasks) } else { 0 };
-            let steps = if together { ask.tasks..=most } else { 1..=most };
-            let at = |n: u32| (self.usage_opening(worker, ask.usage.times(n)), worker);
+            let most = if rule.allows_worker(worker) {
+                rule.task_capacity(worker).min(request.tasks)
+            } else {
+                0
+            };
+            let steps = if together { request.tasks..=most } else { 1..=most };
+            let at = |n: u32| (self.usage_opening(worker, request.usage.times(n)), worker);
             places.extend(steps.map(at));
         }
         places.sort_unstable();
-        let task = |worker: u32| HeldTask { worker, accelerators: Vec::new() };
+        let task = |worker: u32| PlacedTask { worker, accelerators: Vec::new() };
         if together {
             let (_, worker) = places.first()?;
-            return Some(vec![task(*worker); ask.tasks as usize]);
+            return Some(vec![task(*worker); request.tasks as usize]);
         }
-        if ask.adjacency == model::Adjacency::Rack {
-            let rack = self.first_full_rack(ask, &places)?;
+        if request.adjacency == model::Adjacency::Rack {
+            let rack = self.first_full_rack(request, &places)?;
             places.retain(|(_, worker)| self.topology.workers[*worker as usize].rack == rack);
         }
-        let mut tasks: Vec<HeldTask> =
-            places.into_iter().take(ask.tasks as usize).map(|(_, it)| task(it)).collect();
+        let mut tasks: Vec<PlacedTask> =
+            places.into_iter().take(request.tasks as usize).map(|(_, it)| task(it)).collect();
         tasks.sort_by_key(|it| it.worker);
-        (tasks.len() as u32 == ask.tasks).then_some(tasks)
+        (tasks.len() as u32 == request.tasks).then_some(tasks)
     }
 
     /// The rack that first has room for all tasks.
-    fn first_full_rack(&self, ask: &PlaceAsk, places: &[(time::WallTime, u32)]) -> Option<u32> {
+    fn first_full_rack(
+        &self,
+        request: &PlacementRequest,
+        places: &[(time::WallTime, u32)],
+    ) -> Option<u32> {
         let mut counts = vec![0; self.topology.racks.len()];
         places.iter().find_map(|(_, worker)| {
             let rack = self.topology.workers[*worker as usize].rack;
             let count = counts.get_mut(rack as usize)?;
             *count += 1;
-            (*count == ask.tasks).then_some(rack)
+            (*count == request.tasks).then_some(rack)
         })
     }
 
     fn earliest_scattered(
         &self,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         rule: &ClearRule<'_>,
         ends: &[time::WallTime],
-    ) -> Option<Vec<HeldTask>> {
-        let single = PlaceAsk { tasks: 1, ..*ask };
+    ) -> Option<Vec<PlacedTask>> {
+        let single = PlacementRequest { tasks: 1, ..*request };
         let mut task = Vec::new();
         let mut places = Vec::new();
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
-            let mut start = spec.first;
-            while start + ask.width <= spec.end() {
-                if placement::walk(&self.topology, &single, rule, start, &mut task).is_none() {
+            let mut start = spec.first_accelerator;
+            while start + request.accelerators_per_task <= spec.accelerators_end() {
+                if placement::place_run_at(&self.topology, &single, rule, start, &mut task)
+                    .is_none()
+                {
                     start += 1;
                     continue;
                 }
-                let all = start as usize..(start + ask.width) as usize;
+                let all = start as usize..(start + request.accelerators_per_task) as usize;
                 places.push((ends[all].iter().copied().max().unwrap_or(self.now), start));
-                start += ask.width;
+                start += request.accelerators_per_task;
             }
         }
         places.sort_unstable();
@@ -299,24 +320,25 @@
         let mut chosen: Vec<u32> = Vec::new();
         for (_, start) in places {
             let worker = self.topology.worker_of[start as usize];
-            let full = ask.tasks <= chosen.len() as u32;
-            if !full && used[worker as usize] < rule.room(worker) {
+            let full = request.tasks <= chosen.len() as u32;
+            if !full && used[worker as usize] < rule.task_capacity(worker) {
                 used[worker as usize] += 1;
                 chosen.push(start);
             }
         }
         chosen.sort_unstable();
-        (chosen.len() as u32 == ask.tasks)
-            .then(|| placement::held(&self.topology, ask.width, &chosen))
+        (chosen.len() as u32 == request.tasks).then(|| {
+            placement::placed_tasks(&self.topology, request.accelerators_per_task, &chosen)
+        })
     }
 
     /// Looks again at a block that is being cleared: another place may be free, or its opening may
     /// have slipped.
     pub(crate) fn refresh_clearing(&mut self, index: u32) {
         let item = self.items.at(index);
-        let ask = PlaceAsk::of(&item.work);
+        let request = PlacementRequest::of(&item.work);
         let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
-        if let Some(tasks) = placement::best(&self.topology, &ask, &rule) {
+        if let Some(tasks) = placement::best(&self.topology, &request, &rule) {
             let reason = self.start_reason(&tasks);
             self.unreserve(index);
             self.start(index, tasks, None, reason);
@@ -379,7 +401,7 @@
         let item = self.items.at(index);
         let held = |it: &u32| self.ledger.holder[*it as usize] != NONE;
         let usage = self.usage_of(index);
-        let missing = |(worker, here): &(u32, &[HeldTask])| {
+        let missing = |(worker, here): &(u32, &[PlacedTask])| {
             let needed = usage.times(here.len() as u32);
             here.iter().flat_map(|it| &it.accelerators).any(held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -222,7 +222,7 @@
         self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
         let mut moved: Vec<u32> = Vec::with_capacity(old.workers.len());
         for spec in &old.workers {
-            let index = self.topology.find(&spec.name);
+            let index = self.topology.find_worker(&spec.name);
             let busy = !self.ledger.workers[moved.len()].items.is_empty();
             let lacks = index.is_none_or(|it| {
                 self.topology.workers[it as usize].accelerators < spec.accelerators
@@ -263,9 +263,9 @@
                 continue;
             }
             for task in &mut item.tasks {
-                let from = old.workers[task.worker as usize].first;
+                let from = old.workers[task.worker as usize].first_accelerator;
                 task.worker = moved[task.worker as usize];
-                let to = topology.workers[task.worker as usize].first;
+                let to = topology.workers[task.worker as usize].first_accelerator;
                 for it in &mut task.accelerators {
                     *it = *it - from + to;
                 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -10,8 +10,8 @@
 
 use crate::core::HallCore;
 use crate::item::{QueueItem, ReserveKind};
-use crate::ledger::{Booking, HeldTask};
-use crate::placement::{self, PlaceAsk};
+use crate::ledger::{Booking, PlacedTask};
+use crate::placement::{self, PlacementRequest};
 use crate::queue::{GroupKey, QueueEntry, QueueGroup};
 use crate::reasons;
 use crate::reclaim;
@@ -124,7 +124,7 @@
                 None if urgent && self.reclaim_urgent(entry.item) => return true,
                 None => {
                     code = self.blocked_by(entry.item);
-                    let hard = self.booking_of(entry.item) == Booking::Hard;
+                    let hard = self.booking_of(entry.item) == Booking::NonReclaimable;
                     if hard && !self.homes.is_empty() || self.kept_for_others(entry.item) {
                         self.look_again();
                     }
@@ -191,16 +191,16 @@
 
     /// Starts work in free capacity above the guarantee.
     pub(crate) fn place_open(&mut self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule::new(self, index);
-        let Some(tasks) = placement::best(&self.topology, &ask, &rule) else { return false };
+        let Some(tasks) = placement::best(&self.topology, &request, &rule) else { return false };
         let reason = self.start_reason(&tasks);
         self.dequeue(index);
         self.start(index, tasks, None, reason);
         true
     }
 
-    pub(crate) fn start_reason(&self, tasks: &[HeldTask]) -> model::WaitReason {
+    pub(crate) fn start_reason(&self, tasks: &[PlacedTask]) -> model::WaitReason {
         let first = &self.topology.workers[tasks[0].worker as usize].name;
         let mut workers: Vec<u32> = tasks.iter().map(|it| it.worker).collect();
         workers.dedup();
@@ -214,7 +214,7 @@
     /// The nearest reason for which free capacity does not do.
     fn blocked_by(&self, index: u32) -> model::WaitCode {
         let item = self.items.at(index);
-        if self.booking_of(index) == Booking::Hard && self.fits_in_homes(index) {
+        if self.booking_of(index) == Booking::NonReclaimable && self.fits_in_homes(index) {
             return model::WaitCode::GuaranteeKept;
         }
         let kept = self.kept_for_others(index) || !self.reserving.is_empty();
@@ -229,16 +229,16 @@
 
     /// Whether work that can't be reclaimed would fit if home blocks were open to it.
     fn fits_in_homes(&self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule { hard: false, homes_only: false, ..OpenRule::new(self, index) };
-        placement::best(&self.topology, &ask, &rule).is_some()
+        placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Whether work would fit if reserved places were open to it.
     fn fits_in_blocks(&self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule { keeps: false, homes_only: false, ..OpenRule::new(self, index) };
-        placement::best(&self.topology, &ask, &rule).is_some()
+        placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Whether enough accelerators are expected to be free within a part of the urgent start bound
@@ -264,7 +264,7 @@
 
     /// Makes room for work that may not run in home blocks, by moving one.
     fn lend(&mut self, index: u32) -> bool {
-        if self.booking_of(index) != Booking::Hard {
+        if self.booking_of(index) != Booking::NonReclaimable {
             return false;
         }
         self.lend_home() && self.place_open(index) || self.restore_homes() && self.place_open(index)
@@ -273,14 +273,14 @@
     /// Reserves a place for urgent work whose holders are repeatable, of lower priority and above
     /// their guarantee, where nothing opens by itself in time.
     fn reclaim_urgent(&mut self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
-        if ask.width == 0 {
+        let request = PlacementRequest::of(&self.items.at(index).work);
+        if request.accelerators_per_task == 0 {
             return false;
         }
         let rule = crate::urgent::UrgentRule::new(self, index);
         let starts: Vec<u32> = (0..self.topology.n_accelerators()).collect();
         let grace = self.parameters.urgent_grace();
-        let Some(tasks) = reclaim::cheapest(self, &ask, &rule, &starts, grace) else {
+        let Some(tasks) = reclaim::cheapest_placement(self, &request, &rule, &starts, grace) else {
             return false;
         };
         self.dequeue(index);
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -9,7 +9,7 @@
 use crate::event::{HallEvent, StartFault, WorkExit};
 use crate::health::WorkerHealth;
 use crate::item::{ItemState, QueueItem};
-use crate::ledger::{Booking, HeldTask, Usage};
+use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::{NONE, WorkerSpec};
 use crate::work;
@@ -25,7 +25,7 @@
             HallEvent::Cancelled(work) => self.with(&work, HallCore::cancel),
             HallEvent::Started(work) => self.with(&work, HallCore::started),
             HallEvent::StartFailed { work, worker, fault } => {
-                let worker = worker.and_then(|it| self.topology.find(&it));
+                let worker = worker.and_then(|it| self.topology.find_worker(&it));
                 self.with(&work, |core, it| core.start_failed(it, worker, fault));
             }
             HallEvent::Checkpointed(work) => self.with(&work, HallCore::checkpointed),
@@ -73,18 +73,18 @@
         let class = self.catalog.class(&work.class, 0 < work.demand.slots);
         let account = self.catalog.account(&work.account);
         self.account_usage.resize(self.catalog.accounts.len(), Default::default());
-        let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find(it));
+        let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find_worker(it));
         let mut failed_on = failed_on.collect::<Vec<_>>();
         failed_on.sort_unstable();
         failed_on.dedup();
-        let exclude = work.exclude.iter().filter_map(|it| self.topology.find(it)).collect();
+        let exclude = work.exclude.iter().filter_map(|it| self.topology.find_worker(it)).collect();
         self.items.insert(QueueItem {
             class,
             account,
             state: ItemState::Waiting,
             state_since: self.now,
             tasks: Vec::new(),
-            booking: Booking::Soft,
+            booking: Booking::Reclaimable,
             claimed_home: None,
             started_at,
             saved_at: started_at,
@@ -122,7 +122,7 @@
             self.dequeue(known);
             self.forget(known);
         }
-        let tasks: Vec<HeldTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
+        let tasks: Vec<PlacedTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
         let index = self.insert(work, started_at);
         let item = self.items.at_mut(index);
         item.start_reported = true;
@@ -135,15 +135,15 @@
         self.homes_dirty = true;
     }
 
-    fn adopted_task(&mut self, slot: &work::TaskSlot) -> HeldTask {
+    fn adopted_task(&mut self, slot: &work::TaskSlot) -> PlacedTask {
         let most = slot.accelerators.iter().max().map_or(0, |it| it + 1);
-        let known = self.topology.find(&slot.worker);
+        let known = self.topology.find_worker(&slot.worker);
         let worker = match known {
             Some(it) if most <= self.topology.workers[it as usize].accelerators => it,
             _ => self.add_removed_worker(&slot.worker, most),
         };
-        let first = self.topology.workers[worker as usize].first;
-        HeldTask { worker, accelerators: slot.accelerators.iter().map(|it| first + it).collect() }
+        let first = self.topology.workers[worker as usize].first_accelerator;
+        PlacedTask { worker, accelerators: slot.accelerators.iter().map(|it| first + it).collect() }
     }
 
     /// A worker on which work runs though the configuration does not have it.
@@ -151,7 +151,7 @@
         let worker = self.topology.push(WorkerSpec {
             name: name.to_owned(),
             rack: NONE,
-            first: 0,
+            first_accelerator: 0,
             accelerators,
             cores: 0,
             memory_mb: 0,
@@ -159,9 +159,9 @@
         });
         let n = self.topology.worker_of.len();
         self.ledger.holder.resize(n, NONE);
-        self.ledger.reserved.resize(n, NONE);
+        self.ledger.reserved_for.resize(n, NONE);
         self.ledger.home.resize(n, NONE);
-        self.ledger.workers.push(crate::ledger::WorkerBook {
+        self.ledger.workers.push(crate::ledger::WorkerLedger {
             free_accelerators: accelerators,
             ..Default::default()
         });
@@ -259,7 +259,7 @@
             WorkExit::Succeeded => self.succeeded(index),
             WorkExit::Stopped => self.stopped(index),
             WorkExit::Failed { worker } => {
-                let worker = self.topology.find(worker);
+                let worker = self.topology.find_worker(worker);
                 self.failed(index, worker);
             }
             WorkExit::Lost { worker } => {
@@ -270,7 +270,7 @@
     }
 
     fn worker_changed(&mut self, name: &str, change: impl FnOnce(&mut WorkerHealth)) {
-        let Some(worker) = self.topology.find(name) else {
+        let Some(worker) = self.topology.find_worker(name) else {
             // What is learned of a worker that the configuration does not have holds when it gets
             // it: a worker drained meanwhile must not take work then.
             change(self.unlisted_health.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
--- a/crates/policy/src/expectations.rs
+++ b/crates/policy/src/expectations.rs
@@ -63,7 +63,7 @@
     /// How an item that claims nothing is booked when it starts.
     pub(crate) fn booking_of(&self, index: u32) -> Booking {
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if self.is_hard(rule) { Booking::Hard } else { Booking::Soft }
+        if self.is_hard(rule) { Booking::NonReclaimable } else { Booking::Reclaimable }
     }
 
     /// Whether work of a class can be neither stopped nor awaited within the reclaim bound.
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -11,7 +11,7 @@
 use almondpass_schema::time;
 
 use crate::core::HallCore;
-use crate::ledger::{Booking, HeldTask};
+use crate::ledger::{Booking, PlacedTask};
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -83,7 +83,7 @@
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
                 free += i64::from(self.is_open(at));
-            } else if self.items.at(holder).booking == Booking::Hard {
+            } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 hard_held += 1;
             }
         }
@@ -125,7 +125,7 @@
     }
 
     /// Counts accelerators beside home blocks that a start takes.
-    pub(crate) fn spend(&mut self, index: u32, tasks: &[HeldTask]) {
+    pub(crate) fn spend(&mut self, index: u32, tasks: &[PlacedTask]) {
         let outside = |it: &&u32| self.ledger.home[**it as usize] == NONE;
         let n = tasks.iter().flat_map(|it| &it.accelerators).filter(outside).count() as i64;
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -123,7 +123,8 @@
     }
 
     fn longest(&self, adjacency: model::Adjacency) -> u32 {
-        let runs = crate::placement::runs(&self.topology, adjacency, |it| !self.taken[it as usize]);
+        let runs =
+            crate::placement::free_runs(&self.topology, adjacency, |it| !self.taken[it as usize]);
         runs.into_iter().map(|it| it.len()).max().unwrap_or(0)
     }
 
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -96,7 +96,7 @@
                     let spec = self.topology.host(*accelerator);
                     return Err(InvariantBreach::HeldTwice {
                         worker: spec.name.clone(),
-                        accelerator: accelerator - spec.first,
+                        accelerator: accelerator - spec.first_accelerator,
                         first: self.items.at(first).work.work,
                         second: item.work.work,
                     });
@@ -124,12 +124,12 @@
                 let n = item.tasks.iter().filter(|it| it.worker as usize == worker).count() as u32;
                 let here = Usage::of(&item.work.demand).times(n);
                 used.add(here);
-                if item.booking == Booking::Hard {
+                if item.booking == Booking::NonReclaimable {
                     hard.add(here);
                 }
             }
             let book = &self.ledger.workers[worker];
-            if book.free != Usage::capacity(spec).minus(used) || book.hard != hard {
+            if book.free != Usage::capacity(spec).minus(used) || book.non_reclaimable != hard {
                 let text = format!("{book:?} on {}, used {used:?}, hard {hard:?}", spec.name);
                 return Err(InvariantBreach::Ledger(text));
             }
@@ -200,7 +200,7 @@
     }
 
     fn check_share(&self, worker: u32, home: &str) -> Result<(), InvariantBreach> {
-        let room = self.ledger.hard_room(worker, &self.topology);
+        let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
         if room.covers(Usage::default()) {
             return Ok(());
         }
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -61,7 +61,7 @@
     /// Since when it stands so.
     pub(crate) state_since: time::WallTime,
     /// Where it is held or reserved.
-    pub(crate) tasks: Vec<ledger::HeldTask>,
+    pub(crate) tasks: Vec<ledger::PlacedTask>,
     pub(crate) booking: ledger::Booking,
     /// Home block that it claims.
     pub(crate) claimed_home: Option<u32>,
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -70,7 +70,7 @@
     }
 
     /// How many tasks of this demand fit.
-    pub(crate) fn tasks(self, demand: Usage) -> u32 {
+    pub(crate) fn max_tasks(self, demand: Usage) -> u32 {
         let fit = |have: i64, need: i64| if need == 0 { i64::from(u32::MAX) } else { have / need };
         fit(self.cores, demand.cores)
             .min(fit(self.memory_mb, demand.memory_mb))
@@ -81,7 +81,7 @@
 
 /// One task where it is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct HeldTask {
+pub(crate) struct PlacedTask {
     pub(crate) worker: u32,
     /// Accelerators by index in the hall.
     pub(crate) accelerators: Vec<u32>,
@@ -89,10 +89,10 @@
 
 /// What stands on one worker.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct WorkerBook {
+pub(crate) struct WorkerLedger {
     pub(crate) free: Usage,
     /// Used by work that can't be reclaimed in time and claims no home there.
-    pub(crate) hard: Usage,
+    pub(crate) non_reclaimable: Usage,
     /// Wanted by reservations.
     pub(crate) reserved: Usage,
     /// Work that reserves something here, once for each task.
@@ -108,9 +108,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Booking {
     /// Can be reclaimed within the bound.
-    Soft,
+    Reclaimable,
     /// Cannot.
-    Hard,
+    NonReclaimable,
     /// Claims the home block that it is in.
     Claim,
 }
@@ -121,24 +121,24 @@
     /// Work that holds each accelerator.
     pub(crate) holder: Vec<u32>,
     /// Work for which each accelerator is reserved.
-    pub(crate) reserved: Vec<u32>,
+    pub(crate) reserved_for: Vec<u32>,
     /// Home block in which each accelerator lies.
     pub(crate) home: Vec<u32>,
-    pub(crate) workers: Vec<WorkerBook>,
+    pub(crate) workers: Vec<WorkerLedger>,
 }
 
 impl HallLedger {
     /// A hall with nothing held.
     pub(crate) fn new(topology: &HallTopology) -> HallLedger {
         let n = topology.worker_of.len();
-        let book = |spec: &topology::WorkerSpec| WorkerBook {
+        let book = |spec: &topology::WorkerSpec| WorkerLedger {
             free: Usage::capacity(spec),
             free_accelerators: spec.accelerators,
-            ..WorkerBook::default()
+            ..WorkerLedger::default()
         };
         HallLedger {
             holder: vec![NONE; n],
-            reserved: vec![NONE; n],
+            reserved_for: vec![NONE; n],
             home: vec![NONE; n],
             workers: topology.workers.iter().map(book).collect(),
         }
@@ -148,7 +148,7 @@
     pub(crate) fn hold(
         &mut self,
         item: u32,
-        tasks: &[HeldTask],
+        tasks: &[PlacedTask],
         usage: Usage,
         booking: Booking,
     ) -> bool {
@@ -164,8 +164,8 @@
             book.free_accelerators -= it.accelerators.len() as u32;
             book.free.sub(usage);
             book.items.push(item);
-            if booking == Booking::Hard {
-                book.hard.add(usage);
+            if booking == Booking::NonReclaimable {
+                book.non_reclaimable.add(usage);
             }
         }
         true
@@ -175,7 +175,7 @@
     pub(crate) fn release(
         &mut self,
         item: u32,
-        tasks: &[HeldTask],
+        tasks: &[PlacedTask],
         usage: Usage,
         booking: Booking,
     ) {
@@ -189,30 +189,36 @@
             if let Some(at) = book.items.iter().position(|other| *other == item) {
                 book.items.swap_remove(at);
             }
-            if booking == Booking::Hard {
-                book.hard.sub(usage);
+            if booking == Booking::NonReclaimable {
+                book.non_reclaimable.sub(usage);
             }
         }
     }
 
     /// Changes how held work is booked.
-    pub(crate) fn rebook(&mut self, tasks: &[HeldTask], usage: Usage, from: Booking, to: Booking) {
+    pub(crate) fn rebook(
+        &mut self,
+        tasks: &[PlacedTask],
+        usage: Usage,
+        from: Booking,
+        to: Booking,
+    ) {
         for it in tasks {
             let book = &mut self.workers[it.worker as usize];
-            if from == Booking::Hard {
-                book.hard.sub(usage);
+            if from == Booking::NonReclaimable {
+                book.non_reclaimable.sub(usage);
             }
-            if to == Booking::Hard {
-                book.hard.add(usage);
+            if to == Booking::NonReclaimable {
+                book.non_reclaimable.add(usage);
             }
         }
     }
 
     /// Reserves accelerators and shares for work that will start there.
-    pub(crate) fn reserve(&mut self, item: u32, tasks: &[HeldTask], usage: Usage) {
+    pub(crate) fn reserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
         for it in tasks {
             for accelerator in &it.accelerators {
-                self.reserved[*accelerator as usize] = item;
+                self.reserved_for[*accelerator as usize] = item;
             }
             let book = &mut self.workers[it.worker as usize];
             book.reserved.add(usage);
@@ -221,10 +227,10 @@
     }
 
     /// Gives a reservation up.
-    pub(crate) fn unreserve(&mut self, item: u32, tasks: &[HeldTask], usage: Usage) {
+    pub(crate) fn unreserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
         for it in tasks {
             for accelerator in &it.accelerators {
-                self.reserved[*accelerator as usize] = NONE;
+                self.reserved_for[*accelerator as usize] = NONE;
             }
             let book = &mut self.workers[it.worker as usize];
             book.reserved.sub(usage);
@@ -251,12 +257,17 @@
     }
 
     /// What work that can't be reclaimed may still use of a worker, whatever else runs there now.
-    pub(crate) fn hard_room(&self, worker: u32, topology: &HallTopology) -> Usage {
-        self.hard_capacity(worker, topology).minus(self.workers[worker as usize].hard)
+    pub(crate) fn free_for_non_reclaimable(&self, worker: u32, topology: &HallTopology) -> Usage {
+        self.capacity_for_non_reclaimable(worker, topology)
+            .minus(self.workers[worker as usize].non_reclaimable)
     }
 
     /// What work that can't be reclaimed may use of a worker at most.
-    pub(crate) fn hard_capacity(&self, worker: u32, topology: &HallTopology) -> Usage {
+    pub(crate) fn capacity_for_non_reclaimable(
+        &self,
+        worker: u32,
+        topology: &HallTopology,
+    ) -> Usage {
         let spec = &topology.workers[worker as usize];
         let homes = self.workers[worker as usize].home_accelerators;
         Usage::capacity(spec).minus(Usage::share(spec, homes))
--- a/crates/policy/src/lending.rs
+++ b/crates/policy/src/lending.rs
@@ -95,10 +95,11 @@
             let at = it as usize;
             let holder = self.ledger.holder[at];
             // The account's own work would become its claim, and the home would be taken.
-            let lends = |it: &QueueItem| it.booking == Booking::Soft && it.account != shape.account;
+            let lends =
+                |it: &QueueItem| it.booking == Booking::Reclaimable && it.account != shape.account;
             let soft = holder == NONE || lends(self.items.at(holder));
             self.ledger.home[at] == NONE
-                && self.ledger.reserved[at] == NONE
+                && self.ledger.reserved_for[at] == NONE
                 && soft
                 && self.health[self.topology.worker_of[at] as usize].usable()
         };
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use crate::core::HallCore;
 use crate::decision::{AfterStop, Decision};
 use crate::item::ItemState;
-use crate::ledger::{Booking, HeldTask};
+use crate::ledger::{Booking, PlacedTask};
 use crate::queue::{GroupKey, QueueEntry};
 use crate::reasons;
 use crate::timers::TimerKind;
@@ -60,7 +60,7 @@
     pub(crate) fn hold(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         booking: Booking,
         claim: Option<u32>,
     ) {
@@ -107,7 +107,7 @@
     pub(crate) fn start(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         claim: Option<u32>,
         reason: model::WaitReason,
     ) {
@@ -132,13 +132,17 @@
     }
 
     /// Tasks as the scheduler knows them.
-    pub(crate) fn slots(&self, tasks: &[HeldTask]) -> Vec<work::TaskSlot> {
-        let slot = |(rank, it): (usize, &HeldTask)| {
+    pub(crate) fn slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
+        let slot = |(rank, it): (usize, &PlacedTask)| {
             let spec = &self.topology.workers[it.worker as usize];
             work::TaskSlot {
                 rank: rank as u32,
                 worker: spec.name.clone(),
-                accelerators: it.accelerators.iter().map(|it| it - spec.first).collect(),
+                accelerators: it
+                    .accelerators
+                    .iter()
+                    .map(|it| it - spec.first_accelerator)
+                    .collect(),
             }
         };
         tasks.iter().enumerate().map(slot).collect()
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -122,7 +122,7 @@
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
         let need = item.width();
-        let runs = placement::runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
+        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -200,7 +200,7 @@
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::runs(&self.topology, adjacency, |it| self.is_open(it));
+        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_open(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
@@ -252,7 +252,9 @@
         let spec = &self.topology.workers[worker];
         let book = &self.ledger.workers[worker];
         model::WorkerView {
-            accelerators: (spec.first..spec.end()).map(|it| self.draw_accelerator(it)).collect(),
+            accelerators: (spec.first_accelerator..spec.accelerators_end())
+                .map(|it| self.draw_accelerator(it))
+                .collect(),
             cores_free: book.free.cores.max(0) as u32,
             memory_free_mb: book.free.memory_mb.max(0) as u64,
             rack: self.topology.rack_name(worker as u32).to_owned(),
@@ -266,7 +268,7 @@
         let at = accelerator as usize;
         let worker = self.topology.worker_of[at] as usize;
         let home = self.ledger.home[at];
-        let reserved = self.ledger.reserved[at];
+        let reserved = self.ledger.reserved_for[at];
         let holder = match self.ledger.holder[at] {
             NONE => reserved,
             holder => holder,
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -10,7 +10,7 @@
 use crate::health::WorkerHealth;
 use crate::item::ItemState;
 use crate::ledger::{Booking, Usage};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
@@ -50,24 +50,24 @@
     usage: Usage,
 }
 
-impl PlaceRule for ProbeRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for ProbeRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         self.core.topology.worker_of[at] == self.worker && self.core.ledger.holder[at] == NONE
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         if worker != self.worker {
             return 0;
         }
-        self.core.ledger.workers[worker as usize].free.tasks(self.usage)
+        self.core.ledger.workers[worker as usize].free.max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
@@ -221,19 +221,19 @@
     /// Places the eldest of a group that has never failed on the worker. Work that has failed may be
     /// at fault itself: as a probe it would take a sound worker out again and again, for longer each
     /// time, and a gang that needs the worker would wait for it.
-    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::HeldTask>)> {
+    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
         let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
         let item = self.items.at(index);
         let able = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
-            && self.booking_of(index) == Booking::Soft
+            && self.booking_of(index) == Booking::Reclaimable
             && self.held_back(index).is_none();
         if !able {
             return None;
         }
-        let ask = PlaceAsk::of(&item.work);
-        let rule = ProbeRule { core: self, worker, usage: ask.usage };
-        Some((index, placement::best(&self.topology, &ask, &rule)?))
+        let request = PlacementRequest::of(&item.work);
+        let rule = ProbeRule { core: self, worker, usage: request.usage };
+        Some((index, placement::best(&self.topology, &request, &rule)?))
     }
 }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -7,8 +7,8 @@
 use crate::core::HallCore;
 use crate::decision::AfterStop;
 use crate::item::{ItemState, QueueItem, ReserveKind};
-use crate::ledger::HeldTask;
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::ledger::PlacedTask;
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::reserve;
 use crate::topology::NONE;
@@ -24,25 +24,25 @@
 
 /// The place among allowed accelerators that costs least, whole gangs counted. `starts` are the
 /// accelerators at which a run may begin.
-pub(crate) fn cheapest(
+pub(crate) fn cheapest_placement(
     core: &HallCore,
-    ask: &PlaceAsk,
-    rule: &impl PlaceRule,
+    request: &PlacementRequest,
+    rule: &impl PlacementRule,
     starts: &[u32],
     grace: Duration,
-) -> Option<Vec<HeldTask>> {
-    let scattered = 1 < ask.tasks && ask.adjacency == model::Adjacency::Any;
+) -> Option<Vec<PlacedTask>> {
+    let scattered = 1 < request.tasks && request.adjacency == model::Adjacency::Any;
     if scattered {
-        return cheapest_scattered(core, ask, rule, starts, grace);
+        return cheapest_scattered(core, request, rule, starts, grace);
     }
     let mut tasks = Vec::new();
     let mut best: Option<(f64, u32)> = None;
     for start in starts {
-        if placement::walk(&core.topology, ask, rule, *start, &mut tasks).is_none() {
+        if placement::place_run_at(&core.topology, request, rule, *start, &mut tasks).is_none() {
             continue;
         }
         let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-        let cost = cost(core, ask.width, &tasks, &[], limit, grace);
+        let cost = cost(core, request.accelerators_per_task, &tasks, &[], limit, grace);
         if cost < limit {
             best = Some((cost, *start));
         }
@@ -51,36 +51,40 @@
         }
     }
     let (_, start) = best?;
-    placement::walk(&core.topology, ask, rule, start, &mut tasks)?;
-    Some(placement::held(&core.topology, ask.width, &tasks))
+    placement::place_run_at(&core.topology, request, rule, start, &mut tasks)?;
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &tasks))
 }
 
 /// Task by task; victims already chosen cost nothing more.
 fn cheapest_scattered(
     core: &HallCore,
-    ask: &PlaceAsk,
-    rule: &impl PlaceRule,
+    request: &PlacementRequest,
+    rule: &impl PlacementRule,
     starts: &[u32],
     grace: Duration,
-) -> Option<Vec<HeldTask>> {
-    let single = PlaceAsk { tasks: 1, ..*ask };
+) -> Option<Vec<PlacedTask>> {
+    let single = PlacementRequest { tasks: 1, ..*request };
     let mut victims: Vec<u32> = Vec::new();
     let mut chosen: Vec<u32> = Vec::new();
     let mut used = vec![0; core.topology.workers.len()];
     let mut task = Vec::new();
-    while (chosen.len() as u32) < ask.tasks {
+    while (chosen.len() as u32) < request.tasks {
         let mut best: Option<(f64, u32)> = None;
         for start in starts {
             let worker = core.topology.worker_of[*start as usize];
-            let overlaps = |it: &u32| *it < start + ask.width && *start < it + ask.width;
-            if rule.room(worker) <= used[worker as usize]
+            let overlaps = |it: &u32| {
+                *it < start + request.accelerators_per_task
+                    && *start < it + request.accelerators_per_task
+            };
+            if rule.task_capacity(worker) <= used[worker as usize]
                 || chosen.iter().any(overlaps)
-                || placement::walk(&core.topology, &single, rule, *start, &mut task).is_none()
+                || placement::place_run_at(&core.topology, &single, rule, *start, &mut task)
+                    .is_none()
             {
                 continue;
             }
             let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-            let cost = cost(core, ask.width, &task, &victims, limit, grace);
+            let cost = cost(core, request.accelerators_per_task, &task, &victims, limit, grace);
             if cost < limit {
                 best = Some((cost, *start));
             }
@@ -90,11 +94,14 @@
         }
         let (_, start) = best?;
         used[core.topology.worker_of[start as usize] as usize] += 1;
-        victims.extend((start..start + ask.width).map(|it| core.ledger.holder[it as usize]));
+        victims.extend(
+            (start..start + request.accelerators_per_task)
+                .map(|it| core.ledger.holder[it as usize]),
+        );
         chosen.push(start);
     }
     chosen.sort_unstable();
-    Some(placement::held(&core.topology, ask.width, &chosen))
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen))
 }
 
 /// What it costs to free the tasks that begin at `tasks`, or `limit` where it is no less.
--- a/crates/policy/src/rehome.rs
+++ b/crates/policy/src/rehome.rs
@@ -9,7 +9,7 @@
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
 use crate::ledger::{Booking, Usage};
-use crate::placement::{self, PlaceAsk};
+use crate::placement::{self, PlacementRequest};
 use crate::rules::BlockRule;
 use crate::topology::NONE;
 
@@ -271,7 +271,7 @@
             let book = &self.ledger.workers[worker as usize];
             let homes = book.home_accelerators + if adds { n } else { 0 };
             let left = Usage::capacity(spec).minus(Usage::share(spec, homes));
-            left.covers(book.hard)
+            left.covers(book.non_reclaimable)
         })
     }
 
@@ -289,10 +289,10 @@
     /// claim does not fit would move again in each turn.
     fn fits_block(&self, index: u32, block: &[u32]) -> bool {
         let item = self.items.at(index);
-        let ask = PlaceAsk::of(&item.work);
+        let request = PlacementRequest::of(&item.work);
         let exclude = &item.exclude;
-        let rule = BlockRule { topology: &self.topology, block, ask: &ask, exclude };
-        placement::best(&self.topology, &ask, &rule).is_some()
+        let rule = BlockRule { topology: &self.topology, block, request: &request, exclude };
+        placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Workers of a block with how many of its accelerators each has.
@@ -400,7 +400,7 @@
             let at = it as usize;
             self.ledger.holder[at] == NONE
                 && self.ledger.home[at] == NONE
-                && self.ledger.reserved[at] == NONE
+                && self.ledger.reserved_for[at] == NONE
                 && self.health[self.topology.worker_of[at] as usize].open(self.now)
         };
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, free);
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask, Usage};
+use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::NONE;
 
@@ -14,21 +14,21 @@
     pub(crate) fn reserve(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         kind: ReserveKind,
         claim: Option<u32>,
     ) {
         let mut others: Vec<u32> = tasks
             .iter()
             .flat_map(|it| &it.accelerators)
-            .map(|it| self.ledger.reserved[*it as usize])
+            .map(|it| self.ledger.reserved_for[*it as usize])
             .filter(|it| *it != NONE)
             .collect();
         if kind == ReserveKind::Clearing {
             // A gang of tasks without accelerators shares its workers with no other reservation.
             let books = tasks.iter().filter(|it| it.accelerators.is_empty());
             let there =
-                |it: &HeldTask| self.ledger.workers[it.worker as usize].reservations.clone();
+                |it: &PlacedTask| self.ledger.workers[it.worker as usize].reservations.clone();
             others.extend(books.flat_map(there));
         }
         others.sort_unstable();
@@ -69,7 +69,7 @@
     }
 
     /// When a place is expected to be free: when the last of its holders has gone.
-    pub(crate) fn opening(&self, index: u32, tasks: &[HeldTask]) -> time::WallTime {
+    pub(crate) fn opening(&self, index: u32, tasks: &[PlacedTask]) -> time::WallTime {
         let holder = |it: &u32| self.ledger.holder[*it as usize];
         let mut latest = self.now;
         let mut last = NONE;
@@ -122,7 +122,7 @@
 
     fn check_reservation(&mut self, index: u32) {
         let tasks = self.items.at(index).tasks.clone();
-        let open = |it: &HeldTask| self.health[it.worker as usize].usable();
+        let open = |it: &PlacedTask| self.health[it.worker as usize].usable();
         if !tasks.iter().all(open) || !self.leaves_homes_alone(index, &tasks) {
             self.withdraw(index);
             return;
@@ -140,8 +140,10 @@
     /// Whether work that can't be reclaimed would still start beside all home blocks. A block may
     /// have moved over a place after it was reserved; started there, the work would hold the
     /// guarantee up for its whole run.
-    fn leaves_homes_alone(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claimed_home.is_some() || self.booking_of(index) != Booking::Hard {
+    fn leaves_homes_alone(&self, index: u32, tasks: &[PlacedTask]) -> bool {
+        if self.items.at(index).claimed_home.is_some()
+            || self.booking_of(index) != Booking::NonReclaimable
+        {
             return true;
         }
         let outside = |it: &u32| self.ledger.home[*it as usize] == NONE;
@@ -150,26 +152,28 @@
             && by_worker(tasks).all(|(worker, here)| {
                 // Who is there now will have gone: counted here, the place would be given up and
                 // reserved again in turn after turn.
-                let room = self.ledger.hard_capacity(worker, &self.topology);
+                let room = self.ledger.capacity_for_non_reclaimable(worker, &self.topology);
                 room.covers(usage.times(here.len() as u32))
             })
     }
 
     /// Whether work that can't be reclaimed leaves each worker, beside what of its kind runs there,
     /// the cores, memory and slots of the home blocks.
-    fn spares_homes(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claimed_home.is_some() || self.booking_of(index) != Booking::Hard {
+    fn spares_homes(&self, index: u32, tasks: &[PlacedTask]) -> bool {
+        if self.items.at(index).claimed_home.is_some()
+            || self.booking_of(index) != Booking::NonReclaimable
+        {
             return true;
         }
         let usage = self.usage_of(index);
         by_worker(tasks).all(|(worker, here)| {
-            let room = self.ledger.hard_room(worker, &self.topology);
+            let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
             room.covers(usage.times(here.len() as u32))
         })
     }
 
     /// Whether every accelerator, and the cores, memory and slots beside them, are free.
-    fn is_free(&self, index: u32, tasks: &[HeldTask]) -> bool {
+    fn is_free(&self, index: u32, tasks: &[PlacedTask]) -> bool {
         let usage = self.usage_of(index);
         let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
         by_worker(tasks).all(|(worker, here)| {
@@ -195,6 +199,6 @@
 }
 
 /// Tasks of each worker; tasks of one worker stand together.
-pub(crate) fn by_worker(tasks: &[HeldTask]) -> impl Iterator<Item = (u32, &[HeldTask])> {
+pub(crate) fn by_worker(tasks: &[PlacedTask]) -> impl Iterator<Item = (u32, &[PlacedTask])> {
     tasks.chunk_by(|a, b| a.worker == b.worker).map(|it| (it[0].worker, it))
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -7,7 +7,7 @@
 use crate::core::HallCore;
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::{Booking, Usage};
-use crate::placement::{PlaceAsk, PlaceRule};
+use crate::placement::{PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
 use crate::topology::{HallTopology, NONE};
 
@@ -50,7 +50,7 @@
             core,
             index,
             usage: Usage::of(&item.work.demand),
-            hard: core.booking_of(index) == Booking::Hard,
+            hard: core.booking_of(index) == Booking::NonReclaimable,
             homes_only: core.kept_for_others(index),
             expected_end: core.now + left(likely),
             certain_end: core.now + left(bound),
@@ -97,31 +97,32 @@
     }
 }
 
-impl PlaceRule for OpenRule<'_> {
-    fn opens(&self, worker: u32) -> bool {
+impl PlacementRule for OpenRule<'_> {
+    fn allows_worker(&self, worker: u32) -> bool {
         0 < self.core.ledger.workers[worker as usize].free_accelerators && self.open(worker)
     }
 
-    fn allows(&self, accelerator: u32) -> bool {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         ledger.holder[at] == NONE
             && (!self.hard || ledger.home[at] == NONE)
             && (!self.homes_only || ledger.home[at] != NONE)
-            && (ledger.reserved[at] == NONE || self.backfills(ledger.reserved[at]))
+            && (ledger.reserved_for[at] == NONE || self.backfills(ledger.reserved_for[at]))
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         if !self.open(worker) {
             return 0;
         }
         let book = &self.core.ledger.workers[worker as usize];
-        let room = book.free.minus(self.kept(worker)).tasks(self.usage);
+        let room = book.free.minus(self.kept(worker)).max_tasks(self.usage);
         if !self.hard {
             return room;
         }
-        let hard_room = self.core.ledger.hard_room(worker, &self.core.topology);
-        room.min(hard_room.tasks(self.usage))
+        let free_for_non_reclaimable =
+            self.core.ledger.free_for_non_reclaimable(worker, &self.core.topology);
+        room.min(free_for_non_reclaimable.max_tasks(self.usage))
     }
 
     fn penalty(&self, accelerator: u32) -> u32 {
@@ -135,7 +136,7 @@
 
     /// Cores and memory that free accelerators will need are used last, then the fullest worker
     /// goes first.
-    fn bare_rank(&self, worker: u32) -> i64 {
+    fn cpu_only_rank(&self, worker: u32) -> i64 {
         let spec = &self.core.topology.workers[worker as usize];
         let book = &self.core.ledger.workers[worker as usize];
         let kept = Usage::share(spec, book.free_accelerators);
@@ -150,18 +151,19 @@
     pub(crate) topology: &'a HallTopology,
     /// Its accelerators, ascending.
     pub(crate) block: &'a [u32],
-    pub(crate) ask: &'a PlaceAsk,
+    pub(crate) request: &'a PlacementRequest,
     pub(crate) exclude: &'a [u32],
 }
 
-impl PlaceRule for BlockRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for BlockRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         self.block.binary_search(&accelerator).is_ok()
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         let spec = &self.topology.workers[worker as usize];
-        let fits = Usage::share(spec, self.ask.width).covers(self.ask.usage);
+        let fits =
+            Usage::share(spec, self.request.accelerators_per_task).covers(self.request.usage);
         if fits && !self.exclude.contains(&worker) { u32::MAX } else { 0 }
     }
 
@@ -169,7 +171,7 @@
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
@@ -179,7 +181,7 @@
     pub(crate) core: &'a HallCore,
     pub(crate) home: u32,
     pub(crate) key: &'a GroupKey,
-    pub(crate) ask: &'a PlaceAsk,
+    pub(crate) request: &'a PlacementRequest,
     /// Whether it may take what others hold, to be reclaimed.
     pub(crate) reclaims: bool,
     pub(crate) exclude: &'a [u32],
@@ -190,7 +192,7 @@
     /// other guarantees there.
     fn within_share(&self, worker: u32) -> bool {
         let spec = &self.core.topology.workers[worker as usize];
-        Usage::share(spec, self.ask.width).covers(self.ask.usage)
+        Usage::share(spec, self.request.accelerators_per_task).covers(self.request.usage)
     }
 
     /// Whether the holder can be sent away, or leaves by itself in time.
@@ -201,8 +203,8 @@
     }
 }
 
-impl PlaceRule for ClaimRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for ClaimRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         let worker = self.core.topology.worker_of[at];
@@ -210,7 +212,7 @@
             return false;
         }
         let holder = ledger.holder[at];
-        let reserved = ledger.reserved[at];
+        let reserved = ledger.reserved_for[at];
         if !self.reclaims {
             return holder == NONE && reserved == NONE;
         }
@@ -219,7 +221,7 @@
         reservable && (holder == NONE || self.takes(holder))
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         if self.exclude.contains(&worker) || !self.within_share(worker) {
             return 0;
         }
@@ -227,14 +229,14 @@
             return u32::MAX;
         }
         let book = &self.core.ledger.workers[worker as usize];
-        book.free.minus(book.reserved).tasks(self.ask.usage)
+        book.free.minus(book.reserved).max_tasks(self.request.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -14,7 +14,7 @@
     /// Rack index; `NONE` for a worker that the configuration no longer has.
     pub(crate) rack: u32,
     /// Index of its first accelerator in the hall.
-    pub(crate) first: u32,
+    pub(crate) first_accelerator: u32,
     pub(crate) accelerators: u32,
     pub(crate) cores: u32,
     pub(crate) memory_mb: u64,
@@ -23,8 +23,8 @@
 
 impl WorkerSpec {
     /// Index behind its last accelerator.
-    pub(crate) fn end(&self) -> u32 {
-        self.first + self.accelerators
+    pub(crate) fn accelerators_end(&self) -> u32 {
+        self.first_accelerator + self.accelerators
     }
 }
 
@@ -49,7 +49,7 @@
                 topology.push(WorkerSpec {
                     name: format!("{}-{}-{number:02}", layout.name, it.name),
                     rack: rack as u32,
-                    first: 0,
+                    first_accelerator: 0,
                     accelerators: kind.map_or(0, |kind| kind.accelerators),
                     cores: kind.map_or(0, |kind| kind.cores),
                     memory_mb: kind.map_or(0, |kind| kind.memory_mb),
@@ -63,7 +63,7 @@
     /// Adds a worker behind all others.
     pub(crate) fn push(&mut self, mut spec: WorkerSpec) -> u32 {
         let index = self.workers.len() as u32;
-        spec.first = self.worker_of.len() as u32;
+        spec.first_accelerator = self.worker_of.len() as u32;
         self.worker_of.extend((0..spec.accelerators).map(|_| index));
         self.index.insert(spec.name.clone(), index);
         self.workers.push(spec);
@@ -71,7 +71,7 @@
     }
 
     /// Index of a worker.
-    pub(crate) fn find(&self, name: &str) -> Option<u32> {
+    pub(crate) fn find_worker(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Whether a run that begins on one worker may go on to another.
-    pub(crate) fn joins(&self, from: u32, to: u32, adjacency: model::Adjacency) -> bool {
+    pub(crate) fn run_may_span(&self, from: u32, to: u32, adjacency: model::Adjacency) -> bool {
         let (from_rack, to_rack) =
             (self.workers[from as usize].rack, self.workers[to as usize].rack);
         match adjacency {
--- a/crates/policy/src/urgent.rs
+++ b/crates/policy/src/urgent.rs
@@ -3,7 +3,7 @@
 use crate::core::HallCore;
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::Usage;
-use crate::placement::PlaceRule;
+use crate::placement::PlacementRule;
 use crate::rules::OpenRule;
 use crate::topology::NONE;
 
@@ -36,12 +36,12 @@
     }
 }
 
-impl PlaceRule for UrgentRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for UrgentRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let core = self.open.core;
         let at = accelerator as usize;
         let worker = core.topology.worker_of[at];
-        let reserved = core.ledger.reserved[at];
+        let reserved = core.ledger.reserved_for[at];
         let clearing = ItemState::Reserving(ReserveKind::Clearing);
         core.health[worker as usize].open(core.now)
             && !self.open.exclude.contains(&worker)
@@ -51,7 +51,7 @@
             && (core.ledger.holder[at] == NONE || self.takes(core.ledger.holder[at]))
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         let core = self.open.core;
         if !core.health[worker as usize].open(core.now) {
             return 0;
@@ -63,18 +63,20 @@
         for it in items.into_iter().filter(|it| self.takes(*it)) {
             free.add(core.usage_of(it));
         }
-        let room = free.tasks(self.open.usage);
+        let room = free.max_tasks(self.open.usage);
         if !self.open.hard {
             return room;
         }
-        room.min(core.ledger.hard_room(worker, &core.topology).tasks(self.open.usage))
+        room.min(
+            core.ledger.free_for_non_reclaimable(worker, &core.topology).max_tasks(self.open.usage),
+        )
     }
 
     fn penalty(&self, accelerator: u32) -> u32 {
         self.open.penalty(accelerator)
     }
 
-    fn bare_rank(&self, worker: u32) -> i64 {
-        self.open.bare_rank(worker)
+    fn cpu_only_rank(&self, worker: u32) -> i64 {
+        self.open.cpu_only_rank(worker)
     }
 }
