--- a/crates/config/src/rules/capacity.rs
+++ b/crates/config/src/rules/capacity.rs
@@ -1,6 +1,6 @@
 //! Whether the guarantees fit the halls, each by itself and all together.
 
-use almondpass_policy::{homes, scheduler};
+use almondpass_policy::{hall_policy, homes};
 use almondpass_schema::model;
 
 use crate::fault;
@@ -50,7 +50,8 @@
     let Err(fault) = homes::assign(document) else {
         return;
     };
-    let scheduler::PolicyFault::GuaranteeUnfit { account, guarantee, hall, detail } = fault else {
+    let hall_policy::PolicyFault::GuaranteeUnfit { account, guarantee, hall, detail } = fault
+    else {
         return faults.push(
             &path::FieldPath::root(),
             "halls for the guarantees",
--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -6,7 +6,7 @@
 
 use almondpass_config::active;
 use almondpass_membership::snapshot;
-use almondpass_policy::{event, scheduler::HallPolicy};
+use almondpass_policy::{event, hall_policy::HallPolicy};
 use almondpass_schema::{ids, model, time};
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::Instant;
--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use almondpass_membership::home;
-use almondpass_policy::{event, scheduler::HallPolicy, work};
+use almondpass_policy::{event, hall_policy::HallPolicy, work};
 use almondpass_schema::{ids, model};
 use tokio::time::Instant;
 use uuid::Uuid;
@@ -193,7 +193,7 @@
         let mut exclude = work.call.exclude.clone();
         exclude.extend(self.workers_without(&work.class.upstream));
         work::WorkItem {
-            work: grant,
+            id: grant,
             account: work.call.account.clone(),
             class: work.class.name.clone(),
             tasks: 1,
--- a/crates/hall/src/adopt.rs
+++ b/crates/hall/src/adopt.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use almondpass_policy::{event, scheduler::HallPolicy, work};
+use almondpass_policy::{event, hall_policy::HallPolicy, work};
 use almondpass_ports::worker::WorkerControl;
 use almondpass_schema::{ids, model};
 use tokio::task::JoinSet;
@@ -223,7 +223,7 @@
     members: Vec<GangMember>,
     listings: &WorkerListings,
 ) {
-    let job = item.work;
+    let job = item.id;
     let now = Instant::now();
     let demand = item.demand;
     for member in &members {
@@ -313,7 +313,7 @@
         slots: status.slots,
     };
     let item = work::WorkItem {
-        work: Uuid::now_v7(),
+        id: Uuid::now_v7(),
         account: account.id.clone(),
         class: class.name.clone(),
         tasks: 1,
@@ -337,7 +337,7 @@
         firm_until: now + status.remaining.0,
         gone_by: now + actor.options.lease_term() + actor.options.lease_margin(),
     });
-    let slot = AdoptedSlot { work: item.work, grant: None, until };
+    let slot = AdoptedSlot { work: item.id, grant: None, until };
     actor.grants.adopted.insert(lease, slot);
     let accelerators = status.accelerators.clone();
     let placement = vec![work::TaskSlot { rank: 0, worker: worker.clone(), accelerators }];
--- a/crates/hall/src/backend.rs
+++ b/crates/hall/src/backend.rs
@@ -3,13 +3,13 @@
 use std::marker::PhantomData;
 
 use almondpass_peer::link;
-use almondpass_policy::scheduler;
+use almondpass_policy::hall_policy;
 use almondpass_ports::{objects, table, worker};
 
 /// The policy and the interfaces of one deployment.
 pub trait HallBackend: Send + Sync + 'static {
     /// Decides.
-    type Policy: scheduler::HallPolicy;
+    type Policy: hall_policy::HallPolicy;
     /// Keeps rows.
     type Table: table::TableService;
     /// Keeps intents while the table is down.
@@ -27,7 +27,7 @@
 
 impl<P, T, O, W, L> HallBackend for BackendOf<P, T, O, W, L>
 where
-    P: scheduler::HallPolicy,
+    P: hall_policy::HallPolicy,
     T: table::TableService,
     O: objects::ObjectStore,
     W: worker::WorkerControl,
--- a/crates/hall/src/changes.rs
+++ b/crates/hall/src/changes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use almondpass_config::active;
-use almondpass_policy::{event, scheduler::HallPolicy};
+use almondpass_policy::{event, hall_policy::HallPolicy};
 use almondpass_schema::ids;
 use tokio::time::Instant;
 
--- a/crates/hall/src/error.rs
+++ b/crates/hall/src/error.rs
@@ -1,7 +1,7 @@
 //! What can go wrong while a hall is scheduled.
 
 use almondpass_peer::error;
-use almondpass_policy::scheduler;
+use almondpass_policy::hall_policy;
 use almondpass_schema::ids;
 use thiserror::Error;
 
@@ -31,7 +31,7 @@
     },
     /// The policy cannot work with the configuration.
     #[error(transparent)]
-    Policy(#[from] scheduler::PolicyFault),
+    Policy(#[from] hall_policy::PolicyFault),
 }
 
 impl HallError {
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -34,7 +34,8 @@
             decision::Decision::Finish { work, outcome, reason } => {
                 self.finish_job(work, outcome, reason);
             }
-            decision::Decision::Worker { .. } | decision::Decision::Guarantee { .. } => {}
+            decision::Decision::WorkerChanged { .. }
+            | decision::Decision::GuaranteeChanged { .. } => {}
         }
     }
 
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use almondpass_config::active;
-use almondpass_policy::{decision, event, scheduler::HallPolicy, work};
+use almondpass_policy::{decision, event, hall_policy::HallPolicy, work};
 use almondpass_schema::{ids, model};
 use tokio::time::Instant;
 
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_policy::{event, scheduler::HallPolicy, work};
+use almondpass_policy::{event, hall_policy::HallPolicy, work};
 use almondpass_ports::{keys, table::TableService};
 use almondpass_schema::{ids, model, time};
 use tokio::sync::oneshot;
@@ -113,7 +113,7 @@
     ) -> work::WorkItem {
         let submission = &record.submission;
         work::WorkItem {
-            work: record.job,
+            id: record.job,
             account: record.account.clone(),
             class: submission.class.clone(),
             tasks: submission.tasks,
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -7,7 +7,7 @@
 
 use almondpass_config::active;
 use almondpass_membership::snapshot;
-use almondpass_policy::scheduler::HallPolicy;
+use almondpass_policy::hall_policy::HallPolicy;
 use almondpass_ports::{keys, table::TableService, worker::WorkerControl};
 use almondpass_schema::{ids, model};
 use tokio::sync::{Notify, Semaphore, watch};
--- a/crates/hall/src/turn.rs
+++ b/crates/hall/src/turn.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_policy::{decision, scheduler::HallPolicy};
+use almondpass_policy::{decision, hall_policy::HallPolicy};
 use almondpass_schema::{model, time};
 use tokio::time::Instant;
 
@@ -43,7 +43,7 @@
     fn decide(&mut self) {
         let started = std::time::Instant::now();
         let wall = self.wall();
-        let decisions = self.policy.turn(wall);
+        let decisions = self.policy.run_round(wall);
         metric::turn(&self.hall, started.elapsed());
         for decision in decisions {
             self.carry_out(decision);
@@ -58,12 +58,12 @@
             | decision::Decision::Throttle { work, .. }
             | decision::Decision::Requeue { work, .. }
             | decision::Decision::Finish { work, .. } => *work,
-            decision::Decision::Worker { worker, state, reason } => {
+            decision::Decision::WorkerChanged { worker, state, reason } => {
                 tracing::info!(hall = self.hall, worker, state = %state, reason = reason.text,
                     "a worker changed its state");
                 return;
             }
-            decision::Decision::Guarantee { account, guarantee, state, reason } => {
+            decision::Decision::GuaranteeChanged { account, guarantee, state, reason } => {
                 tracing::info!(hall = self.hall, account, guarantee, state = %state,
                     reason = reason.text, "a guarantee changed its state");
                 return;
--- a/crates/policy/src/baseline_best_fit.rs
+++ b/crates/policy/src/baseline_best_fit.rs
@@ -9,7 +9,7 @@
 use crate::baseline_room;
 use crate::decision;
 use crate::event;
-use crate::scheduler;
+use crate::hall_policy;
 use crate::work;
 
 /// Run time assumed of work whose class is not configured.
@@ -71,16 +71,16 @@
                 Some((since + self.expected_run(&entry.item)).max(now))
             }
         };
-        self.board.works.values().filter_map(|it| end(it).map(|at| (at, it.item.work))).collect()
+        self.board.works.values().filter_map(|it| end(it).map(|at| (at, it.item.id))).collect()
     }
 }
 
-impl scheduler::HallPolicy for BestFit {
+impl hall_policy::HallPolicy for BestFit {
     fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
-    ) -> Result<BestFit, scheduler::PolicyFault> {
+    ) -> Result<BestFit, hall_policy::PolicyFault> {
         Ok(BestFit { board: baseline_board::BaselineBoard::new(hall, config)? })
     }
 
@@ -88,7 +88,7 @@
         &mut self,
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
-    ) -> Result<(), scheduler::PolicyFault> {
+    ) -> Result<(), hall_policy::PolicyFault> {
         self.board.configure(config)
     }
 
@@ -96,7 +96,7 @@
         self.board.apply(event, now);
     }
 
-    fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
+    fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         let mut unfit = Vec::new();
         let mut head: Option<work::WorkId> = None;
         let mut plan: Option<HeadPlan> = None;
--- a/crates/policy/src/baseline_board.rs
+++ b/crates/policy/src/baseline_board.rs
@@ -9,7 +9,7 @@
 use crate::baseline_room;
 use crate::decision;
 use crate::event;
-use crate::scheduler;
+use crate::hall_policy;
 use crate::work;
 
 /// Failed attempts after which a baseline gives work up.
@@ -62,7 +62,7 @@
     pub(crate) fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
-    ) -> Result<BaselineBoard, scheduler::PolicyFault> {
+    ) -> Result<BaselineBoard, hall_policy::PolicyFault> {
         let layout = find_hall(hall, &config)?.clone();
         Ok(BaselineBoard {
             room: baseline_room::HallRoom::of(&layout, &config),
@@ -82,7 +82,7 @@
     pub(crate) fn configure(
         &mut self,
         config: Arc<model::ConfigDocument>,
-    ) -> Result<(), scheduler::PolicyFault> {
+    ) -> Result<(), hall_policy::PolicyFault> {
         find_hall(&self.hall.name, &config)?;
         self.config = config;
         Ok(())
@@ -195,10 +195,10 @@
     }
 
     fn arrived(&mut self, item: work::WorkItem, now: time::WallTime) {
-        if self.works.contains_key(&item.work) {
+        if self.works.contains_key(&item.id) {
             return;
         }
-        let work = item.work;
+        let work = item.id;
         let position = self.next_position;
         self.next_position += 1;
         self.queue.insert((item.submitted_at, position), work);
@@ -220,7 +220,7 @@
         placement: Vec<work::TaskSlot>,
         started_at: time::WallTime,
     ) {
-        let work = item.work;
+        let work = item.id;
         self.arrived(item, started_at);
         let Some(entry) = self.works.get_mut(&work) else { return };
         if !matches!(entry.stage, WorkStage::Waiting(_)) {
@@ -323,12 +323,12 @@
 fn find_hall<'a>(
     hall: &ids::HallName,
     config: &'a model::ConfigDocument,
-) -> Result<&'a model::HallLayout, scheduler::PolicyFault> {
+) -> Result<&'a model::HallLayout, hall_policy::PolicyFault> {
     config
         .halls
         .iter()
         .find(|it| it.name == *hall)
-        .ok_or_else(|| scheduler::PolicyFault::NoHall(hall.clone()))
+        .ok_or_else(|| hall_policy::PolicyFault::UnknownHall(hall.clone()))
 }
 
 fn wait_reason(code: model::WaitCode, text: &str) -> model::WaitReason {
--- a/crates/policy/src/baseline_first_fit.rs
+++ b/crates/policy/src/baseline_first_fit.rs
@@ -8,7 +8,7 @@
 use crate::baseline_room;
 use crate::decision;
 use crate::event;
-use crate::scheduler;
+use crate::hall_policy;
 use crate::work;
 
 /// First fit in arrival order: whole gangs and adjacency, but no guarantees and no priorities.
@@ -16,12 +16,12 @@
     board: baseline_board::BaselineBoard,
 }
 
-impl scheduler::HallPolicy for FirstFit {
+impl hall_policy::HallPolicy for FirstFit {
     fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
-    ) -> Result<FirstFit, scheduler::PolicyFault> {
+    ) -> Result<FirstFit, hall_policy::PolicyFault> {
         Ok(FirstFit { board: baseline_board::BaselineBoard::new(hall, config)? })
     }
 
@@ -29,7 +29,7 @@
         &mut self,
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
-    ) -> Result<(), scheduler::PolicyFault> {
+    ) -> Result<(), hall_policy::PolicyFault> {
         self.board.configure(config)
     }
 
@@ -37,7 +37,7 @@
         self.board.apply(event, now);
     }
 
-    fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
+    fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         let mut unfit = Vec::new();
         for work in self.board.ready(now) {
             let item = &self.board.works[&work].item;
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -63,7 +63,7 @@
     fn kept_claims(&self, home: u32, key: &GroupKey) -> u32 {
         let kept = |it: &&u32| !self.yields(**it, key);
         let claims = self.homes[home as usize].claims.iter().filter(kept);
-        claims.map(|it| self.items.at(*it).width()).sum()
+        claims.map(|it| self.items.at(*it).n_accelerators()).sum()
     }
 
     /// Whether a claim gives way to other work of its own account: it took the guarantee without
@@ -89,7 +89,7 @@
         let key = it.key.clone();
         let Some(entry) = it.entries.first().copied() else { return false };
         let index = entry.item;
-        if self.held_back(index).is_some() {
+        if self.ineligibility(index).is_some() {
             return false;
         }
         let width = key.tasks * key.demand.accelerators;
@@ -99,7 +99,7 @@
         // What can't be reclaimed is as safe elsewhere, and would stand in the way of a claim of the
         // whole shape at home.
         let hard = self.booking_of(index) == Booking::NonReclaimable;
-        if hard && key.guarantee.is_none() && self.place_open(index) {
+        if hard && key.guarantee.is_none() && self.start_unguaranteed(index) {
             return true;
         }
         for home in &homes {
@@ -118,7 +118,7 @@
                 return self.start_claim(index, *home, tasks, "block was moved to a free one");
             }
         }
-        if key.guarantee.is_none() && !hard && self.place_open(index) {
+        if key.guarantee.is_none() && !hard && self.start_unguaranteed(index) {
             return true;
         }
         homes.iter().any(|it| self.reclaim_home(index, *it, &request, &key))
--- a/crates/policy/src/clearing.rs
+++ b/crates/policy/src/clearing.rs
@@ -86,7 +86,8 @@
     fn goes_before(&self, other: u32) -> bool {
         let clearing = ItemState::Reserving(ReserveKind::Clearing);
         let core = self.core;
-        core.items.at(other).state == clearing && core.submitted(self.index) < core.submitted(other)
+        core.items.at(other).state == clearing
+            && core.submitted_at(self.index) < core.submitted_at(other)
     }
 }
 
@@ -101,7 +102,7 @@
 impl HallCore {
     /// Whether a gang has waited its bound.
     pub(crate) fn overdue(&self, index: u32) -> bool {
-        self.parameters.gang_wait <= self.waited(index)
+        self.parameters.gang_wait <= self.wait_time(index)
     }
 
     /// Reserves blocks for the gangs that waited long enough.
@@ -117,7 +118,7 @@
         let mut searches = 0;
         for group in self.ranked_groups(wants) {
             let Some(it) = self.queue.group(group) else { continue };
-            if it.blocked_at != Some(self.capacity_version) {
+            if it.blocked_at_version != Some(self.capacity_version) {
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
@@ -127,7 +128,7 @@
                 continue;
             }
             let full = self.parameters.clearings() <= n_clearing && !self.overdue(entry.item);
-            if full || self.held_back(entry.item).is_some() {
+            if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
             if SEARCHES_A_TURN <= searches {
@@ -143,7 +144,7 @@
             }
         }
         if let Some(at) = wake {
-            self.set_timer(at, TimerKind::Patience, NONE);
+            self.set_timer(at, TimerKind::WaitOver, NONE);
         }
     }
 
@@ -176,8 +177,8 @@
         if presses {
             self.move_younger(index);
         } else {
-            let due = self.submitted(index) + self.parameters.gang_wait;
-            self.set_timer(due, TimerKind::Patience, NONE);
+            let due = self.submitted_at(index) + self.parameters.gang_wait;
+            self.set_timer(due, TimerKind::WaitOver, NONE);
         }
         true
     }
@@ -391,7 +392,7 @@
             if running && self.makes_way(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.wind_down(it, self.parameters.grace, AfterStop::Requeue, reason);
+                self.checkpoint_and_stop(it, self.parameters.grace, AfterStop::Requeue, reason);
             }
         }
     }
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -10,6 +10,7 @@
 use crate::estimates::EstimateTable;
 use crate::event;
 use crate::guarantee::HomeBlock;
+use crate::hall_policy;
 use crate::headroom::HeadroomBook;
 use crate::health::WorkerHealth;
 use crate::homes;
@@ -17,7 +18,6 @@
 use crate::ledger::{Booking, HallLedger, Usage};
 use crate::parameters::PolicyParameters;
 use crate::queue::WaitQueue;
-use crate::scheduler;
 use crate::share::{AccountUse, HallCapacity};
 use crate::timers::{TimerEntry, TimerKind, TimerQueue};
 use crate::topology::{HallTopology, NONE, WorkerSpec};
@@ -72,12 +72,12 @@
     pub(crate) now: time::WallTime,
 }
 
-impl scheduler::HallPolicy for HallCore {
+impl hall_policy::HallPolicy for HallCore {
     fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
-    ) -> Result<HallCore, scheduler::PolicyFault> {
+    ) -> Result<HallCore, hall_policy::PolicyFault> {
         let layout = find_hall(&config, hall)?.clone();
         let all_homes = homes::assign(&config)?;
         let topology = HallTopology::new(&layout, &config.worker_kinds);
@@ -116,7 +116,7 @@
             topology,
         };
         core.adopt_rules(&config);
-        core.set_timer(now + SETTLE_TIME, TimerKind::Capacity, NONE);
+        core.set_timer(now + SETTLE_TIME, TimerKind::CapacityCheck, NONE);
         Ok(core)
     }
 
@@ -124,7 +124,7 @@
         &mut self,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
-    ) -> Result<(), scheduler::PolicyFault> {
+    ) -> Result<(), hall_policy::PolicyFault> {
         let layout = find_hall(&config, &self.hall)?.clone();
         let all_homes = homes::assign(&config)?;
         self.now = now;
@@ -149,7 +149,7 @@
         self.handle_event(event);
     }
 
-    fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
+    fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         self.now = now;
         self.budget_exhausted = false;
         self.changed_since_round = false;
@@ -169,7 +169,7 @@
         if self.budget_exhausted || self.changed_since_round || !self.outbox.is_empty() {
             return Some(now);
         }
-        self.timers.next()
+        self.timers.next_due()
     }
 
     fn reason(&self, work: &work::WorkId, now: time::WallTime) -> Option<model::WaitReason> {
@@ -259,7 +259,7 @@
             let there = |it: &u32| moved.get(*it as usize).copied().filter(|it| *it != NONE);
             item.exclude = item.exclude.iter().filter_map(there).collect();
             item.failed_on = item.failed_on.iter().filter_map(there).collect();
-            if !item.state.holds() {
+            if !item.state.holds_accelerators() {
                 continue;
             }
             for task in &mut item.tasks {
@@ -282,7 +282,7 @@
         let all: Vec<u32> = self
             .items
             .iter()
-            .filter(|(_, it)| it.state.holds() && it.booking != Booking::Claim)
+            .filter(|(_, it)| it.state.holds_accelerators() && it.booking != Booking::Claim)
             .map(|(index, _)| index)
             .collect();
         for index in all {
@@ -336,7 +336,7 @@
 fn find_hall<'a>(
     config: &'a model::ConfigDocument,
     hall: &ids::HallName,
-) -> Result<&'a model::HallLayout, scheduler::PolicyFault> {
+) -> Result<&'a model::HallLayout, hall_policy::PolicyFault> {
     let found = config.halls.iter().find(|it| it.name == *hall);
-    found.ok_or_else(|| scheduler::PolicyFault::NoHall(hall.clone()))
+    found.ok_or_else(|| hall_policy::PolicyFault::UnknownHall(hall.clone()))
 }
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -32,7 +32,7 @@
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
             if saves {
-                self.set_timer(self.now + EXPOSED_INTERVAL, TimerKind::Save, index);
+                self.set_timer(self.now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
             }
             if let Some(at) = deadline {
                 self.set_timer(at, TimerKind::Deadline, index);
@@ -43,10 +43,10 @@
     /// Looks at everything that is due.
     pub(crate) fn fire_timers(&mut self) {
         for _ in 0..TIMERS_A_TURN {
-            let Some(it) = self.timers.pop(self.now) else { return };
+            let Some(it) = self.timers.pop_due(self.now) else { return };
             if it.item == NONE {
                 self.capacity_version += 1;
-                self.homes_dirty |= it.kind == TimerKind::Capacity;
+                self.homes_dirty |= it.kind == TimerKind::CapacityCheck;
             } else if self.items.get(it.item, it.generation).is_some() {
                 self.fire(it.item, it.kind);
             }
@@ -62,7 +62,7 @@
                 self.stop(index, item.after_stop, reasons::grace_over());
             }
             (TimerKind::Throttle, ItemState::Running) => self.throttle(index),
-            (TimerKind::Save, ItemState::Running) => self.save(index),
+            (TimerKind::PeriodicCheckpoint, ItemState::Running) => self.save(index),
             (TimerKind::Overrun, ItemState::Running) => self.overrun(index),
             (TimerKind::Deadline, _) => self.check_deadline(index),
             (TimerKind::Retry, ItemState::Delayed) => self.enqueue(index),
@@ -79,15 +79,15 @@
         if self.now < due {
             // Urgent work may come before the long interval is over.
             let next = due.min(self.now + EXPOSED_INTERVAL);
-            self.set_timer(next, TimerKind::Save, index);
+            self.set_timer(next, TimerKind::PeriodicCheckpoint, index);
             return;
         }
-        let work = item.work.work;
+        let work = item.work.id;
         let now = self.now;
         self.items.at_mut(index).checkpoint_requested_at = now;
         let reason = reasons::saved();
         self.outbox.push(Decision::Checkpoint { work, stop_by: None, reason });
-        self.set_timer(now + EXPOSED_INTERVAL, TimerKind::Save, index);
+        self.set_timer(now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
     }
 
     fn throttle(&mut self, index: u32) {
@@ -98,7 +98,7 @@
             return;
         }
         let reason = reasons::throttled(rule);
-        let work = item.work.work;
+        let work = item.work.id;
         self.items.at_mut(index).throttled = true;
         self.outbox.push(Decision::Throttle { work, reason });
     }
@@ -111,7 +111,7 @@
         }
         let reason = reasons::overran(rule);
         self.items.at_mut(index).overran = true;
-        self.wind_down(index, self.parameters.grace, AfterStop::End, reason);
+        self.checkpoint_and_stop(index, self.parameters.grace, AfterStop::End, reason);
     }
 
     /// Run time over all attempts that counts.
@@ -131,7 +131,7 @@
                 let least = self.estimate(item).low.saturating_sub(item.work.saved_run);
                 let latest = deadline - least;
                 if latest < self.now || deadline <= self.now {
-                    self.finish_unrun(index, reasons::deadline(deadline, least));
+                    self.finish_unplaced(index, reasons::deadline(deadline, least));
                 } else {
                     let soon = Duration::from_millis(1);
                     let at = deadline.min(latest + soon);
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -58,7 +58,7 @@
         reason: model::WaitReason,
     },
     /// A worker changed its state.
-    Worker {
+    WorkerChanged {
         /// The worker.
         worker: ids::WorkerId,
         /// Its new state.
@@ -67,7 +67,7 @@
         reason: model::WaitReason,
     },
     /// A guaranteed shape changed its state: moved, lost, or whole again.
-    Guarantee {
+    GuaranteeChanged {
         /// Whose it is.
         account: ids::AccountId,
         /// Its name.
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -34,14 +34,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupRank {
     not_urgent: bool,
-    level: Reverse<u64>,
+    aged_priority: Reverse<u64>,
     share: u32,
     eldest: QueueEntry,
 }
 
 impl HallCore {
     /// Priority with ageing.
-    pub(crate) fn level(&self, item: &QueueItem, priority: u8) -> u64 {
+    pub(crate) fn aged_priority(&self, item: &QueueItem, priority: u8) -> u64 {
         let waited = self.now.since(item.work.submitted_at);
         let steps = waited.as_millis() / self.parameters.ageing_step.as_millis().max(1);
         (u64::from(priority) + steps as u64).min(HIGHEST_LEVEL.max(u64::from(priority)))
@@ -54,7 +54,7 @@
         let item = self.items.at(eldest.item);
         Some(GroupRank {
             not_urgent: !rule.urgent,
-            level: Reverse(self.level(item, rule.priority)),
+            aged_priority: Reverse(self.aged_priority(item, rule.priority)),
             share: self.account_usage[group.key.account as usize].dominant(&self.capacity),
             eldest,
         })
@@ -77,7 +77,7 @@
         let fresh = |it: &u32| {
             self.queue
                 .group(*it)
-                .is_some_and(|group| group.blocked_at != Some(self.capacity_version))
+                .is_some_and(|group| group.blocked_at_version != Some(self.capacity_version))
         };
         let mut heap: BinaryHeap<Reverse<(GroupRank, u32)>> = self
             .queue
@@ -116,9 +116,9 @@
         let urgent = self.catalog.classes[it.key.class as usize].urgent;
         let mut code = model::WaitCode::NoCapacity;
         for entry in entries {
-            match self.held_back(entry.item) {
+            match self.ineligibility(entry.item) {
                 Some(it) => code = it,
-                None if self.place_open(entry.item) => return true,
+                None if self.start_unguaranteed(entry.item) => return true,
                 None if self.lend(entry.item) => return true,
                 None if urgent && self.opens_soon(entry.item) => {}
                 None if urgent && self.reclaim_urgent(entry.item) => return true,
@@ -139,8 +139,8 @@
         }
         let version = self.capacity_version;
         if let Some(it) = self.queue.group_mut(group) {
-            it.blocked_at = Some(version);
-            it.block = code;
+            it.blocked_at_version = Some(version);
+            it.wait_code = code;
         }
         false
     }
@@ -150,19 +150,19 @@
     fn gives_up(&mut self, group: u32) -> bool {
         let number = self.config_number;
         let Some(it) = self.queue.group_mut(group) else { return false };
-        if it.possible_in == number {
+        if it.feasible_in_config == number {
             return false;
         }
         let Some(entry) = it.entries.first().copied() else { return false };
         let refusal = self.check_admission(&self.items.at(entry.item).work).err();
         match refusal {
             Some(reason) if reason.code == model::WaitCode::NeverFits => {
-                self.finish_unrun(entry.item, reason);
+                self.finish_unplaced(entry.item, reason);
                 true
             }
             _ => {
                 if let Some(it) = self.queue.group_mut(group) {
-                    it.possible_in = number;
+                    it.feasible_in_config = number;
                 }
                 false
             }
@@ -170,7 +170,7 @@
     }
 
     /// Why work may not start whatever is free.
-    pub(crate) fn held_back(&self, index: u32) -> Option<model::WaitCode> {
+    pub(crate) fn ineligibility(&self, index: u32) -> Option<model::WaitCode> {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let account = &self.catalog.accounts[item.account as usize];
@@ -184,13 +184,14 @@
         if rule.drained || !rule.served {
             return Some(model::WaitCode::UpstreamUnavailable);
         }
-        let above = account.accelerators.is_some_and(|it| it < uses.accelerators + item.width());
+        let above =
+            account.accelerators.is_some_and(|it| it < uses.accelerators + item.n_accelerators());
         let many = rule.request && account.running_requests <= uses.requests;
         (above || many).then_some(model::WaitCode::AccountLimit)
     }
 
     /// Starts work in free capacity above the guarantee.
-    pub(crate) fn place_open(&mut self, index: u32) -> bool {
+    pub(crate) fn start_unguaranteed(&mut self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule::new(self, index);
         let Some(tasks) = placement::best(&self.topology, &request, &rule) else { return false };
@@ -245,8 +246,8 @@
     /// for all urgent work that waits. Short runs end all the time; stopping a long one for each
     /// piece of a burst would lose much work for nothing.
     fn opens_soon(&mut self, index: u32) -> bool {
-        let patience = self.submitted(index) + self.parameters.urgent_start / URGENT_PATIENCE;
-        if patience <= self.now || 1 < self.items.at(index).width() {
+        let patience = self.submitted_at(index) + self.parameters.urgent_start / URGENT_PATIENCE;
+        if patience <= self.now || 1 < self.items.at(index).n_accelerators() {
             return false;
         }
         let ends = |holder: &u32| self.expected_end(self.items.at(*holder)) <= patience;
@@ -258,7 +259,7 @@
         if n_opening < n_waiting {
             return false;
         }
-        self.set_timer(patience, TimerKind::Patience, NONE);
+        self.set_timer(patience, TimerKind::WaitOver, NONE);
         true
     }
 
@@ -267,7 +268,8 @@
         if self.booking_of(index) != Booking::NonReclaimable {
             return false;
         }
-        self.lend_home() && self.place_open(index) || self.restore_homes() && self.place_open(index)
+        self.lend_home() && self.start_unguaranteed(index)
+            || self.restore_homes() && self.start_unguaranteed(index)
     }
 
     /// Reserves a place for urgent work whose holders are repeatable, of lower priority and above
@@ -290,12 +292,12 @@
     }
 
     /// How long work of a group has waited at most.
-    pub(crate) fn waited(&self, index: u32) -> std::time::Duration {
+    pub(crate) fn wait_time(&self, index: u32) -> std::time::Duration {
         self.now.since(self.items.at(index).work.submitted_at)
     }
 
     /// When work was submitted.
-    pub(crate) fn submitted(&self, index: u32) -> time::WallTime {
+    pub(crate) fn submitted_at(&self, index: u32) -> time::WallTime {
         self.items.at(index).work.submitted_at
     }
 }
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -49,13 +49,13 @@
     }
 
     fn arrive(&mut self, work: work::WorkItem) {
-        if self.items.find(&work.work).is_some() {
+        if self.items.find(&work.id).is_some() {
             return;
         }
         let refusal = self.check_admission(&work).err();
         let index = self.insert(work, self.now);
         if let Some(reason) = refusal {
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
             return;
         }
         self.enqueue(index);
@@ -115,7 +115,7 @@
         placement: &[work::TaskSlot],
         started_at: time::WallTime,
     ) {
-        if let Some(known) = self.items.find(&work.work) {
+        if let Some(known) = self.items.find(&work.id) {
             if self.items.at(known).state != ItemState::Waiting {
                 return;
             }
@@ -176,7 +176,7 @@
         item.after_stop = AfterStop::End;
         match item.state {
             ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
-                self.finish_unrun(index, reasons::cancelled());
+                self.finish_unplaced(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
                 self.stop(index, AfterStop::End, reasons::cancelled());
@@ -208,7 +208,7 @@
         if !matches!(state, ItemState::Starting | ItemState::Stopping) {
             return;
         }
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         self.unprobe(index);
         self.release(index);
         if let Some(worker) = worker {
@@ -223,7 +223,7 @@
         }
         if self.items.at(index).after_stop == AfterStop::End && state == ItemState::Stopping {
             let reason = self.end_reason(index);
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
             return;
         }
         let wait = if worker.is_none() && fault != StartFault::Withdrawn {
@@ -237,7 +237,7 @@
     fn checkpointed(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
-        if !item.state.holds() || item.state == ItemState::Starting {
+        if !item.state.holds_accelerators() || item.state == ItemState::Starting {
             return;
         }
         item.work.saved_run += now.since(item.saved_at);
@@ -250,7 +250,7 @@
 
     fn ended(&mut self, index: u32, exit: &WorkExit) {
         let item = self.items.at_mut(index);
-        if !item.state.holds() {
+        if !item.state.holds_accelerators() {
             return;
         }
         // Unlike a failed start, an end says that some of it may have run.
--- a/crates/policy/src/expectations.rs
+++ b/crates/policy/src/expectations.rs
@@ -38,7 +38,7 @@
         let whole = self.estimate(item).median.saturating_sub(item.work.saved_run);
         let end = item.saved_at + whole;
         // What runs longer than half of its kind goes on for a good part of what it has taken.
-        let rest = item.run(self.now).mul_f64(REST_OF_LATE_RUN).max(Duration::from_secs(1));
+        let rest = item.run_time(self.now).mul_f64(REST_OF_LATE_RUN).max(Duration::from_secs(1));
         if self.now < end { end } else { self.now + rest }
     }
 
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/hall_policy.rs
@@ -29,7 +29,7 @@
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime);
 
     /// Decides. Bounded work: what is left over is taken up by the next turn.
-    fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision>;
+    fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision>;
 
     /// When the next turn is due even if nothing happens; at once where the last one left work over.
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime>;
@@ -49,7 +49,7 @@
 pub enum PolicyFault {
     /// The configuration has no such hall.
     #[error("expected hall {0} in the configuration, found none")]
-    NoHall(ids::HallName),
+    UnknownHall(ids::HallName),
     /// A guaranteed shape has no place of its own.
     #[error(
         "expected room for the guarantee {guarantee} of {account} in hall {hall}, found {detail}"
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -142,7 +142,7 @@
     pub(crate) fn kept_for_others(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        let width = i64::from(item.width());
+        let width = i64::from(item.n_accelerators());
         let spare = match self.is_hard(rule) {
             true => self.headroom.spare,
             false => self.headroom.spare.min(self.headroom.soft_spare),
@@ -164,11 +164,11 @@
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let left = f64::from(self.headroom.outside) - self.headroom.hard.mean;
-        !self.is_hard(rule) && left < f64::from(item.width())
+        !self.is_hard(rule) && left < f64::from(item.n_accelerators())
     }
 
     /// Has work that was held back looked at again soon.
     pub(crate) fn look_again(&mut self) {
-        self.set_timer(self.now + LOOK_AGAIN, TimerKind::Patience, NONE);
+        self.set_timer(self.now + LOOK_AGAIN, TimerKind::WaitOver, NONE);
     }
 }
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -59,7 +59,7 @@
     fn push_guarantee(&mut self, home: u32, reason: model::WaitReason) {
         let state = self.home_state(home);
         let shape = &self.homes[home as usize];
-        self.outbox.push(Decision::Guarantee {
+        self.outbox.push(Decision::GuaranteeChanged {
             account: shape.account_id.clone(),
             guarantee: shape.guarantee.clone(),
             state,
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -6,7 +6,7 @@
 
 use almondpass_schema::{ids, model};
 
-use crate::scheduler;
+use crate::hall_policy;
 use crate::topology::HallTopology;
 
 /// A guaranteed shape at home.
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// Names the account, the guarantee and the hall of the first shape that has no place.
-pub fn assign(config: &model::ConfigDocument) -> Result<Vec<Home>, scheduler::PolicyFault> {
+pub fn assign(config: &model::ConfigDocument) -> Result<Vec<Home>, hall_policy::PolicyFault> {
     let mut halls: Vec<HallPlan> =
         config.halls.iter().map(|it| HallPlan::new(it, &config.worker_kinds)).collect();
     let mut wanted: Vec<WantedShape<'_>> = config
@@ -56,7 +56,7 @@
 }
 
 impl WantedShape<'_> {
-    fn settle(&self, halls: &mut [HallPlan]) -> Result<Home, scheduler::PolicyFault> {
+    fn settle(&self, halls: &mut [HallPlan]) -> Result<Home, hall_policy::PolicyFault> {
         let shape = self.shape;
         let mut order: Vec<usize> = (0..halls.len())
             .filter(|it| shape.hall.as_ref().is_none_or(|name| *name == halls[*it].name))
@@ -79,7 +79,7 @@
         Err(self.unfit(halls, &order))
     }
 
-    fn unfit(&self, halls: &[HallPlan], order: &[usize]) -> scheduler::PolicyFault {
+    fn unfit(&self, halls: &[HallPlan], order: &[usize]) -> hall_policy::PolicyFault {
         let shape = self.shape;
         let first = order.first().map(|it| &halls[*it]);
         let hall = shape.hall.clone().or(first.map(|it| it.name.clone())).unwrap_or_default();
@@ -95,7 +95,7 @@
                 shape.accelerators
             ),
         };
-        scheduler::PolicyFault::GuaranteeUnfit {
+        hall_policy::PolicyFault::GuaranteeUnfit {
             account: self.account.id.clone(),
             guarantee: shape.name.clone(),
             hall,
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -83,12 +83,12 @@
     fn check_holders(&self) -> Result<(), InvariantBreach> {
         let mut holders: BTreeMap<u32, u32> = BTreeMap::new();
         for (index, item) in self.items.iter() {
-            if !item.state.holds() {
+            if !item.state.holds_accelerators() {
                 continue;
             }
             let held = item.tasks.len() as u32;
             if held != item.work.tasks {
-                let (work, tasks) = (item.work.work, item.work.tasks);
+                let (work, tasks) = (item.work.id, item.work.tasks);
                 return Err(InvariantBreach::PartialGang { work, tasks, held });
             }
             for accelerator in item.tasks.iter().flat_map(|it| &it.accelerators) {
@@ -97,8 +97,8 @@
                     return Err(InvariantBreach::HeldTwice {
                         worker: spec.name.clone(),
                         accelerator: accelerator - spec.first_accelerator,
-                        first: self.items.at(first).work.work,
-                        second: item.work.work,
+                        first: self.items.at(first).work.id,
+                        second: item.work.id,
                     });
                 }
             }
@@ -120,7 +120,7 @@
             }
             let mut used = Usage::default();
             let mut hard = Usage::default();
-            for (_, item) in self.items.iter().filter(|(_, it)| it.state.holds()) {
+            for (_, item) in self.items.iter().filter(|(_, it)| it.state.holds_accelerators()) {
                 let n = item.tasks.iter().filter(|it| it.worker as usize == worker).count() as u32;
                 let here = Usage::of(&item.work.demand).times(n);
                 used.add(here);
@@ -185,7 +185,7 @@
                 if !(claims || stops || ends) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
-                        work: item.work.work,
+                        work: item.work.id,
                         worker: spec.name.clone(),
                     });
                 }
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -40,7 +40,7 @@
 
 impl ItemState {
     /// Whether it holds accelerators.
-    pub(crate) fn holds(self) -> bool {
+    pub(crate) fn holds_accelerators(self) -> bool {
         matches!(
             self,
             ItemState::Starting
@@ -110,12 +110,12 @@
     }
 
     /// Run time in this attempt.
-    pub(crate) fn run(&self, now: time::WallTime) -> Duration {
+    pub(crate) fn run_time(&self, now: time::WallTime) -> Duration {
         now.since(self.started_at)
     }
 
     /// Accelerators of the whole gang.
-    pub(crate) fn width(&self) -> u32 {
+    pub(crate) fn n_accelerators(&self) -> u32 {
         self.work.tasks * self.work.demand.accelerators
     }
 }
--- a/crates/policy/src/item_table.rs
+++ b/crates/policy/src/item_table.rs
@@ -30,7 +30,7 @@
             self.entries.push(TableEntry::default());
             self.entries.len() as u32 - 1
         });
-        self.index.insert(item.work.work, index);
+        self.index.insert(item.work.id, index);
         self.entries[index as usize].item = Some(item);
         index
     }
@@ -39,7 +39,7 @@
         let entry = &mut self.entries[index as usize];
         let item = entry.item.take()?;
         entry.generation = entry.generation.wrapping_add(1);
-        self.index.remove(&item.work.work);
+        self.index.remove(&item.work.id);
         self.free.push(index);
         Some(item)
     }
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -38,7 +38,7 @@
 
     fn entry(&self, index: u32) -> QueueEntry {
         let work = &self.items.at(index).work;
-        QueueEntry { submitted_at: work.submitted_at, work: work.work, item: index }
+        QueueEntry { submitted_at: work.submitted_at, work: work.id, item: index }
     }
 
     /// Puts an item in the queue.
@@ -68,7 +68,7 @@
         self.ledger.hold(index, &tasks, usage, booking);
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
-        let width = item.width();
+        let width = item.n_accelerators();
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators += width;
         account.usage.add(usage.times(item.work.tasks));
@@ -91,7 +91,7 @@
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
         let tasks = std::mem::take(&mut item.tasks);
-        let width = item.width();
+        let width = item.n_accelerators();
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
@@ -116,7 +116,7 @@
             None => self.booking_of(index),
         };
         self.spend(index, &tasks);
-        let placement = self.slots(&tasks);
+        let placement = self.task_slots(&tasks);
         self.hold(index, tasks, booking, claim);
         let now = self.now;
         let item = self.items.at_mut(index);
@@ -127,12 +127,12 @@
         item.saved_at = now;
         item.after_stop = AfterStop::Requeue;
         item.throttled = false;
-        let work = item.work.work;
+        let work = item.work.id;
         self.outbox.push(Decision::Start { work, placement, reason });
     }
 
     /// Tasks as the scheduler knows them.
-    pub(crate) fn slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
+    pub(crate) fn task_slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
         let slot = |(rank, it): (usize, &PlacedTask)| {
             let spec = &self.topology.workers[it.worker as usize];
             work::TaskSlot {
@@ -158,12 +158,12 @@
         if after_stop == AfterStop::End && item.end_reason.is_none() {
             item.end_reason = Some(reason.clone());
         }
-        let work = item.work.work;
+        let work = item.work.id;
         self.outbox.push(Decision::Stop { work, after_stop, reason });
     }
 
     /// Asks a gang for a checkpoint within a grace, where it can make one, and then stops it.
-    pub(crate) fn wind_down(
+    pub(crate) fn checkpoint_and_stop(
         &mut self,
         index: u32,
         grace: Duration,
@@ -186,7 +186,7 @@
         if after_stop == AfterStop::End {
             item.end_reason = Some(reason.clone());
         }
-        let work = item.work.work;
+        let work = item.work.id;
         let stop_by = Some(stop_by);
         self.outbox.push(Decision::Checkpoint { work, stop_by, reason });
         self.set_timer(now + grace, TimerKind::Grace, index);
@@ -195,9 +195,9 @@
     /// Queues an item again after its attempt ended, with its age and checkpoint.
     pub(crate) fn requeue(&mut self, index: u32, wait: Duration, reason: model::WaitReason) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         if item.cancelled {
-            self.finish_unrun(index, reasons::cancelled());
+            self.finish_unplaced(index, reasons::cancelled());
             return;
         }
         self.outbox.push(Decision::Requeue { work, reason });
@@ -219,7 +219,7 @@
     }
 
     /// Ends an item that holds nothing now: `not run` only where it never ran.
-    pub(crate) fn finish_unrun(&mut self, index: u32, reason: model::WaitReason) {
+    pub(crate) fn finish_unplaced(&mut self, index: u32, reason: model::WaitReason) {
         let outcome = match self.items.at(index).ever_started {
             true => model::RequestOutcome::Failed,
             false => model::RequestOutcome::NotRun,
@@ -233,7 +233,7 @@
     }
 
     fn finish(&mut self, index: u32, outcome: model::RequestOutcome, reason: model::WaitReason) {
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         self.outbox.push(Decision::Finish { work, outcome, reason });
         self.forget(index);
     }
@@ -260,7 +260,7 @@
         let asked = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
         if item.after_stop == AfterStop::End && asked {
             let reason = self.end_reason(index);
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
         } else if asked || self.retries(index) {
             self.items.at_mut(index).n_reclaims += 1;
             self.requeue(index, Duration::ZERO, reasons::stopped());
@@ -277,7 +277,7 @@
     }
 
     pub(crate) fn failed(&mut self, index: u32, worker: Option<u32>) {
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         if let Some(worker) = worker {
             self.blame(index, worker, work);
         }
@@ -304,7 +304,7 @@
         self.release(index);
         let reason = reasons::worker_lost(worker);
         if self.items.at(index).cancelled {
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
         } else if self.retries(index) {
             self.requeue(index, Duration::ZERO, reason);
         } else {
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -85,13 +85,13 @@
                 format!("behind {ahead} of work of the same account, class and shape"),
             );
         }
-        if group.blocked_at.is_none() {
+        if group.blocked_at_version.is_none() {
             return reasons::plain(model::WaitCode::Queued, "queued; decided in the next turn");
         }
         if item.work.guarantee.is_some() {
             return self.explain_claim(item);
         }
-        match group.block {
+        match group.wait_code {
             model::WaitCode::Adjacency => self.explain_adjacency(item),
             code => reasons::plain(code, self.waiting_text(item, code, now)),
         }
@@ -111,7 +111,7 @@
             let text = format!("guarantee {label} is lost: too few workers of {}", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         }
-        let claimed: u32 = shape.claims.iter().map(|it| self.items.at(*it).width()).sum();
+        let claimed: u32 = shape.claims.iter().map(|it| self.items.at(*it).n_accelerators()).sum();
         let text = format!(
             "guarantee {label} is claimed already, with {claimed} of {} accelerators, and nothing \
              above it is free",
@@ -121,7 +121,7 @@
     }
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
-        let need = item.width();
+        let need = item.n_accelerators();
         let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
@@ -196,7 +196,7 @@
             .reserving
             .iter()
             .map(|it| self.items.at(*it))
-            .map(|it| (it.width(), it.work.adjacency));
+            .map(|it| (it.n_accelerators(), it.work.adjacency));
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
@@ -240,7 +240,7 @@
             model::QueueView {
                 account: item.work.account.clone(),
                 class: item.work.class.clone(),
-                job: item.work.work,
+                job: item.work.id,
                 reason: self.explain(index, now),
                 since: item.work.submitted_at,
             }
@@ -278,14 +278,14 @@
         let state = match item {
             _ if !self.health[worker].present => model::AcceleratorState::Lost,
             None => model::AcceleratorState::Free,
-            Some(it) if !it.state.holds() => model::AcceleratorState::Reserved,
+            Some(it) if !it.state.holds_accelerators() => model::AcceleratorState::Reserved,
             Some(_) if request => model::AcceleratorState::Request,
             Some(_) => model::AcceleratorState::Job,
         };
         model::AcceleratorView {
             account: item.map(|it| it.work.account.clone()),
             home_of: (home != NONE).then(|| self.homes[home as usize].label()),
-            job: item.filter(|_| !request).map(|it| it.work.work),
+            job: item.filter(|_| !request).map(|it| it.work.id),
             state,
         }
     }
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -97,8 +97,8 @@
         if self.health[worker as usize].failed(work, weight, self.now) {
             self.homes_dirty = true;
             if let Some(at) = self.health[worker as usize].quarantined_until {
-                self.set_timer(at, TimerKind::Capacity, NONE);
-                self.set_timer(at + PROBE_PATIENCE, TimerKind::Capacity, NONE);
+                self.set_timer(at, TimerKind::CapacityCheck, NONE);
+                self.set_timer(at + PROBE_PATIENCE, TimerKind::CapacityCheck, NONE);
             }
         }
     }
@@ -106,7 +106,7 @@
     /// Takes back what was counted against workers for this work.
     pub(crate) fn forgive_all(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         for it in item.failed_on.clone() {
             self.health[it as usize].forgive(work);
         }
@@ -115,7 +115,7 @@
     /// Counts a success for the workers.
     pub(crate) fn credit(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         self.failures.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
@@ -132,14 +132,14 @@
     pub(crate) fn unprobe(&mut self, index: u32) {
         let item = self.items.at(index);
         for it in &item.tasks {
-            self.health[it.worker as usize].unprobe(item.work.work);
+            self.health[it.worker as usize].unprobe(item.work.id);
         }
     }
 
     /// Leaves a worker alone for a while.
     pub(crate) fn pause_worker(&mut self, worker: u32) {
         let at = self.health[worker as usize].pause(self.now);
-        self.set_timer(at, TimerKind::Capacity, NONE);
+        self.set_timer(at, TimerKind::CapacityCheck, NONE);
     }
 
     /// Reports workers whose state changed.
@@ -152,7 +152,7 @@
             self.reported_states[worker] = state;
             let reason = self.worker_reason(worker as u32, state);
             let worker = self.topology.workers[worker].name.clone();
-            self.outbox.push(Decision::Worker { worker, state, reason });
+            self.outbox.push(Decision::WorkerChanged { worker, state, reason });
         }
     }
 
@@ -200,7 +200,7 @@
                 continue;
             };
             self.dequeue(index);
-            let work = self.items.at(index).work.work;
+            let work = self.items.at(index).work.id;
             self.health[worker as usize].probe = Some(work);
             let name = self.topology.workers[worker as usize].name.clone();
             let text = format!("probes {name}, which failed what it started");
@@ -228,7 +228,7 @@
         let able = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
             && self.booking_of(index) == Booking::Reclaimable
-            && self.held_back(index).is_none();
+            && self.ineligibility(index).is_none();
         if !able {
             return None;
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -34,11 +34,11 @@
     pub(crate) key: GroupKey,
     pub(crate) entries: BTreeSet<QueueEntry>,
     /// Version of the capacity at which its first did not fit.
-    pub(crate) blocked_at: Option<u64>,
+    pub(crate) blocked_at_version: Option<u64>,
     /// Why it did not.
-    pub(crate) block: model::WaitCode,
+    pub(crate) wait_code: model::WaitCode,
     /// Number of the configuration under which it was last seen to be possible.
-    pub(crate) possible_in: u64,
+    pub(crate) feasible_in_config: u64,
 }
 
 /// All waiting work of a hall.
@@ -64,7 +64,7 @@
             self.len += 1;
         }
         if group.entries.first() == Some(&entry) {
-            group.blocked_at = None;
+            group.blocked_at_version = None;
         }
     }
 
@@ -94,9 +94,9 @@
         self.groups[index as usize] = Some(QueueGroup {
             key,
             entries: BTreeSet::new(),
-            blocked_at: None,
-            block: model::WaitCode::Queued,
-            possible_in: 0,
+            blocked_at_version: None,
+            wait_code: model::WaitCode::Queued,
+            feasible_in_config: 0,
         });
         index
     }
@@ -122,7 +122,7 @@
 
     /// Lets every group be tried again, as after a new configuration.
     pub(crate) fn unblock(&mut self) {
-        self.groups.iter_mut().flatten().for_each(|it| it.blocked_at = None);
+        self.groups.iter_mut().flatten().for_each(|it| it.blocked_at_version = None);
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -142,7 +142,7 @@
             if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
         let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
-        let width = f64::from(item.width().max(1));
+        let width = f64::from(item.n_accelerators().max(1));
         (lost + width * RESTART_COST + STOP_COST) * repeat * weight
     }
 
@@ -170,7 +170,7 @@
                 let booking = self.booking_of(victim);
                 self.rebook(victim, booking);
             }
-            self.wind_down(victim, grace, AfterStop::Requeue, reason);
+            self.checkpoint_and_stop(victim, grace, AfterStop::Requeue, reason);
         }
     }
 
--- a/crates/policy/src/rehome.rs
+++ b/crates/policy/src/rehome.rs
@@ -74,9 +74,9 @@
             for claim in &it.claims {
                 let item = self.items.at_mut(*claim);
                 item.claimed_home = None;
-                let width = item.width();
+                let width = item.n_accelerators();
                 self.account_usage[item.account as usize].claimed -= width;
-                if self.items.at(*claim).state.holds() {
+                if self.items.at(*claim).state.holds_accelerators() {
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
                 } else {
@@ -136,7 +136,7 @@
         }
         claims.push(index);
         let item = self.items.at(index);
-        let width = item.width();
+        let width = item.n_accelerators();
         self.account_usage[item.account as usize].claimed += width;
     }
 
@@ -144,7 +144,7 @@
     pub(crate) fn detach(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         let Some(home) = item.claimed_home.take() else { return };
-        let width = item.width();
+        let width = item.n_accelerators();
         let account = item.account as usize;
         self.account_usage[account].claimed -= width;
         self.homes[home as usize].claims.retain(|it| *it != index);
@@ -152,7 +152,7 @@
 
     /// Accelerators of a home that work claims.
     pub(crate) fn claimed(&self, home: u32) -> u32 {
-        let width = |it: &u32| self.items.at(*it).width();
+        let width = |it: &u32| self.items.at(*it).n_accelerators();
         self.homes[home as usize].claims.iter().map(width).sum()
     }
 
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -10,7 +10,7 @@
     /// The grace of a checkpoint ends.
     Grace,
     /// A run is to be saved.
-    Save,
+    PeriodicCheckpoint,
     /// A run reaches its limit.
     Throttle,
     /// A run reaches the overrun bound.
@@ -20,9 +20,9 @@
     /// Work may be tried again.
     Retry,
     /// Something waited long enough for the next step; of no item.
-    Patience,
+    WaitOver,
     /// Capacity may have come back; of no item.
-    Capacity,
+    CapacityCheck,
 }
 
 /// One time.
@@ -47,12 +47,12 @@
     }
 
     /// The next that is due.
-    pub(crate) fn pop(&mut self, now: time::WallTime) -> Option<TimerEntry> {
+    pub(crate) fn pop_due(&mut self, now: time::WallTime) -> Option<TimerEntry> {
         let due = self.entries.first().is_some_and(|it| it.at <= now);
         if due { self.entries.pop_first() } else { None }
     }
 
-    pub(crate) fn next(&self) -> Option<time::WallTime> {
+    pub(crate) fn next_due(&self) -> Option<time::WallTime> {
         self.entries.first().map(|it| it.at)
     }
 }
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkItem {
     /// Its id.
-    pub work: WorkId,
+    pub id: WorkId,
     /// Who pays.
     pub account: ids::AccountId,
     /// What kind of work.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use almondpass_policy::core::HallCore;
 use almondpass_policy::decision::{AfterStop, Decision};
 use almondpass_policy::event::{HallEvent, WorkExit};
-use almondpass_policy::scheduler::HallPolicy;
+use almondpass_policy::hall_policy::HallPolicy;
 use almondpass_policy::work;
 use almondpass_schema::{model, time};
 use uuid::Uuid;
@@ -146,7 +146,7 @@
 /// A piece of work under construction.
 pub fn job(account: &str, class: &str, tasks: u32, accelerators: u32) -> work::WorkItem {
     work::WorkItem {
-        work: Uuid::nil(),
+        id: Uuid::nil(),
         account: account.to_owned(),
         class: class.to_owned(),
         tasks,
@@ -229,7 +229,7 @@
     pub fn submit(&mut self, item: work::WorkItem) -> work::WorkId {
         let work = id(self.next);
         self.next += 1;
-        let item = work::WorkItem { work, submitted_at: self.now, ..item };
+        let item = work::WorkItem { id: work, submitted_at: self.now, ..item };
         self.core.apply(HallEvent::Arrived(item), self.now);
         work
     }
@@ -259,7 +259,7 @@
     pub fn turn(&mut self) -> Vec<Decision> {
         let mut all = Vec::new();
         for _ in 0..1000 {
-            let decisions = self.core.turn(self.now);
+            let decisions = self.core.run_round(self.now);
             self.core.check_invariants(self.now).expect("the invariants hold");
             for it in &decisions {
                 self.obey(it);
--- a/crates/policy/tests/fuzz/oracle.rs
+++ b/crates/policy/tests/fuzz/oracle.rs
@@ -118,15 +118,15 @@
     fn check_whole(&self, item: &work::WorkItem, placement: &[work::TaskSlot]) {
         let ranks: BTreeSet<u32> = placement.iter().map(|it| it.rank).collect();
         let all: BTreeSet<u32> = (0..item.tasks).collect();
-        assert_eq!(ranks, all, "{} is not whole: {placement:?}", item.work);
-        assert_eq!(placement.len(), item.tasks as usize, "{} repeats ranks", item.work);
+        assert_eq!(ranks, all, "{} is not whole: {placement:?}", item.id);
+        assert_eq!(placement.len(), item.tasks as usize, "{} repeats ranks", item.id);
         for slot in placement {
             let wanted = item.demand.accelerators as usize;
-            assert_eq!(slot.accelerators.len(), wanted, "{}: {slot:?}", item.work);
+            assert_eq!(slot.accelerators.len(), wanted, "{}: {slot:?}", item.id);
             let in_row = slot.accelerators.windows(2).all(|it| it[0] + 1 == it[1]);
-            assert!(in_row, "{}: accelerators not in a row: {slot:?}", item.work);
+            assert!(in_row, "{}: accelerators not in a row: {slot:?}", item.id);
             let there = slot.accelerators.iter().all(|it| *it < site::WORKER_ACCELERATORS);
-            assert!(there, "{}: no such accelerator: {slot:?}", item.work);
+            assert!(there, "{}: no such accelerator: {slot:?}", item.id);
         }
     }
 
@@ -160,7 +160,7 @@
             let gap = linear(&pair[1]) - linear(&pair[0]) - 1;
             let same = pair[0].0 == pair[1].0;
             let near = if same { gap == 0 } else { gap < 2 * item.demand.accelerators };
-            assert!(near && pair[1].0 <= pair[0].0 + 1, "{} has gaps: {placement:?}", item.work);
+            assert!(near && pair[1].0 <= pair[0].0 + 1, "{} has gaps: {placement:?}", item.id);
         }
     }
 
@@ -283,7 +283,7 @@
                 && holds(it)
         };
         let named: Vec<work::WorkId> =
-            self.works.values().filter(names).map(|it| it.item.work).collect();
+            self.works.values().filter(names).map(|it| it.item.id).collect();
         for it in &named {
             claims.insert(*it);
             if self.fit_some(rest, claims, wanted, now) {
--- a/crates/policy/tests/fuzz/world.rs
+++ b/crates/policy/tests/fuzz/world.rs
@@ -6,7 +6,7 @@
 
 use almondpass_policy::decision::Decision;
 use almondpass_policy::event::{HallEvent, StartFault, WorkExit};
-use almondpass_policy::{scheduler, work};
+use almondpass_policy::{hall_policy, work};
 use almondpass_schema::{ids, model, time};
 use uuid::Uuid;
 
@@ -29,7 +29,7 @@
 const QUIET_TIME: Duration = Duration::from_secs(3 * 3_600);
 
 /// What a policy under test promises.
-pub(crate) trait Promises: scheduler::HallPolicy {
+pub(crate) trait Promises: hall_policy::HallPolicy {
     /// Guarantees, bounds, limits and truth about work that never ran.
     const FULL: bool;
 
@@ -244,7 +244,7 @@
     fn item(&mut self, account: u8, class: &str) -> work::WorkItem {
         self.next += 1;
         work::WorkItem {
-            work: Uuid::from_u128(self.next.into()),
+            id: Uuid::from_u128(self.next.into()),
             account: site::ACCOUNTS[usize::from(account)].to_owned(),
             class: class.to_owned(),
             tasks: 1,
@@ -278,7 +278,7 @@
             stopping: false,
             due,
         };
-        self.oracle.works.insert(item.work, case);
+        self.oracle.works.insert(item.id, case);
         self.tell(HallEvent::Arrived(item));
     }
 
@@ -291,7 +291,7 @@
         let account = site::ACCOUNTS[usize::from(account)];
         let hit = |it: &&WorkCase| it.item.account == account && it.phase != Phase::Over;
         let wave: Vec<work::WorkId> =
-            self.oracle.works.values().filter(hit).map(|it| it.item.work).collect();
+            self.oracle.works.values().filter(hit).map(|it| it.item.id).collect();
         wave.into_iter().for_each(|it| self.cancel(it));
     }
 
@@ -317,7 +317,7 @@
             oracle::holds(it) && it.placement.iter().any(|slot| slot.worker == worker)
         };
         let gangs: Vec<(work::WorkId, u32)> =
-            self.oracle.works.values().filter(hit).map(|it| (it.item.work, it.start)).collect();
+            self.oracle.works.values().filter(hit).map(|it| (it.item.id, it.start)).collect();
         for (id, start) in gangs {
             // Whatever else was to come of this start is moot.
             self.due.retain(|_, due| !due.is_of(id, start));
@@ -426,7 +426,7 @@
     fn repeat(&mut self, pick: u16) {
         let Some(event) = self.told.get(usize::from(pick) % self.told.len().max(1)) else { return };
         let again = match event {
-            HallEvent::Arrived(item) => self.oracle.works[&item.work].phase != Phase::Over,
+            HallEvent::Arrived(item) => self.oracle.works[&item.id].phase != Phase::Over,
             HallEvent::Cancelled(_) => true,
             _ => false,
         };
@@ -467,7 +467,7 @@
         let mut decided = false;
         let mut latest = Vec::new();
         for _ in 0..MOST_TURNS {
-            latest = self.policy.turn(self.now);
+            latest = self.policy.run_round(self.now);
             decided |= !latest.is_empty();
             for decision in latest.clone() {
                 self.carry_out(decision);
@@ -603,14 +603,14 @@
             }
             Decision::Requeue { work, .. } => self.oracle.requeue(work),
             Decision::Finish { work, outcome, .. } => self.oracle.finish(work, outcome),
-            Decision::Worker { worker, state, .. } => {
+            Decision::WorkerChanged { worker, state, .. } => {
                 let shunned =
                     matches!(state, model::WorkerState::Quarantined | model::WorkerState::Probing);
                 if let Some(case) = self.oracle.workers.get_mut(&worker) {
                     case.shunned = shunned;
                 }
             }
-            Decision::Guarantee { account, guarantee, state, .. } => {
+            Decision::GuaranteeChanged { account, guarantee, state, .. } => {
                 let key = (account, guarantee);
                 if state == model::GuaranteeState::Lost {
                     self.oracle.lost_guarantees.insert(key);
@@ -637,7 +637,7 @@
     }
 }
 
-fn new_policy<P: scheduler::HallPolicy>(
+fn new_policy<P: hall_policy::HallPolicy>(
     document: &Arc<model::ConfigDocument>,
     now: time::WallTime,
 ) -> P {
--- a/crates/policy/tests/fuzz_findings.rs
+++ b/crates/policy/tests/fuzz_findings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use almondpass_policy::event::{HallEvent, WorkExit};
-use almondpass_policy::scheduler::HallPolicy;
+use almondpass_policy::hall_policy::HallPolicy;
 use almondpass_policy::work;
 use almondpass_schema::model;
 use std::sync::Arc;
--- a/crates/policy/tests/guarantee.rs
+++ b/crates/policy/tests/guarantee.rs
@@ -58,7 +58,7 @@
 fn lost_home_moves_to_another_worker() {
     let mut hall = TestHall::new(config(1));
     let homes = |hall: &TestHall| -> Vec<String> {
-        let picture = almondpass_policy::scheduler::HallPolicy::picture(&hall.core, hall.now);
+        let picture = almondpass_policy::hall_policy::HallPolicy::picture(&hall.core, hall.now);
         let at_home = |it: &model::WorkerView| it.accelerators[0].home_of.is_some();
         picture.workers.into_iter().filter(at_home).map(|it| it.worker).collect()
     };
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use almondpass_policy::hall_policy::PolicyFault;
 use almondpass_policy::homes;
-use almondpass_policy::scheduler::PolicyFault;
 use almondpass_schema::model;
 use common::{config, shape};
 
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use almondpass_policy::event::{HallEvent, WorkExit};
-use almondpass_policy::scheduler::HallPolicy;
+use almondpass_policy::hall_policy::HallPolicy;
 use almondpass_policy::work;
 use almondpass_schema::model;
 use common::{TestHall, account, config, gang, job, request, secs};
@@ -173,9 +173,9 @@
     let mut hall = TestHall::unborn(config(1));
     let slot =
         work::TaskSlot { rank: 0, worker: "vadodara-r1-01".to_owned(), accelerators: vec![0, 1] };
-    let item = work::WorkItem { work: common::id(77), ..job("large", "certificate", 1, 2) };
+    let item = work::WorkItem { id: common::id(77), ..job("large", "certificate", 1, 2) };
     let placement = vec![slot.clone()];
-    hall.running.insert(item.work, placement.clone());
+    hall.running.insert(item.id, placement.clone());
     let started_at = hall.now;
     hall.core.apply(HallEvent::Adopted { item, placement, started_at }, hall.now);
     for it in 1..=8 {
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -17,7 +17,7 @@
         let seconds = at.since(START).as_secs();
         writeln!(text, "{seconds:>5}s {}", line(decision)).expect("a string");
     }
-    let picture = almondpass_policy::scheduler::HallPolicy::picture(&hall.core, hall.now);
+    let picture = almondpass_policy::hall_policy::HallPolicy::picture(&hall.core, hall.now);
     for it in picture.queue {
         let n = it.job.as_u128();
         writeln!(text, "waits  #{n} {} {}: {}", it.account, it.class, it.reason.text)
@@ -48,8 +48,10 @@
         Decision::Finish { work, outcome, reason } => {
             format!("finish #{} {outcome}: {}", work.as_u128(), reason.text)
         }
-        Decision::Worker { state, reason, .. } => format!("worker {state}: {}", reason.text),
-        Decision::Guarantee { state, reason, .. } => format!("guarantee {state}: {}", reason.text),
+        Decision::WorkerChanged { state, reason, .. } => format!("worker {state}: {}", reason.text),
+        Decision::GuaranteeChanged { state, reason, .. } => {
+            format!("guarantee {state}: {}", reason.text)
+        }
     }
 }
 
--- a/crates/replay/src/cost.rs
+++ b/crates/replay/src/cost.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use almondpass_policy::scheduler::HallPolicy;
+use almondpass_policy::hall_policy::HallPolicy;
 use almondpass_policy::{core, decision, event, work};
 use almondpass_schema::{ids, model, time};
 use clap::Args;
@@ -170,7 +170,7 @@
             self.core.apply(event::HallEvent::Ended { work, exit }, self.now);
             self.arrive(1);
         }
-        let decisions = self.core.turn(self.now);
+        let decisions = self.core.run_round(self.now);
         let took = clock.elapsed();
         self.obey(decisions);
         took
@@ -181,7 +181,7 @@
         // In two years most tasks have no accelerator of their own.
         let bare = accelerators == 1 && !self.next.is_multiple_of(14);
         let item = work::WorkItem {
-            work: Uuid::from_u128(self.next.into()),
+            id: Uuid::from_u128(self.next.into()),
             account: format!("team-{}", self.next % 22),
             class: "batch".to_owned(),
             tasks: 1,
@@ -206,7 +206,7 @@
 
     fn turn(&mut self) {
         loop {
-            let decisions = self.core.turn(self.now);
+            let decisions = self.core.run_round(self.now);
             self.obey(decisions);
             if self.core.next_wake(self.now).is_none_or(|it| self.now < it) {
                 return;
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use almondpass_policy::{decision, event, scheduler, work};
+use almondpass_policy::{decision, event, hall_policy, work};
 use almondpass_schema::{ids, model, time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -97,7 +97,7 @@
 }
 
 /// Replays `trace` against a new `P` and returns what was measured.
-pub fn replay<P: scheduler::HallPolicy>(
+pub fn replay<P: hall_policy::HallPolicy>(
     document: &Arc<model::ConfigDocument>,
     trace: &trace::Trace,
     seed: u64,
@@ -109,7 +109,7 @@
     Ok(engine.tally)
 }
 
-impl<'a, P: scheduler::HallPolicy> ReplayEngine<'a, P> {
+impl<'a, P: hall_policy::HallPolicy> ReplayEngine<'a, P> {
     fn new(
         mut policy: P,
         document: Arc<model::ConfigDocument>,
@@ -136,7 +136,7 @@
             floor: floor::HallFloor::new(&document),
             document,
             works: vec![unborn; trace.items.len()],
-            index: trace.items.iter().enumerate().map(|(at, it)| (it.item.work, at)).collect(),
+            index: trace.items.iter().enumerate().map(|(at, it)| (it.item.id, at)).collect(),
             poisoned: HashSet::new(),
             n_faults: 0,
             agenda: BinaryHeap::new(),
@@ -199,7 +199,7 @@
 
     fn take_turn(&mut self, now: Duration) {
         let clock = Instant::now();
-        let decisions = self.policy.turn(wall(now));
+        let decisions = self.policy.run_round(wall(now));
         self.tally.turn_cost.record_number(clock.elapsed().as_nanos() as u64);
         for decision in decisions {
             self.carry_out(decision, now);
@@ -282,7 +282,7 @@
     }
 
     fn id(&self, index: usize) -> work::WorkId {
-        self.trace.items[index].item.work
+        self.trace.items[index].item.id
     }
 
     fn is_current(&self, index: usize, attempt: u32, stage: Stage) -> bool {
@@ -495,8 +495,8 @@
             decision::Decision::Requeue { .. } => self.tally.preemptions += 1,
             decision::Decision::Finish { work, outcome, .. } => self.finish(work, outcome),
             decision::Decision::Throttle { .. }
-            | decision::Decision::Worker { .. }
-            | decision::Decision::Guarantee { .. } => {}
+            | decision::Decision::WorkerChanged { .. }
+            | decision::Decision::GuaranteeChanged { .. } => {}
         }
     }
 
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -131,7 +131,7 @@
         }
         items.sort_by_key(|it| it.at);
         for (index, it) in items.iter_mut().enumerate() {
-            it.item.work = Uuid::from_u128(index as u128 + 1);
+            it.item.id = Uuid::from_u128(index as u128 + 1);
         }
         cancel_waves(&mut items, spec.span, &mut rng);
         let faults = worker_faults(&document, spec.span, &mut rng);
@@ -186,7 +186,7 @@
     let tasks = if flaw == Some(WorkFlaw::Impossible) { IMPOSSIBLE_TASKS } else { shape.tasks };
     let claim = owner.guarantee.filter(|it| tasks * shape.accelerators <= it.accelerators);
     let item = work::WorkItem {
-        work: Uuid::nil(),
+        id: Uuid::nil(),
         account: owner.account,
         class: load.class.clone(),
         tasks,
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_policy::{baseline_best_fit, baseline_first_fit, core, scheduler, work};
+use almondpass_policy::{baseline_best_fit, baseline_first_fit, core, hall_policy, work};
 use almondpass_replay::{engine, floor, site, trace};
 use uuid::Uuid;
 
@@ -15,7 +15,7 @@
 }
 
 /// Replays ten minutes and expects that all work that can end does.
-fn check<P: scheduler::HallPolicy>(site: site::SiteName) {
+fn check<P: hall_policy::HallPolicy>(site: site::SiteName) {
     let document = Arc::new(site.document());
     let trace = short_trace(site);
     let tally = engine::replay::<P>(&document, &trace, SEED).expect("a site that fits");
