--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -13,7 +13,7 @@
 use crate::rules::ClaimRule;
 
 /// Claims looked at in one turn.
-const CLAIMS_A_TURN: usize = 64;
+const MAX_CLAIMS_PER_ROUND: usize = 64;
 
 impl HallCore {
     /// Starts what fits an unclaimed shape of its account, reclaiming it where it must.
@@ -21,7 +21,7 @@
         if self.homes.is_empty() {
             return;
         }
-        let mut budget = CLAIMS_A_TURN;
+        let mut budget = MAX_CLAIMS_PER_ROUND;
         let mut groups = self.ranked_groups(|core, key| core.may_claim(key));
         // Work that names its guarantee goes before what merely fits.
         groups.sort_by_key(|it| self.queue.group(*it).is_some_and(|it| it.key.guarantee.is_none()));
@@ -45,7 +45,7 @@
     fn home_fits(&self, home: u32, key: &GroupKey, width: u32) -> bool {
         let shape = &self.homes[home as usize];
         shape.account == key.account
-            && shape.settled()
+            && shape.has_block()
             && key.guarantee.as_ref().is_none_or(|it| *it == shape.guarantee)
             && self.kept_claims(home, key) + width <= shape.size
             && (key.guarantee.is_some() || !self.blocks_shape(shape, key, width))
@@ -56,19 +56,19 @@
     fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, width: u32) -> bool {
         let rule = &self.catalog.classes[key.class as usize];
         let gangs = shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
-        self.is_hard(rule) && (shape.named || gangs)
+        self.is_hard(rule) && (shape.claimed_by_name || gangs)
     }
 
     /// Accelerators of a home whose claims do not yield to work of this kind.
     fn kept_claims(&self, home: u32, key: &GroupKey) -> u32 {
-        let kept = |it: &&u32| !self.yields(**it, key);
+        let kept = |it: &&u32| !self.claim_yields(**it, key);
         let claims = self.homes[home as usize].claims.iter().filter(kept);
         claims.map(|it| self.items.at(*it).n_accelerators()).sum()
     }
 
     /// Whether a claim gives way to other work of its own account: it took the guarantee without
     /// naming it, and the other names it or is urgent.
-    pub(crate) fn yields(&self, claim: u32, key: &GroupKey) -> bool {
+    pub(crate) fn claim_yields(&self, claim: u32, key: &GroupKey) -> bool {
         let item = self.items.at(claim);
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[key.class as usize];
@@ -112,7 +112,7 @@
         for home in &homes {
             let most = self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
             if most
-                && self.move_to_free(*home, index)
+                && self.move_home_to_free_block(*home, index)
                 && let Some(tasks) = self.place_claim(index, *home, &request, &key)
             {
                 return self.start_claim(index, *home, tasks, "block was moved to a free one");
@@ -157,13 +157,13 @@
         request: &PlacementRequest,
         key: &GroupKey,
     ) -> bool {
-        self.move_to_cheaper(home, index);
+        self.move_home_to_cheaper_block(home, index);
         let exclude = &self.items.at(index).exclude;
         let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
         let Some(tasks) = self.cheapest_place(request, &rule, home) else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Claim, Some(home));
-        self.send_away(index, ReserveKind::Claim);
+        self.preempt_holders(index, ReserveKind::Claim);
         true
     }
 
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -155,13 +155,13 @@
         self.changed_since_round = false;
         self.fire_timers();
         self.tell_workers();
-        self.keep_homes();
+        self.repair_homes();
         self.check_reservations();
         self.measure_headroom();
         self.serve_claims();
         self.probe_workers();
         self.dispatch();
-        self.clear_blocks();
+        self.reserve_gang_blocks();
         std::mem::take(&mut self.outbox)
     }
 
@@ -205,7 +205,7 @@
             self.capacity.accelerators += spec.accelerators;
             self.capacity.usage.add(Usage::capacity(spec));
         }
-        self.adopt_homes();
+        self.configure_homes();
     }
 
     /// Lays the hall out anew and books running work again. Workers that the configuration no
@@ -218,7 +218,7 @@
         for it in reserving {
             self.withdraw(it);
         }
-        self.leave_homes();
+        self.remove_all_blocks();
         self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
         let mut moved: Vec<u32> = Vec::with_capacity(old.workers.len());
         for spec in &old.workers {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -268,8 +268,8 @@
         if self.booking_of(index) != Booking::NonReclaimable {
             return false;
         }
-        self.lend_home() && self.start_unguaranteed(index)
-            || self.restore_homes() && self.start_unguaranteed(index)
+        self.relocate_idle_home() && self.start_unguaranteed(index)
+            || self.restore_canonical_blocks() && self.start_unguaranteed(index)
     }
 
     /// Reserves a place for urgent work whose holders are repeatable, of lower priority and above
@@ -287,7 +287,7 @@
         };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Urgent, None);
-        self.send_away(index, ReserveKind::Urgent);
+        self.preempt_holders(index, ReserveKind::Urgent);
         true
     }
 
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -68,7 +68,7 @@
                 .homes
                 .iter_mut()
                 .find(|it| it.account_id == work.account && it.guarantee == *name);
-            named.into_iter().for_each(|it| it.named = true);
+            named.into_iter().for_each(|it| it.claimed_by_name = true);
         }
         let class = self.catalog.class(&work.class, 0 < work.demand.slots);
         let account = self.catalog.account(&work.account);
--- a/crates/policy/src/clearing.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -23,7 +23,7 @@
 use crate::topology::NONE;
 
 /// Gangs for which a block is sought in one turn.
-const SEARCHES_A_TURN: usize = 4;
+const MAX_SEARCHES_PER_ROUND: usize = 4;
 /// A block that opens later by this for each accelerator is preferred if it lies in home blocks,
 /// which are closed to what can't be reclaimed.
 const OUTSIDE_DELAY: Duration = Duration::from_secs(60);
@@ -31,7 +31,7 @@
 const SLIP: f64 = 0.25;
 
 /// Everything that will be free some day.
-struct ClearRule<'a> {
+struct GangBlockRule<'a> {
     core: &'a HallCore,
     index: u32,
     usage: Usage,
@@ -43,7 +43,7 @@
     exclude: &'a [u32],
 }
 
-impl PlacementRule for ClearRule<'_> {
+impl PlacementRule for GangBlockRule<'_> {
     fn allows_worker(&self, worker: u32) -> bool {
         let others = &self.core.ledger.workers[worker as usize].reservations;
         self.core.health[worker as usize].usable()
@@ -82,7 +82,7 @@
     }
 }
 
-impl ClearRule<'_> {
+impl GangBlockRule<'_> {
     fn goes_before(&self, other: u32) -> bool {
         let clearing = ItemState::Reserving(ReserveKind::Clearing);
         let core = self.core;
@@ -93,7 +93,7 @@
 
 /// A block and when it opens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct ClearScore {
+struct GangBlockScore {
     opening: time::WallTime,
     n_held: usize,
     start: u32,
@@ -101,12 +101,12 @@
 
 impl HallCore {
     /// Whether a gang has waited its bound.
-    pub(crate) fn overdue(&self, index: u32) -> bool {
+    pub(crate) fn is_overdue(&self, index: u32) -> bool {
         self.parameters.gang_wait <= self.wait_time(index)
     }
 
     /// Reserves blocks for the gangs that waited long enough.
-    pub(crate) fn clear_blocks(&mut self) {
+    pub(crate) fn reserve_gang_blocks(&mut self) {
         let clearing = ItemState::Reserving(ReserveKind::Clearing);
         let mut n_clearing =
             self.reserving.iter().filter(|it| self.items.at(**it).state == clearing).count();
@@ -127,20 +127,20 @@
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.parameters.clearings() <= n_clearing && !self.overdue(entry.item);
+            let full = self.parameters.clearings() <= n_clearing && !self.is_overdue(entry.item);
             if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
-            if SEARCHES_A_TURN <= searches {
+            if MAX_SEARCHES_PER_ROUND <= searches {
                 break;
             }
             searches += 1;
-            if self.clear_block(entry.item) {
+            if self.reserve_gang_block(entry.item) {
                 n_clearing += 1;
-            } else if self.overdue(entry.item)
+            } else if self.is_overdue(entry.item)
                 && self.booking_of(entry.item) == Booking::NonReclaimable
             {
-                self.restore_homes();
+                self.restore_canonical_blocks();
             }
         }
         if let Some(at) = wake {
@@ -148,16 +148,16 @@
         }
     }
 
-    fn clear_block(&mut self, index: u32) -> bool {
+    fn reserve_gang_block(&mut self, index: u32) -> bool {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
-        let rule = ClearRule {
+        let rule = GangBlockRule {
             core: self,
             index,
             usage: request.usage,
             hard: self.booking_of(index) == Booking::NonReclaimable,
-            homes_only: self.crowds(index) && !self.overdue(index),
-            overdue: self.overdue(index),
+            homes_only: self.crowds(index) && !self.is_overdue(index),
+            overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
         let ends = if request.accelerators_per_task == 0 { Vec::new() } else { self.ends(index) };
@@ -172,10 +172,10 @@
         let Some(tasks) = found else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Clearing, None);
-        let presses = self.overdue(index);
+        let presses = self.is_overdue(index);
         self.items.at_mut(index).chosen_overdue = presses;
         if presses {
-            self.move_younger(index);
+            self.preempt_younger(index);
         } else {
             let due = self.submitted_at(index) + self.parameters.gang_wait;
             self.set_timer(due, TimerKind::WaitOver, NONE);
@@ -192,9 +192,9 @@
             }
             if holder != last.0 {
                 let away = self.now + self.parameters.grace + self.parameters.margin;
-                let makes_way = self.makes_way(holder, index);
+                let yields_to_gang = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
-                last = (holder, if makes_way { end.min(away) } else { end });
+                last = (holder, if yields_to_gang { end.min(away) } else { end });
             }
             last.1
         };
@@ -204,11 +204,11 @@
     fn earliest_run(
         &self,
         request: &PlacementRequest,
-        rule: &ClearRule<'_>,
+        rule: &GangBlockRule<'_>,
         ends: &[time::WallTime],
     ) -> Option<Vec<PlacedTask>> {
         let mut starts = Vec::new();
-        let mut best: Option<ClearScore> = None;
+        let mut best: Option<GangBlockScore> = None;
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
             let inner = if request.total_accelerators() < spec.accelerators {
                 spec.accelerators_end()
@@ -223,7 +223,7 @@
                 };
                 let all = start as usize..end as usize;
                 let held = &self.ledger.holder[all.clone()];
-                let score = ClearScore {
+                let score = GangBlockScore {
                     opening: ends[all].iter().copied().max().unwrap_or(self.now)
                         + OUTSIDE_DELAY * self.n_outside(start, end),
                     n_held: held.iter().filter(|it| **it != NONE).count(),
@@ -248,7 +248,7 @@
     fn earliest_bare(
         &self,
         request: &PlacementRequest,
-        rule: &ClearRule<'_>,
+        rule: &GangBlockRule<'_>,
     ) -> Option<Vec<PlacedTask>> {
         let together = request.adjacency == model::Adjacency::Worker;
         let mut places: Vec<(time::WallTime, u32)> = Vec::new();
@@ -296,7 +296,7 @@
     fn earliest_scattered(
         &self,
         request: &PlacementRequest,
-        rule: &ClearRule<'_>,
+        rule: &GangBlockRule<'_>,
         ends: &[time::WallTime],
     ) -> Option<Vec<PlacedTask>> {
         let single = PlacementRequest { tasks: 1, ..*request };
@@ -335,7 +335,7 @@
 
     /// Looks again at a block that is being cleared: another place may be free, or its opening may
     /// have slipped.
-    pub(crate) fn refresh_clearing(&mut self, index: u32) {
+    pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
         let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
@@ -346,14 +346,14 @@
             return;
         }
         let opening = self.opening(index, &item.tasks);
-        if self.overdue(index) && !item.chosen_overdue {
+        if self.is_overdue(index) && !item.chosen_overdue {
             // Chosen anew, it counts on younger work to make way.
             self.withdraw(index);
             return;
         }
         let planned = item.expected_free_at.since(item.state_since);
         let slipped = opening.since(item.expected_free_at);
-        if planned.mul_f64(SLIP) < slipped && !self.overdue(index) {
+        if planned.mul_f64(SLIP) < slipped && !self.is_overdue(index) {
             self.withdraw(index);
         } else {
             self.items.at_mut(index).expected_free_at = opening;
@@ -362,11 +362,11 @@
 
     /// Whether held work makes way for a gang that is overdue: it saves its run, is younger and of no
     /// higher priority, so that in order of age the gang would have had the place.
-    fn makes_way(&self, holder: u32, index: u32) -> bool {
+    fn yields_to_gang(&self, holder: u32, index: u32) -> bool {
         let (item, gang) = (self.items.at(holder), self.items.at(index));
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[gang.class as usize];
-        self.overdue(index)
+        self.is_overdue(index)
             && rule.checkpoint
             && rule.repeatable
             && !rule.request
@@ -377,7 +377,7 @@
     }
 
     /// Sends younger work that saves its run out of the block of an overdue gang.
-    fn move_younger(&mut self, index: u32) {
+    fn preempt_younger(&mut self, index: u32) {
         let holders: BTreeSet<u32> = self
             .items
             .at(index)
@@ -389,7 +389,7 @@
             .collect();
         for it in holders {
             let running = self.items.at(it).state == ItemState::Running;
-            if running && self.makes_way(it, index) {
+            if running && self.yields_to_gang(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
                 self.checkpoint_and_stop(it, self.parameters.grace, AfterStop::Requeue, reason);
--- a/crates/policy/src/guarantee.rs
+++ b/crates/policy/src/guarantee.rs
@@ -19,11 +19,11 @@
     /// Work that claims it, holding or reserving its accelerators.
     pub(crate) claims: Vec<u32>,
     /// Whether work has named it since this scheduler began.
-    pub(crate) named: bool,
+    pub(crate) claimed_by_name: bool,
     /// When it was last moved, or sought to be, to make room for others.
-    pub(crate) lent_at: Option<time::WallTime>,
+    pub(crate) relocation_tried_at: Option<time::WallTime>,
     /// Whether operators were last told that it has a block.
-    pub(crate) reported: Option<bool>,
+    pub(crate) last_reported_block: Option<bool>,
 }
 
 impl HomeBlock {
@@ -37,14 +37,14 @@
             canonical: home.block.clone(),
             block: Vec::new(),
             claims: Vec::new(),
-            named: false,
-            lent_at: None,
-            reported: None,
+            claimed_by_name: false,
+            relocation_tried_at: None,
+            last_reported_block: None,
         }
     }
 
     /// Whether it has a block.
-    pub(crate) fn settled(&self) -> bool {
+    pub(crate) fn has_block(&self) -> bool {
         !self.block.is_empty()
     }
 
--- a/crates/policy/src/rehome.rs
+++ b/crates/policy/src/home_placement.rs
@@ -29,9 +29,9 @@
 impl HallCore {
     /// Takes over the guarantees that the configuration puts into this hall; blocks of those that
     /// stay the same are kept.
-    pub(crate) fn adopt_homes(&mut self) {
+    pub(crate) fn configure_homes(&mut self) {
         let old = std::mem::take(&mut self.homes);
-        self.leave_blocks(&old);
+        self.release_blocks(&old);
         let mine: Vec<HomeBlock> = self
             .all_homes
             .iter()
@@ -48,19 +48,19 @@
                     && it.adjacency == was.adjacency
             };
             let Some(home) = self.homes.iter().position(same) else { continue };
-            self.homes[home].reported = was.reported;
-            self.homes[home].named = was.named;
-            if was.settled() {
-                self.settle(home as u32, was.block);
+            self.homes[home].last_reported_block = was.last_reported_block;
+            self.homes[home].claimed_by_name = was.claimed_by_name;
+            if was.has_block() {
+                self.assign_block(home as u32, was.block);
             }
         }
         self.homes_dirty = true;
     }
 
     /// Takes every block away, as before the hall is laid out anew.
-    pub(crate) fn leave_homes(&mut self) {
+    pub(crate) fn remove_all_blocks(&mut self) {
         let mut homes = std::mem::take(&mut self.homes);
-        self.leave_blocks(&homes);
+        self.release_blocks(&homes);
         for it in &mut homes {
             it.block.clear();
             it.claims.clear();
@@ -69,7 +69,7 @@
     }
 
     /// Frees blocks and makes their claims ordinary work; reservations go back to the queue.
-    fn leave_blocks(&mut self, homes: &[HomeBlock]) {
+    fn release_blocks(&mut self, homes: &[HomeBlock]) {
         for it in homes {
             for claim in &it.claims {
                 let item = self.items.at_mut(*claim);
@@ -83,30 +83,31 @@
                     self.withdraw(*claim);
                 }
             }
-            self.ledger.unsettle(&it.block, &self.topology);
+            self.ledger.remove_home_block(&it.block, &self.topology);
         }
     }
 
     /// Takes the block of one home away.
-    pub(crate) fn leave(&mut self, home: u32) {
+    pub(crate) fn remove_block(&mut self, home: u32) {
         let was = self.homes[home as usize].clone();
         self.homes[home as usize].block.clear();
         self.homes[home as usize].claims.clear();
-        self.leave_blocks(&[was]);
+        self.release_blocks(&[was]);
     }
 
     /// Makes a block the home of a shape. Work of the same account inside becomes its claim.
-    pub(crate) fn settle(&mut self, home: u32, block: Vec<u32>) {
-        self.ledger.settle(home, &block, &self.topology);
+    pub(crate) fn assign_block(&mut self, home: u32, block: Vec<u32>) {
+        self.ledger.add_home_block(home, &block, &self.topology);
         let account = self.homes[home as usize].account;
         let holders: BTreeSet<u32> =
             block.iter().map(|it| self.ledger.holder[*it as usize]).collect();
         self.homes[home as usize].block = block;
         for it in holders.into_iter().filter(|it| *it != NONE) {
             let item = self.items.at(it);
-            if item.account == account && item.claimed_home.is_none() && self.lies_in(it, home) {
+            if item.account == account && item.claimed_home.is_none() && self.lies_in_home(it, home)
+            {
                 self.rebook(it, Booking::Claim);
-                self.attach(it, home);
+                self.attach_claim(it, home);
             }
         }
         self.homes_version += 1;
@@ -115,7 +116,7 @@
 
     /// Whether all accelerators of held work lie in a home block, and no more of each worker is
     /// used than goes with them.
-    fn lies_in(&self, index: u32, home: u32) -> bool {
+    fn lies_in_home(&self, index: u32, home: u32) -> bool {
         let item = self.items.at(index);
         item.tasks.iter().all(|task| {
             let spec = &self.topology.workers[task.worker as usize];
@@ -128,7 +129,7 @@
     }
 
     /// Notes a claim.
-    pub(crate) fn attach(&mut self, index: u32, home: u32) {
+    pub(crate) fn attach_claim(&mut self, index: u32, home: u32) {
         self.items.at_mut(index).claimed_home = Some(home);
         let claims = &mut self.homes[home as usize].claims;
         if claims.contains(&index) {
@@ -141,7 +142,7 @@
     }
 
     /// Forgets a claim.
-    pub(crate) fn detach(&mut self, index: u32) {
+    pub(crate) fn detach_claim(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         let Some(home) = item.claimed_home.take() else { return };
         let width = item.n_accelerators();
@@ -151,34 +152,35 @@
     }
 
     /// Accelerators of a home that work claims.
-    pub(crate) fn claimed(&self, home: u32) -> u32 {
+    pub(crate) fn claimed_accelerators(&self, home: u32) -> u32 {
         let width = |it: &u32| self.items.at(*it).n_accelerators();
         self.homes[home as usize].claims.iter().map(width).sum()
     }
 
     /// Gives every shape whose block is damaged another one, and reports what changed.
-    pub(crate) fn keep_homes(&mut self) {
+    pub(crate) fn repair_homes(&mut self) {
         if !self.homes_dirty {
             return;
         }
         self.homes_dirty = false;
         let before: Vec<Vec<u32>> = self.homes.iter().map(|it| it.block.clone()).collect();
         for home in 0..self.homes.len() as u32 {
-            if self.homes[home as usize].settled() && !self.holds_good(home) {
-                self.leave(home);
+            if self.homes[home as usize].has_block() && !self.block_is_valid(home) {
+                self.remove_block(home);
             }
         }
-        self.settle_lost();
-        if self.homes.iter().any(|it| !it.settled()) {
-            self.settle_afresh();
+        self.assign_missing_blocks();
+        if self.homes.iter().any(|it| !it.has_block()) {
+            self.reassign_unclaimed_blocks();
         }
-        self.report_homes(&before);
+        self.report_home_changes(&before);
     }
 
     /// Shapes in the order in which blocks are chosen: those that fit in few places first.
-    fn lost_homes(&self) -> Vec<u32> {
-        let mut lost: Vec<u32> =
-            (0..self.homes.len() as u32).filter(|it| !self.homes[*it as usize].settled()).collect();
+    fn homes_without_block(&self) -> Vec<u32> {
+        let mut lost: Vec<u32> = (0..self.homes.len() as u32)
+            .filter(|it| !self.homes[*it as usize].has_block())
+            .collect();
         lost.sort_by_key(|it| {
             let home = &self.homes[*it as usize];
             (home.adjacency == model::Adjacency::Any, Reverse(home.size), *it)
@@ -186,22 +188,22 @@
         lost
     }
 
-    pub(crate) fn settle_lost(&mut self) {
-        for home in self.lost_homes() {
+    pub(crate) fn assign_missing_blocks(&mut self) {
+        for home in self.homes_without_block() {
             if let Some((_, block)) = self.cheapest_home(home, true) {
-                self.settle(home, block);
+                self.assign_block(home, block);
             }
         }
     }
 
     /// Chooses all unclaimed blocks anew, largest first, where one after the other left a shape
     /// without one; goes back where that houses no more shapes.
-    fn settle_afresh(&mut self) {
-        let n_before = self.homes.iter().filter(|it| it.settled()).count();
+    fn reassign_unclaimed_blocks(&mut self) {
+        let n_before = self.homes.iter().filter(|it| it.has_block()).count();
         let moved: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
             .filter(|it| {
                 let home = &self.homes[*it as usize];
-                home.settled() && home.claims.is_empty()
+                home.has_block() && home.claims.is_empty()
             })
             .map(|it| (it, self.homes[it as usize].block.clone()))
             .collect();
@@ -209,41 +211,43 @@
             return;
         }
         let kept: Vec<u32> = (0..self.homes.len() as u32)
-            .filter(|it| self.homes[*it as usize].settled())
+            .filter(|it| self.homes[*it as usize].has_block())
             .filter(|it| moved.iter().all(|(home, _)| home != it))
             .collect();
-        moved.iter().for_each(|(home, _)| self.leave(*home));
-        self.settle_lost();
-        if n_before < self.homes.iter().filter(|it| it.settled()).count() {
+        moved.iter().for_each(|(home, _)| self.remove_block(*home));
+        self.assign_missing_blocks();
+        if n_before < self.homes.iter().filter(|it| it.has_block()).count() {
             return;
         }
         // A home that settled just now may have found a claim already, as the account's own work
         // lay there. Kept for that, its block would overlap those that are put back.
         for home in 0..self.homes.len() as u32 {
-            if self.homes[home as usize].settled() && !kept.contains(&home) {
-                self.leave(home);
+            if self.homes[home as usize].has_block() && !kept.contains(&home) {
+                self.remove_block(home);
             }
         }
         for (home, block) in moved {
             // A home that took up a claim meanwhile stays, and may lie on this block.
-            if !self.homes[home as usize].settled() && self.may_settle(home, &block) {
-                self.settle(home, block);
+            if !self.homes[home as usize].has_block() && self.can_assign_block(home, &block) {
+                self.assign_block(home, block);
             }
         }
-        self.settle_lost();
+        self.assign_missing_blocks();
     }
 
     /// Whether a block can still be had: usable workers, and nobody in it who can't be sent away.
-    fn holds_good(&self, home: u32) -> bool {
+    fn block_is_valid(&self, home: u32) -> bool {
         let block = &self.homes[home as usize].block;
         let sound = |it: &u32| self.home_allows(home, *it);
-        block.iter().all(sound) && self.shares_kept(block, false) && self.holders_fit(home, block)
+        block.iter().all(sound)
+            && self.leaves_home_shares(block, false)
+            && self.holders_fit(home, block)
     }
 
     /// Whether a home without a block could have this one.
-    pub(crate) fn may_settle(&self, home: u32, block: &[u32]) -> bool {
+    pub(crate) fn can_assign_block(&self, home: u32, block: &[u32]) -> bool {
         block.iter().all(|it| self.home_allows(home, *it))
-            && self.shares_kept(block, true)
+            && self.leaves_home_shares(block, true)
             && self.holders_fit(home, block)
     }
 
@@ -265,7 +269,7 @@
 
     /// Whether work that can't be reclaimed leaves each worker the cores, memory and slots that go
     /// with its home blocks.
-    pub(crate) fn shares_kept(&self, block: &[u32], adds: bool) -> bool {
+    pub(crate) fn leaves_home_shares(&self, block: &[u32], adds: bool) -> bool {
         self.by_worker(block).into_iter().all(|(worker, n)| {
             let spec = &self.topology.workers[worker as usize];
             let book = &self.ledger.workers[worker as usize];
@@ -277,7 +281,7 @@
 
     /// Whether the cores, memory and slots that go with a block are free now. A home that moved to
     /// a block without them would move again in each turn.
-    fn shares_free(&self, block: &[u32]) -> bool {
+    fn home_shares_free(&self, block: &[u32]) -> bool {
         self.by_worker(block).into_iter().all(|(worker, n)| {
             let spec = &self.topology.workers[worker as usize];
             let book = &self.ledger.workers[worker as usize];
@@ -334,7 +338,7 @@
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, allows);
         choices
             .into_iter()
-            .filter(|it| self.shares_kept(&it.accelerators, true))
+            .filter(|it| self.leaves_home_shares(&it.accelerators, true))
             .filter(|it| self.holders_fit(home, &it.accelerators))
             .map(|it| (self.home_cost(home, &it, own_free), it))
             .min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal))
@@ -367,7 +371,7 @@
     }
 
     /// Moves an unclaimed home to where a claim would cost clearly less.
-    pub(crate) fn move_to_cheaper(&mut self, home: u32, index: u32) {
+    pub(crate) fn move_home_to_cheaper_block(&mut self, home: u32, index: u32) {
         let shape = &self.homes[home as usize];
         if !shape.claims.is_empty() {
             return;
@@ -379,19 +383,19 @@
         if block == here.accelerators || !cheaper || !self.fits_block(index, &block) {
             return;
         }
-        self.leave(home);
-        self.settle(home, block);
-        self.report(home, "moved to a block that costs less to reclaim");
+        self.remove_block(home);
+        self.assign_block(home, block);
+        self.report_home_moved(home, "moved to a block that costs less to reclaim");
     }
 
     /// Moves a home to make room, which operators need not hear of: its guarantee is as good.
-    pub(crate) fn relocate(&mut self, home: u32, block: Vec<u32>) {
-        self.leave(home);
-        self.settle(home, block);
+    pub(crate) fn relocate_home(&mut self, home: u32, block: Vec<u32>) {
+        self.remove_block(home);
+        self.assign_block(home, block);
     }
 
     /// Moves an unclaimed home to a wholly free block elsewhere; false where there is none.
-    pub(crate) fn move_to_free(&mut self, home: u32, index: u32) -> bool {
+    pub(crate) fn move_home_to_free_block(&mut self, home: u32, index: u32) -> bool {
         let shape = &self.homes[home as usize];
         if !shape.claims.is_empty() {
             return false;
@@ -406,14 +410,14 @@
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, free);
         let choice = choices
             .into_iter()
-            .filter(|it| self.shares_kept(&it.accelerators, true))
-            .filter(|it| self.shares_free(&it.accelerators))
+            .filter(|it| self.leaves_home_shares(&it.accelerators, true))
+            .filter(|it| self.home_shares_free(&it.accelerators))
             .filter(|it| self.fits_block(index, &it.accelerators))
             .min_by_key(|it| (it.slack, it.accelerators[0]));
         let Some(choice) = choice else { return false };
-        self.leave(home);
-        self.settle(home, choice.accelerators);
-        self.report(home, "moved to a free block");
+        self.remove_block(home);
+        self.assign_block(home, choice.accelerators);
+        self.report_home_moved(home, "moved to a free block");
         true
     }
 }
--- a/crates/policy/src/lending.rs
+++ b/crates/policy/src/home_relocation.rs
@@ -18,7 +18,7 @@
 
 /// What moving a home to a block would bring and cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct LendScore {
+struct RelocationScore {
     /// Accelerators free in it, which would be closed then.
     n_free: usize,
     /// Work that a claim would stop.
@@ -28,20 +28,20 @@
 
 impl HallCore {
     /// Moves one home so that free accelerators become open to all; false where none can.
-    pub(crate) fn lend_home(&mut self) -> bool {
+    pub(crate) fn relocate_idle_home(&mut self) -> bool {
         for home in 0..self.homes.len() as u32 {
             let shape = &self.homes[home as usize];
-            let idle = shape.settled()
+            let idle = shape.has_block()
                 && shape.claims.is_empty()
-                && shape.lent_at.is_none_or(|it| it + STAYS <= self.now);
+                && shape.relocation_tried_at.is_none_or(|it| it + STAYS <= self.now);
             let n_free = self.n_free(&shape.block);
             if !idle || n_free == 0 {
                 continue;
             }
             // A search that finds nothing is not repeated before the hall has changed.
-            self.homes[home as usize].lent_at = Some(self.now);
+            self.homes[home as usize].relocation_tried_at = Some(self.now);
             if let Some(block) = self.busy_block(home, n_free) {
-                self.relocate(home, block);
+                self.relocate_home(home, block);
                 return true;
             }
         }
@@ -51,7 +51,7 @@
     /// Brings unclaimed homes back to where they are in an empty hall, as far as that can be
     /// reclaimed. Work was admitted if it fits beside these places; homes that have moved about may
     /// leave no run for it, and nothing else would ever move them in a quiet hall.
-    pub(crate) fn restore_homes(&mut self) -> bool {
+    pub(crate) fn restore_canonical_blocks(&mut self) -> bool {
         if self.now < self.homes_restored_at + STAYS {
             return false;
         }
@@ -60,27 +60,27 @@
             .map(|it| (it, self.homes[it as usize].block.clone()))
             .filter(|(home, block)| {
                 let shape = &self.homes[*home as usize];
-                shape.settled() && shape.claims.is_empty() && *block != shape.canonical
+                shape.has_block() && shape.claims.is_empty() && *block != shape.canonical
             })
             .collect();
         if moved.is_empty() {
             return false;
         }
-        moved.iter().for_each(|(home, _)| self.leave(*home));
+        moved.iter().for_each(|(home, _)| self.remove_block(*home));
         for (home, _) in &moved {
             let canonical = self.homes[*home as usize].canonical.clone();
-            if self.may_settle(*home, &canonical) {
-                self.settle(*home, canonical);
+            if self.can_assign_block(*home, &canonical) {
+                self.assign_block(*home, canonical);
             }
         }
         // Each of the others goes back, or where it can if its place is taken now.
         for (home, block) in moved {
-            if !self.homes[home as usize].settled() && self.may_settle(home, &block) {
-                self.settle(home, block);
+            if !self.homes[home as usize].has_block() && self.can_assign_block(home, &block) {
+                self.assign_block(home, block);
             }
         }
-        self.settle_lost();
-        self.homes_dirty = self.homes.iter().any(|it| !it.settled());
+        self.assign_missing_blocks();
+        self.homes_dirty = self.homes.iter().any(|it| !it.has_block());
         true
     }
 
@@ -107,7 +107,11 @@
             let mut holders: Vec<u32> =
                 block.iter().map(|it| self.ledger.holder[*it as usize]).collect();
             holders.dedup();
-            LendScore { n_free: self.n_free(block), n_holders: holders.len(), first: block[0] }
+            RelocationScore {
+                n_free: self.n_free(block),
+                n_holders: holders.len(),
+                first: block[0],
+            }
         };
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, allows);
         let found = choices
@@ -115,6 +119,6 @@
             .map(|it| (score(&it.accelerators), it.accelerators))
             .filter(|(score, _)| 2 * score.n_free < n_free_now)
             .min_by_key(|(score, _)| *score);
-        found.map(|(_, block)| block).filter(|it| self.shares_kept(it, true))
+        found.map(|(_, block)| block).filter(|it| self.leaves_home_shares(it, true))
     }
 }
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -8,26 +8,29 @@
 use crate::topology::NONE;
 
 impl HallCore {
-    pub(crate) fn report_homes(&mut self, before: &[Vec<u32>]) {
+    pub(crate) fn report_home_changes(&mut self, before: &[Vec<u32>]) {
         let settling = self.now.since(self.created_at) < SETTLE_TIME;
         for home in 0..self.homes.len() as u32 {
-            let now_settled = self.homes[home as usize].settled();
-            let was = self.homes[home as usize].reported;
+            let now_settled = self.homes[home as usize].has_block();
+            let was = self.homes[home as usize].last_reported_block;
             if now_settled {
                 if was == Some(true) && before[home as usize] != self.homes[home as usize].block {
-                    self.report(home, "moved: its block was damaged or is no longer reclaimable");
+                    self.report_home_moved(
+                        home,
+                        "moved: its block was damaged or is no longer reclaimable",
+                    );
                 } else if was == Some(false) {
-                    self.report(home, "whole again");
+                    self.report_home_moved(home, "whole again");
                 }
-                self.homes[home as usize].reported = Some(true);
+                self.homes[home as usize].last_reported_block = Some(true);
             } else if was != Some(false) && !settling {
-                self.homes[home as usize].reported = Some(false);
-                self.report_lost(home);
+                self.homes[home as usize].last_reported_block = Some(false);
+                self.report_home_lost(home);
             }
         }
     }
 
-    pub(crate) fn report(&mut self, home: u32, what: &str) {
+    pub(crate) fn report_home_moved(&mut self, home: u32, what: &str) {
         let shape = &self.homes[home as usize];
         let first = self.topology.host(shape.block[0]);
         let reason = reasons::plain(
@@ -37,7 +40,7 @@
         self.push_guarantee(home, reason);
     }
 
-    pub(crate) fn report_lost(&mut self, home: u32) {
+    pub(crate) fn report_home_lost(&mut self, home: u32) {
         let shape = &self.homes[home as usize];
         let n_live = self.health.iter().filter(|it| it.usable()).count();
         let reason = reasons::plain(
@@ -71,7 +74,7 @@
     pub(crate) fn home_state(&self, home: u32) -> model::GuaranteeState {
         let shape = &self.homes[home as usize];
         let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
-        if !shape.settled() {
+        if !shape.has_block() {
             model::GuaranteeState::Lost
         } else if !shape.claims.is_empty() {
             model::GuaranteeState::Claimed
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -42,7 +42,7 @@
     wanted.sort_by_key(|it| {
         (it.shape.hall.is_none(), !strict(it.shape.adjacency), Reverse(it.shape.accelerators))
     });
-    wanted.iter().map(|it| it.settle(&mut halls)).collect()
+    wanted.iter().map(|it| it.assign(&mut halls)).collect()
 }
 
 /// Whether a shape has to be one run.
@@ -56,7 +56,7 @@
 }
 
 impl WantedShape<'_> {
-    fn settle(&self, halls: &mut [HallPlan]) -> Result<Home, hall_policy::PolicyFault> {
+    fn assign(&self, halls: &mut [HallPlan]) -> Result<Home, hall_policy::PolicyFault> {
         let shape = self.shape;
         let mut order: Vec<usize> = (0..halls.len())
             .filter(|it| shape.hall.as_ref().is_none_or(|name| *name == halls[*it].name))
@@ -65,7 +65,7 @@
         order.sort_by_key(|it| (Reverse(halls[*it].left()), *it));
         for it in &order {
             let plan = &mut halls[*it];
-            if let Some(block) = plan.settle(shape) {
+            if let Some(block) = plan.take_block(shape) {
                 return Ok(Home {
                     account: self.account.id.clone(),
                     guarantee: shape.name.clone(),
@@ -128,7 +128,7 @@
         runs.into_iter().map(|it| it.len()).max().unwrap_or(0)
     }
 
-    fn settle(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
+    fn take_block(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
         let free = |it: u32| !self.taken[it as usize];
         let blocks =
             crate::blocks::choices(&self.topology, shape.accelerators, shape.adjacency, free);
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -147,11 +147,11 @@
         for (home, shape) in self.homes.iter().enumerate() {
             let breach =
                 |detail: String| Err(InvariantBreach::HomeBlock { home: shape.label(), detail });
-            if shape.settled() && shape.block.len() as u32 != shape.size {
+            if shape.has_block() && shape.block.len() as u32 != shape.size {
                 return breach(format!("{} accelerators", shape.block.len()));
             }
-            if shape.size < self.claimed(home as u32) {
-                return breach(format!("{} claimed", self.claimed(home as u32)));
+            if shape.size < self.claimed_accelerators(home as u32) {
+                return breach(format!("{} claimed", self.claimed_accelerators(home as u32)));
             }
             for it in &shape.block {
                 if owners.insert(*it, home as u32).is_some() {
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -241,7 +241,7 @@
     }
 
     /// Makes accelerators a home block.
-    pub(crate) fn settle(&mut self, home: u32, block: &[u32], topology: &HallTopology) {
+    pub(crate) fn add_home_block(&mut self, home: u32, block: &[u32], topology: &HallTopology) {
         for it in block {
             self.home[*it as usize] = home;
             self.workers[topology.worker_of[*it as usize] as usize].home_accelerators += 1;
@@ -249,7 +249,7 @@
     }
 
     /// Takes a home block away.
-    pub(crate) fn unsettle(&mut self, block: &[u32], topology: &HallTopology) {
+    pub(crate) fn remove_home_block(&mut self, block: &[u32], topology: &HallTopology) {
         for it in block {
             self.home[*it as usize] = NONE;
             self.workers[topology.worker_of[*it as usize] as usize].home_accelerators -= 1;
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -80,13 +80,13 @@
         item.tasks = tasks;
         item.booking = booking;
         if let Some(home) = claim {
-            self.attach(index, home);
+            self.attach_claim(index, home);
         }
     }
 
     /// Frees what an item holds.
     pub(crate) fn release(&mut self, index: u32) {
-        self.detach(index);
+        self.detach_claim(index);
         let usage = self.usage_of(index);
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -107,7 +107,7 @@
             return reasons::plain(model::WaitCode::NoCapacity, text);
         };
         let label = shape.label();
-        if !shape.settled() {
+        if !shape.has_block() {
             let text = format!("guarantee {label} is lost: too few workers of {}", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         }
@@ -223,7 +223,7 @@
         let shape = &self.homes[home as usize];
         model::GuaranteeView {
             account: shape.account_id.clone(),
-            claimed: self.claimed(home),
+            claimed: self.claimed_accelerators(home),
             guarantee: shape.guarantee.clone(),
             state: self.home_state(home),
         }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -147,7 +147,7 @@
     }
 
     /// Sends away whoever is in the place reserved for an item.
-    pub(crate) fn send_away(&mut self, index: u32, kind: ReserveKind) {
+    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
         let grace = match kind {
             ReserveKind::Urgent => self.parameters.urgent_grace(),
             ReserveKind::Claim | ReserveKind::Clearing => self.parameters.grace,
@@ -155,18 +155,18 @@
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
             let reason = reasons::plain(model::WaitCode::Reclaiming, text.clone());
-            self.send_away_one(it, grace, reason);
+            self.preempt_victim(it, grace, reason);
         }
     }
 
-    fn send_away_one(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
+    fn preempt_victim(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
         // Requests and what is not repeatable end by themselves, within the bound.
         let stoppable = !rule.request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
             if item.claimed_home.is_some() {
-                self.detach(victim);
+                self.detach_claim(victim);
                 let booking = self.booking_of(victim);
                 self.rebook(victim, booking);
             }
@@ -189,16 +189,16 @@
         victims.sort_unstable();
         victims.dedup();
         for (worker, here) in reserve::by_worker(&item.tasks) {
-            self.more_victims(worker, usage.times(here.len() as u32), &mut victims);
+            self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
         }
         victims
     }
 
     /// Adds the cheapest other work on a worker until its cores, memory and slots suffice.
-    fn more_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
+    fn add_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
         let book = &self.ledger.workers[worker as usize];
         let mut free = book.free;
-        let leaves = |it: &&u32| victims.contains(it) || self.goes_anyway(**it);
+        let leaves = |it: &&u32| victims.contains(it) || self.is_ending(**it);
         book.items.iter().filter(leaves).for_each(|it| free.add(self.usage_of(*it)));
         if free.covers(needed) {
             return;
@@ -207,7 +207,7 @@
             .items
             .iter()
             .copied()
-            .filter(|it| !victims.contains(it) && !self.goes_anyway(*it))
+            .filter(|it| !victims.contains(it) && !self.is_ending(*it))
             .filter(|it| {
                 let item = self.items.at(*it);
                 item.claimed_home.is_none() && self.freeable(item)
@@ -228,7 +228,7 @@
         }
     }
 
-    fn goes_anyway(&self, index: u32) -> bool {
+    fn is_ending(&self, index: u32) -> bool {
         matches!(self.items.at(index).state, ItemState::Stopping | ItemState::Checkpointing)
     }
 
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -47,14 +47,14 @@
         item.expected_free_at = opening;
         self.reserving.insert(index);
         if let Some(home) = claim {
-            self.attach(index, home);
+            self.attach_claim(index, home);
         }
         self.reservation_check_version = 0;
     }
 
     /// Gives the place up; the item is then in no queue.
     pub(crate) fn unreserve(&mut self, index: u32) {
-        self.detach(index);
+        self.detach_claim(index);
         let usage = self.usage_of(index);
         let tasks = std::mem::take(&mut self.items.at_mut(index).tasks);
         self.ledger.unreserve(index, &tasks, usage);
@@ -131,9 +131,9 @@
         if self.is_free(index, &tasks) && self.spares_homes(index, &tasks) {
             self.start_reserved(index, kind);
         } else if kind == ReserveKind::Clearing {
-            self.refresh_clearing(index);
+            self.refresh_gang_reservation(index);
         } else {
-            self.send_away(index, kind);
+            self.preempt_holders(index, kind);
         }
     }
 
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -72,7 +72,7 @@
         }
         // A gang past its bound is held up by no run that might outlast the opening.
         let end =
-            if self.core.overdue(reserved_for) { self.certain_end } else { self.expected_end };
+            if self.core.is_overdue(reserved_for) { self.certain_end } else { self.expected_end };
         end <= gang.expected_free_at
     }
 
@@ -198,7 +198,7 @@
     /// Whether the holder can be sent away, or leaves by itself in time.
     fn takes(&self, holder: u32) -> bool {
         let item = self.core.items.at(holder);
-        let own = item.claimed_home.is_some() && self.core.yields(holder, self.key);
+        let own = item.claimed_home.is_some() && self.core.claim_yields(holder, self.key);
         (item.claimed_home.is_none() || own) && self.core.freeable(item)
     }
 }
--- a/crates/policy/src/urgent.rs
+++ b/crates/policy/src/urgent.rs
@@ -47,7 +47,7 @@
             && !self.open.exclude.contains(&worker)
             && (!self.open.hard || core.ledger.home[at] == NONE)
             && (reserved == NONE
-                || core.items.at(reserved).state == clearing && !core.overdue(reserved))
+                || core.items.at(reserved).state == clearing && !core.is_overdue(reserved))
             && (core.ledger.holder[at] == NONE || self.takes(core.ledger.holder[at]))
     }
 
