--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::core::HallCore;
-use crate::decision::{Decision, StopFate};
+use crate::decision::{AfterStop, Decision};
 use crate::item::ItemState;
 use crate::reasons;
 use crate::timers::TimerKind;
@@ -27,12 +27,12 @@
         if !rule.request {
             let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
             let throttle = item.saved_at + left(rule.max_run);
-            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.terms.overrun));
+            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun));
             let saves = rule.checkpoint;
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
             if saves {
-                self.set_timer(self.now + EXPOSED_INTERVAL, TimerKind::Save, index);
+                self.set_timer(self.now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
             }
             if let Some(at) = deadline {
                 self.set_timer(at, TimerKind::Deadline, index);
@@ -43,15 +43,15 @@
     /// Looks at everything that is due.
     pub(crate) fn fire_timers(&mut self) {
         for _ in 0..TIMERS_A_TURN {
-            let Some(it) = self.timers.pop(self.now) else { return };
+            let Some(it) = self.timers.pop_due(self.now) else { return };
             if it.item == NONE {
-                self.version += 1;
-                self.homes_dirty |= it.kind == TimerKind::Capacity;
+                self.capacity_version += 1;
+                self.homes_dirty |= it.kind == TimerKind::CapacityCheck;
             } else if self.items.get(it.item, it.generation).is_some() {
                 self.fire(it.item, it.kind);
             }
         }
-        self.leftover = true;
+        self.budget_exhausted = true;
     }
 
     fn fire(&mut self, index: u32, kind: TimerKind) {
@@ -59,10 +59,10 @@
         match (kind, item.state) {
             // A timer of an earlier attempt must not cut this checkpoint short.
             (TimerKind::Grace, ItemState::Checkpointing) if item.stop_by <= self.now => {
-                self.stop(index, item.fate, reasons::grace_over());
+                self.stop(index, item.after_stop, reasons::grace_over());
             }
             (TimerKind::Throttle, ItemState::Running) => self.throttle(index),
-            (TimerKind::Save, ItemState::Running) => self.save(index),
+            (TimerKind::PeriodicCheckpoint, ItemState::Running) => self.save(index),
             (TimerKind::Overrun, ItemState::Running) => self.overrun(index),
             (TimerKind::Deadline, _) => self.check_deadline(index),
             (TimerKind::Retry, ItemState::Delayed) => self.enqueue(index),
@@ -75,19 +75,19 @@
     fn save(&mut self, index: u32) {
         let item = self.items.at(index);
         let interval = if self.urgent_about() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
-        let due = item.saved_at.max(item.asked_at) + interval;
+        let due = item.saved_at.max(item.checkpoint_requested_at) + interval;
         if self.now < due {
             // Urgent work may come before the long interval is over.
             let next = due.min(self.now + EXPOSED_INTERVAL);
-            self.set_timer(next, TimerKind::Save, index);
+            self.set_timer(next, TimerKind::PeriodicCheckpoint, index);
             return;
         }
-        let work = item.work.work;
+        let work = item.work.id;
         let now = self.now;
-        self.items.at_mut(index).asked_at = now;
+        self.items.at_mut(index).checkpoint_requested_at = now;
         let reason = reasons::saved();
         self.outbox.push(Decision::Checkpoint { work, stop_by: None, reason });
-        self.set_timer(now + EXPOSED_INTERVAL, TimerKind::Save, index);
+        self.set_timer(now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
     }
 
     fn throttle(&mut self, index: u32) {
@@ -98,7 +98,7 @@
             return;
         }
         let reason = reasons::throttled(rule);
-        let work = item.work.work;
+        let work = item.work.id;
         self.items.at_mut(index).throttled = true;
         self.outbox.push(Decision::Throttle { work, reason });
     }
@@ -106,12 +106,12 @@
     fn overrun(&mut self, index: u32) {
         let total = self.total_run(index);
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if total < rule.max_run.mul_f64(self.terms.overrun) {
+        if total < rule.max_run.mul_f64(self.parameters.overrun) {
             return;
         }
         let reason = reasons::overran(rule);
         self.items.at_mut(index).overran = true;
-        self.wind_down(index, self.terms.grace, StopFate::End, reason);
+        self.checkpoint_and_stop(index, self.parameters.grace, AfterStop::End, reason);
     }
 
     /// Run time over all attempts that counts.
@@ -131,7 +131,7 @@
                 let least = self.estimate(item).low.saturating_sub(item.work.saved_run);
                 let latest = deadline - least;
                 if latest < self.now || deadline <= self.now {
-                    self.finish_unrun(index, reasons::deadline(deadline, least));
+                    self.finish_unplaced(index, reasons::deadline(deadline, least));
                 } else {
                     let soon = Duration::from_millis(1);
                     let at = deadline.min(latest + soon);
@@ -139,7 +139,7 @@
                 }
             }
             ItemState::Running if rule.repeatable && !rule.request && deadline <= self.now => {
-                self.stop(index, StopFate::End, reasons::deadline(deadline, Duration::ZERO));
+                self.stop(index, AfterStop::End, reasons::deadline(deadline, Duration::ZERO));
             }
             _ => {}
         }
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -5,18 +5,18 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
+use crate::decision::AfterStop;
 use crate::event::{HallEvent, StartFault, WorkExit};
 use crate::health::WorkerHealth;
 use crate::item::{ItemState, QueueItem};
-use crate::ledger::{Booking, HeldTask, Usage};
+use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::{NONE, WorkerSpec};
 use crate::work;
 
 impl HallCore {
     /// Learns of an event.
-    pub(crate) fn take_in(&mut self, event: HallEvent) {
+    pub(crate) fn handle_event(&mut self, event: HallEvent) {
         match event {
             HallEvent::Arrived(item) => self.arrive(item),
             HallEvent::Adopted { item, placement, started_at } => {
@@ -25,7 +25,7 @@
             HallEvent::Cancelled(work) => self.with(&work, HallCore::cancel),
             HallEvent::Started(work) => self.with(&work, HallCore::started),
             HallEvent::StartFailed { work, worker, fault } => {
-                let worker = worker.and_then(|it| self.topology.find(&it));
+                let worker = worker.and_then(|it| self.topology.find_worker(&it));
                 self.with(&work, |core, it| core.start_failed(it, worker, fault));
             }
             HallEvent::Checkpointed(work) => self.with(&work, HallCore::checkpointed),
@@ -49,13 +49,13 @@
     }
 
     fn arrive(&mut self, work: work::WorkItem) {
-        if self.items.find(&work.work).is_some() {
+        if self.items.find(&work.id).is_some() {
             return;
         }
         let refusal = self.check_admission(&work).err();
         let index = self.insert(work, self.now);
         if let Some(reason) = refusal {
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
             return;
         }
         self.enqueue(index);
@@ -68,42 +68,42 @@
                 .homes
                 .iter_mut()
                 .find(|it| it.account_id == work.account && it.guarantee == *name);
-            named.into_iter().for_each(|it| it.named = true);
+            named.into_iter().for_each(|it| it.claimed_by_name = true);
         }
         let class = self.catalog.class(&work.class, 0 < work.demand.slots);
         let account = self.catalog.account(&work.account);
-        self.uses.resize(self.catalog.accounts.len(), Default::default());
-        let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find(it));
+        self.account_usage.resize(self.catalog.accounts.len(), Default::default());
+        let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find_worker(it));
         let mut failed_on = failed_on.collect::<Vec<_>>();
         failed_on.sort_unstable();
         failed_on.dedup();
-        let exclude = work.exclude.iter().filter_map(|it| self.topology.find(it)).collect();
+        let exclude = work.exclude.iter().filter_map(|it| self.topology.find_worker(it)).collect();
         self.items.insert(QueueItem {
             class,
             account,
             state: ItemState::Waiting,
-            since: self.now,
+            state_since: self.now,
             tasks: Vec::new(),
-            booking: Booking::Soft,
-            claim: None,
+            booking: Booking::Reclaimable,
+            claimed_home: None,
             started_at,
             saved_at: started_at,
-            opening: self.now,
+            expected_free_at: self.now,
             stop_by: self.now,
             urgent_width: 0,
-            asked_at: started_at,
-            fate: StopFate::Requeue,
-            begun: false,
-            ran: 0 < work.attempt,
+            checkpoint_requested_at: started_at,
+            after_stop: AfterStop::Requeue,
+            start_reported: false,
+            ever_started: 0 < work.attempt,
             cancelled: false,
             throttled: false,
             overran: false,
             failed_on,
             failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
             exclude,
-            presses: false,
-            end: None,
-            reclaimed: 0,
+            chosen_overdue: false,
+            end_reason: None,
+            n_reclaims: 0,
             work,
         })
     }
@@ -115,18 +115,18 @@
         placement: &[work::TaskSlot],
         started_at: time::WallTime,
     ) {
-        if let Some(known) = self.items.find(&work.work) {
+        if let Some(known) = self.items.find(&work.id) {
             if self.items.at(known).state != ItemState::Waiting {
                 return;
             }
             self.dequeue(known);
             self.forget(known);
         }
-        let tasks: Vec<HeldTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
+        let tasks: Vec<PlacedTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
         let index = self.insert(work, started_at);
         let item = self.items.at_mut(index);
-        item.begun = true;
-        item.ran = true;
+        item.start_reported = true;
+        item.ever_started = true;
         let booking = self.booking_of(index);
         self.hold(index, tasks, booking, None);
         let item = self.items.at_mut(index);
@@ -135,15 +135,15 @@
         self.homes_dirty = true;
     }
 
-    fn adopted_task(&mut self, slot: &work::TaskSlot) -> HeldTask {
+    fn adopted_task(&mut self, slot: &work::TaskSlot) -> PlacedTask {
         let most = slot.accelerators.iter().max().map_or(0, |it| it + 1);
-        let known = self.topology.find(&slot.worker);
+        let known = self.topology.find_worker(&slot.worker);
         let worker = match known {
             Some(it) if most <= self.topology.workers[it as usize].accelerators => it,
             _ => self.add_removed_worker(&slot.worker, most),
         };
-        let first = self.topology.workers[worker as usize].first;
-        HeldTask { worker, accelerators: slot.accelerators.iter().map(|it| first + it).collect() }
+        let first = self.topology.workers[worker as usize].first_accelerator;
+        PlacedTask { worker, accelerators: slot.accelerators.iter().map(|it| first + it).collect() }
     }
 
     /// A worker on which work runs though the configuration does not have it.
@@ -151,7 +151,7 @@
         let worker = self.topology.push(WorkerSpec {
             name: name.to_owned(),
             rack: NONE,
-            first: 0,
+            first_accelerator: 0,
             accelerators,
             cores: 0,
             memory_mb: 0,
@@ -159,27 +159,27 @@
         });
         let n = self.topology.worker_of.len();
         self.ledger.holder.resize(n, NONE);
-        self.ledger.reserved.resize(n, NONE);
+        self.ledger.reserved_for.resize(n, NONE);
         self.ledger.home.resize(n, NONE);
-        self.ledger.workers.push(crate::ledger::WorkerBook {
+        self.ledger.workers.push(crate::ledger::WorkerLedger {
             free_accelerators: accelerators,
             ..Default::default()
         });
         self.health.push(WorkerHealth::new());
-        self.told.push(model::WorkerState::Lost);
+        self.reported_states.push(model::WorkerState::Lost);
         worker
     }
 
     fn cancel(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         item.cancelled = true;
-        item.fate = StopFate::End;
+        item.after_stop = AfterStop::End;
         match item.state {
             ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
-                self.finish_unrun(index, reasons::cancelled());
+                self.finish_unplaced(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
-                self.stop(index, StopFate::End, reasons::cancelled());
+                self.stop(index, AfterStop::End, reasons::cancelled());
             }
             ItemState::Stopping => {}
         }
@@ -188,17 +188,17 @@
     fn started(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
-        if !matches!(item.state, ItemState::Starting | ItemState::Stopping) || item.begun {
+        if !matches!(item.state, ItemState::Starting | ItemState::Stopping) || item.start_reported {
             return;
         }
-        item.begun = true;
-        item.ran = true;
+        item.start_reported = true;
+        item.ever_started = true;
         item.work.attempt += 1;
         item.started_at = now;
         item.saved_at = now;
         if item.state == ItemState::Starting {
             item.state = ItemState::Running;
-            item.since = now;
+            item.state_since = now;
             self.set_run_timers(index);
         }
     }
@@ -208,7 +208,7 @@
         if !matches!(state, ItemState::Starting | ItemState::Stopping) {
             return;
         }
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         self.unprobe(index);
         self.release(index);
         if let Some(worker) = worker {
@@ -221,9 +221,9 @@
                 StartFault::Withdrawn => {}
             }
         }
-        if self.items.at(index).fate == StopFate::End && state == ItemState::Stopping {
+        if self.items.at(index).after_stop == AfterStop::End && state == ItemState::Stopping {
             let reason = self.end_reason(index);
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
             return;
         }
         let wait = if worker.is_none() && fault != StartFault::Withdrawn {
@@ -237,29 +237,29 @@
     fn checkpointed(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
-        if !item.state.holds() || item.state == ItemState::Starting {
+        if !item.state.holds_accelerators() || item.state == ItemState::Starting {
             return;
         }
         item.work.saved_run += now.since(item.saved_at);
         item.saved_at = now;
         if item.state == ItemState::Checkpointing {
-            let fate = item.fate;
-            self.stop(index, fate, reasons::checkpoint_kept());
+            let after_stop = item.after_stop;
+            self.stop(index, after_stop, reasons::checkpoint_kept());
         }
     }
 
     fn ended(&mut self, index: u32, exit: &WorkExit) {
         let item = self.items.at_mut(index);
-        if !item.state.holds() {
+        if !item.state.holds_accelerators() {
             return;
         }
         // Unlike a failed start, an end says that some of it may have run.
-        item.ran = true;
+        item.ever_started = true;
         match exit {
             WorkExit::Succeeded => self.succeeded(index),
             WorkExit::Stopped => self.stopped(index),
             WorkExit::Failed { worker } => {
-                let worker = self.topology.find(worker);
+                let worker = self.topology.find_worker(worker);
                 self.failed(index, worker);
             }
             WorkExit::Lost { worker } => {
@@ -270,10 +270,10 @@
     }
 
     fn worker_changed(&mut self, name: &str, change: impl FnOnce(&mut WorkerHealth)) {
-        let Some(worker) = self.topology.find(name) else {
+        let Some(worker) = self.topology.find_worker(name) else {
             // What is learned of a worker that the configuration does not have holds when it gets
             // it: a worker drained meanwhile must not take work then.
-            change(self.strangers.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
+            change(self.unlisted_health.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
             return;
         };
         let health = &mut self.health[worker as usize];
@@ -282,7 +282,7 @@
         if health.usable() != before {
             self.homes_dirty = true;
         }
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Capacity of what one task uses.
--- a/crates/policy/src/expectations.rs
+++ b/crates/policy/src/expectations.rs
@@ -30,15 +30,15 @@
     /// When a held item is expected to end.
     pub(crate) fn expected_end(&self, item: &QueueItem) -> time::WallTime {
         if item.state == ItemState::Stopping {
-            return self.now + self.terms.margin;
+            return self.now + self.parameters.margin;
         }
         if item.state == ItemState::Checkpointing {
-            return self.now + self.terms.grace + self.terms.margin;
+            return self.now + self.parameters.grace + self.parameters.margin;
         }
         let whole = self.estimate(item).median.saturating_sub(item.work.saved_run);
         let end = item.saved_at + whole;
         // What runs longer than half of its kind goes on for a good part of what it has taken.
-        let rest = item.run(self.now).mul_f64(REST_OF_LATE_RUN).max(Duration::from_secs(1));
+        let rest = item.run_time(self.now).mul_f64(REST_OF_LATE_RUN).max(Duration::from_secs(1));
         if self.now < end { end } else { self.now + rest }
     }
 
@@ -48,7 +48,7 @@
         if rule.request {
             return item.started_at + rule.max_run;
         }
-        let bound = self.terms.run_bound(rule.max_run);
+        let bound = self.parameters.run_bound(rule.max_run);
         item.saved_at + bound.saturating_sub(item.work.saved_run)
     }
 
@@ -57,23 +57,23 @@
         let rule = &self.catalog.classes[item.class as usize];
         let stopping = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
         let stoppable = !rule.request && (rule.repeatable || stopping);
-        stoppable || self.certain_end(item) <= self.now + self.terms.reclaim
+        stoppable || self.certain_end(item) <= self.now + self.parameters.reclaim
     }
 
     /// How an item that claims nothing is booked when it starts.
     pub(crate) fn booking_of(&self, index: u32) -> Booking {
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if self.is_hard(rule) { Booking::Hard } else { Booking::Soft }
+        if self.is_hard(rule) { Booking::NonReclaimable } else { Booking::Reclaimable }
     }
 
     /// Whether work of a class can be neither stopped nor awaited within the reclaim bound.
     pub(crate) fn is_hard(&self, rule: &ClassRule) -> bool {
         let stoppable = !rule.request && rule.repeatable;
         let bound = if rule.request {
-            rule.max_run + self.terms.margin
+            rule.max_run + self.parameters.margin
         } else {
-            self.terms.run_bound(rule.max_run)
+            self.parameters.run_bound(rule.max_run)
         };
-        !stoppable && self.terms.reclaim < bound
+        !stoppable && self.parameters.reclaim < bound
     }
 }
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -10,7 +10,7 @@
 use crate::health::WorkerHealth;
 use crate::item::ItemState;
 use crate::ledger::{Booking, Usage};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
@@ -50,24 +50,24 @@
     usage: Usage,
 }
 
-impl PlaceRule for ProbeRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for ProbeRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         self.core.topology.worker_of[at] == self.worker && self.core.ledger.holder[at] == NONE
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         if worker != self.worker {
             return 0;
         }
-        self.core.ledger.workers[worker as usize].free.tasks(self.usage)
+        self.core.ledger.workers[worker as usize].free.max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
@@ -97,8 +97,8 @@
         if self.health[worker as usize].failed(work, weight, self.now) {
             self.homes_dirty = true;
             if let Some(at) = self.health[worker as usize].quarantined_until {
-                self.set_timer(at, TimerKind::Capacity, NONE);
-                self.set_timer(at + PROBE_PATIENCE, TimerKind::Capacity, NONE);
+                self.set_timer(at, TimerKind::CapacityCheck, NONE);
+                self.set_timer(at + PROBE_PATIENCE, TimerKind::CapacityCheck, NONE);
             }
         }
     }
@@ -106,7 +106,7 @@
     /// Takes back what was counted against workers for this work.
     pub(crate) fn forgive_all(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         for it in item.failed_on.clone() {
             self.health[it as usize].forgive(work);
         }
@@ -115,7 +115,7 @@
     /// Counts a success for the workers.
     pub(crate) fn credit(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         self.failures.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
@@ -123,7 +123,7 @@
             health.succeeded(work);
             if out && health.usable() {
                 self.homes_dirty = true;
-                self.version += 1;
+                self.capacity_version += 1;
             }
         }
     }
@@ -132,27 +132,27 @@
     pub(crate) fn unprobe(&mut self, index: u32) {
         let item = self.items.at(index);
         for it in &item.tasks {
-            self.health[it.worker as usize].unprobe(item.work.work);
+            self.health[it.worker as usize].unprobe(item.work.id);
         }
     }
 
     /// Leaves a worker alone for a while.
     pub(crate) fn pause_worker(&mut self, worker: u32) {
         let at = self.health[worker as usize].pause(self.now);
-        self.set_timer(at, TimerKind::Capacity, NONE);
+        self.set_timer(at, TimerKind::CapacityCheck, NONE);
     }
 
     /// Reports workers whose state changed.
     pub(crate) fn tell_workers(&mut self) {
         for worker in 0..self.health.len() {
             let state = self.health[worker].state(self.now);
-            if state == self.told[worker] {
+            if state == self.reported_states[worker] {
                 continue;
             }
-            self.told[worker] = state;
+            self.reported_states[worker] = state;
             let reason = self.worker_reason(worker as u32, state);
             let worker = self.topology.workers[worker].name.clone();
-            self.outbox.push(Decision::Worker { worker, state, reason });
+            self.outbox.push(Decision::WorkerChanged { worker, state, reason });
         }
     }
 
@@ -200,7 +200,7 @@
                 continue;
             };
             self.dequeue(index);
-            let work = self.items.at(index).work.work;
+            let work = self.items.at(index).work.id;
             self.health[worker as usize].probe = Some(work);
             let name = self.topology.workers[worker as usize].name.clone();
             let text = format!("probes {name}, which failed what it started");
@@ -214,26 +214,26 @@
         if health.quarantined_until.is_some_and(|it| it + PROBE_PATIENCE <= self.now) {
             health.release();
             self.homes_dirty = true;
-            self.bump();
+            self.note_capacity_change();
         }
     }
 
     /// Places the eldest of a group that has never failed on the worker. Work that has failed may be
     /// at fault itself: as a probe it would take a sound worker out again and again, for longer each
     /// time, and a gang that needs the worker would wait for it.
-    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::HeldTask>)> {
+    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
         let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
         let item = self.items.at(index);
         let able = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
-            && self.booking_of(index) == Booking::Soft
-            && self.held_back(index).is_none();
+            && self.booking_of(index) == Booking::Reclaimable
+            && self.ineligibility(index).is_none();
         if !able {
             return None;
         }
-        let ask = PlaceAsk::of(&item.work);
-        let rule = ProbeRule { core: self, worker, usage: ask.usage };
-        Some((index, placement::best(&self.topology, &ask, &rule)?))
+        let request = PlacementRequest::of(&item.work);
+        let rule = ProbeRule { core: self, worker, usage: request.usage };
+        Some((index, placement::best(&self.topology, &request, &rule)?))
     }
 }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -5,10 +5,10 @@
 use almondpass_schema::model;
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
+use crate::decision::AfterStop;
 use crate::item::{ItemState, QueueItem, ReserveKind};
-use crate::ledger::HeldTask;
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::ledger::PlacedTask;
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::reserve;
 use crate::topology::NONE;
@@ -24,25 +24,25 @@
 
 /// The place among allowed accelerators that costs least, whole gangs counted. `starts` are the
 /// accelerators at which a run may begin.
-pub(crate) fn cheapest(
+pub(crate) fn cheapest_placement(
     core: &HallCore,
-    ask: &PlaceAsk,
-    rule: &impl PlaceRule,
+    request: &PlacementRequest,
+    rule: &impl PlacementRule,
     starts: &[u32],
     grace: Duration,
-) -> Option<Vec<HeldTask>> {
-    let scattered = 1 < ask.tasks && ask.adjacency == model::Adjacency::Any;
+) -> Option<Vec<PlacedTask>> {
+    let scattered = 1 < request.tasks && request.adjacency == model::Adjacency::Any;
     if scattered {
-        return cheapest_scattered(core, ask, rule, starts, grace);
+        return cheapest_scattered(core, request, rule, starts, grace);
     }
     let mut tasks = Vec::new();
     let mut best: Option<(f64, u32)> = None;
     for start in starts {
-        if placement::walk(&core.topology, ask, rule, *start, &mut tasks).is_none() {
+        if placement::place_run_at(&core.topology, request, rule, *start, &mut tasks).is_none() {
             continue;
         }
         let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-        let cost = cost(core, ask.width, &tasks, &[], limit, grace);
+        let cost = cost(core, request.accelerators_per_task, &tasks, &[], limit, grace);
         if cost < limit {
             best = Some((cost, *start));
         }
@@ -51,36 +51,40 @@
         }
     }
     let (_, start) = best?;
-    placement::walk(&core.topology, ask, rule, start, &mut tasks)?;
-    Some(placement::held(&core.topology, ask.width, &tasks))
+    placement::place_run_at(&core.topology, request, rule, start, &mut tasks)?;
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &tasks))
 }
 
 /// Task by task; victims already chosen cost nothing more.
 fn cheapest_scattered(
     core: &HallCore,
-    ask: &PlaceAsk,
-    rule: &impl PlaceRule,
+    request: &PlacementRequest,
+    rule: &impl PlacementRule,
     starts: &[u32],
     grace: Duration,
-) -> Option<Vec<HeldTask>> {
-    let single = PlaceAsk { tasks: 1, ..*ask };
+) -> Option<Vec<PlacedTask>> {
+    let single = PlacementRequest { tasks: 1, ..*request };
     let mut victims: Vec<u32> = Vec::new();
     let mut chosen: Vec<u32> = Vec::new();
     let mut used = vec![0; core.topology.workers.len()];
     let mut task = Vec::new();
-    while (chosen.len() as u32) < ask.tasks {
+    while (chosen.len() as u32) < request.tasks {
         let mut best: Option<(f64, u32)> = None;
         for start in starts {
             let worker = core.topology.worker_of[*start as usize];
-            let overlaps = |it: &u32| *it < start + ask.width && *start < it + ask.width;
-            if rule.room(worker) <= used[worker as usize]
+            let overlaps = |it: &u32| {
+                *it < start + request.accelerators_per_task
+                    && *start < it + request.accelerators_per_task
+            };
+            if rule.task_capacity(worker) <= used[worker as usize]
                 || chosen.iter().any(overlaps)
-                || placement::walk(&core.topology, &single, rule, *start, &mut task).is_none()
+                || placement::place_run_at(&core.topology, &single, rule, *start, &mut task)
+                    .is_none()
             {
                 continue;
             }
             let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-            let cost = cost(core, ask.width, &task, &victims, limit, grace);
+            let cost = cost(core, request.accelerators_per_task, &task, &victims, limit, grace);
             if cost < limit {
                 best = Some((cost, *start));
             }
@@ -90,11 +94,14 @@
         }
         let (_, start) = best?;
         used[core.topology.worker_of[start as usize] as usize] += 1;
-        victims.extend((start..start + ask.width).map(|it| core.ledger.holder[it as usize]));
+        victims.extend(
+            (start..start + request.accelerators_per_task)
+                .map(|it| core.ledger.holder[it as usize]),
+        );
         chosen.push(start);
     }
     chosen.sort_unstable();
-    Some(placement::held(&core.topology, ask.width, &chosen))
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen))
 }
 
 /// What it costs to free the tasks that begin at `tasks`, or `limit` where it is no less.
@@ -130,40 +137,40 @@
         }
         let rule = &self.catalog.classes[item.class as usize];
         // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.terms.grace <= grace;
+        let saves = rule.checkpoint && self.parameters.grace <= grace;
         let lost =
             if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
-        let repeat = 1.0 + REPEAT_COST * f64::from(item.reclaimed);
+        let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
-        let width = f64::from(item.width().max(1));
+        let width = f64::from(item.n_accelerators().max(1));
         (lost + width * RESTART_COST + STOP_COST) * repeat * weight
     }
 
     /// Sends away whoever is in the place reserved for an item.
-    pub(crate) fn send_away(&mut self, index: u32, kind: ReserveKind) {
+    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
         let grace = match kind {
-            ReserveKind::Urgent => self.terms.urgent_grace(),
-            ReserveKind::Claim | ReserveKind::Clearing => self.terms.grace,
+            ReserveKind::Urgent => self.parameters.urgent_grace(),
+            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.grace,
         };
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
             let reason = reasons::plain(model::WaitCode::Reclaiming, text.clone());
-            self.send_away_one(it, grace, reason);
+            self.preempt_victim(it, grace, reason);
         }
     }
 
-    fn send_away_one(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
+    fn preempt_victim(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
         // Requests and what is not repeatable end by themselves, within the bound.
         let stoppable = !rule.request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
-            if item.claim.is_some() {
-                self.detach(victim);
+            if item.claimed_home.is_some() {
+                self.detach_claim(victim);
                 let booking = self.booking_of(victim);
                 self.rebook(victim, booking);
             }
-            self.wind_down(victim, grace, StopFate::Requeue, reason);
+            self.checkpoint_and_stop(victim, grace, AfterStop::Requeue, reason);
         }
     }
 
@@ -182,16 +189,16 @@
         victims.sort_unstable();
         victims.dedup();
         for (worker, here) in reserve::by_worker(&item.tasks) {
-            self.more_victims(worker, usage.times(here.len() as u32), &mut victims);
+            self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
         }
         victims
     }
 
     /// Adds the cheapest other work on a worker until its cores, memory and slots suffice.
-    fn more_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
+    fn add_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
         let book = &self.ledger.workers[worker as usize];
         let mut free = book.free;
-        let leaves = |it: &&u32| victims.contains(it) || self.goes_anyway(**it);
+        let leaves = |it: &&u32| victims.contains(it) || self.is_ending(**it);
         book.items.iter().filter(leaves).for_each(|it| free.add(self.usage_of(*it)));
         if free.covers(needed) {
             return;
@@ -200,14 +207,14 @@
             .items
             .iter()
             .copied()
-            .filter(|it| !victims.contains(it) && !self.goes_anyway(*it))
+            .filter(|it| !victims.contains(it) && !self.is_ending(*it))
             .filter(|it| {
                 let item = self.items.at(*it);
-                item.claim.is_none() && self.freeable(item)
+                item.claimed_home.is_none() && self.freeable(item)
             })
             .collect();
         others.sort_by(|a, b| {
-            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.terms.grace);
+            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
         others.dedup();
@@ -221,13 +228,13 @@
         }
     }
 
-    fn goes_anyway(&self, index: u32) -> bool {
+    fn is_ending(&self, index: u32) -> bool {
         matches!(self.items.at(index).state, ItemState::Stopping | ItemState::Checkpointing)
     }
 
     fn reclaim_text(&self, index: u32) -> String {
         let item = self.items.at(index);
-        match item.claim {
+        match item.claimed_home {
             Some(home) => {
                 let label = self.homes[home as usize].label();
                 format!("its accelerators are reclaimed for guarantee {label}")
