--- a/crates/pool/src/control.rs
+++ b/crates/pool/src/control.rs
@@ -37,7 +37,7 @@
         &self,
         target: &WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::PollRequest,
+        request: &order::PollRequest,
     ) -> impl Future<Output = Result<order::PollReply, ControlFault>> + Send;
 
     /// Starts a task attempt.
--- a/crates/pool/src/leader.rs
+++ b/crates/pool/src/leader.rs
@@ -71,14 +71,14 @@
 impl LeaderState {
     pub(crate) fn new(
         acquired: &AcquiredTenure,
-        times: settings::TenureTiming,
+        timing: settings::TenureTiming,
         core: core::PoolCore,
     ) -> LeaderState {
         LeaderState {
             epoch: acquired.epoch,
             acquired_version: acquired.version,
             core: Mutex::new(core),
-            tenure: Mutex::new(tenure_status::TenureState::new(times, acquired.sent_at)),
+            tenure: Mutex::new(tenure_status::TenureState::new(timing, acquired.sent_at)),
             ordered_at: Mutex::default(),
             predecessors: Mutex::new(acquired.predecessors.clone()),
             applied_graph_version: AtomicU64::new(0),
--- a/crates/pool/src/scheduling_loop.rs
+++ b/crates/pool/src/scheduling_loop.rs
@@ -107,8 +107,9 @@
 }
 
 fn record_losses(counts: &losses::LossCounts) {
-    for sign in &counts.evidence {
-        metrics::counter!("almondpass_pool_workers_lost_total", "sign" => sign.name()).increment(1);
+    for evidence in &counts.evidence {
+        metrics::counter!("almondpass_pool_workers_lost_total", "sign" => evidence.name())
+            .increment(1);
     }
     metrics::counter!("almondpass_pool_jobs_given_up_total").increment(counts.n_given_up);
 }
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -123,10 +123,10 @@
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::PollRequest,
+        request: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
         self.panics.panic_if_due(pool_fleet::HOLD);
-        self.fleet.poll(target, token, ask).await
+        self.fleet.poll(target, token, request).await
     }
 
     async fn start(
