--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -5,15 +5,15 @@
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
 use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::ledger::{Booking, PlacedTask};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
 use crate::reasons;
 use crate::reclaim;
 use crate::rules::ClaimRule;
 
 /// Claims looked at in one turn.
-const CLAIMS_A_TURN: usize = 64;
+const MAX_CLAIMS_PER_ROUND: usize = 64;
 
 impl HallCore {
     /// Starts what fits an unclaimed shape of its account, reclaiming it where it must.
@@ -21,7 +21,7 @@
         if self.homes.is_empty() {
             return;
         }
-        let mut budget = CLAIMS_A_TURN;
+        let mut budget = MAX_CLAIMS_PER_ROUND;
         let mut groups = self.ranked_groups(|core, key| core.may_claim(key));
         // Work that names its guarantee goes before what merely fits.
         groups.sort_by_key(|it| self.queue.group(*it).is_some_and(|it| it.key.guarantee.is_none()));
@@ -29,7 +29,7 @@
             while self.serve_claim(group) {
                 budget -= 1;
                 if budget == 0 {
-                    self.leftover = true;
+                    self.budget_exhausted = true;
                     return;
                 }
             }
@@ -45,7 +45,7 @@
     fn home_fits(&self, home: u32, key: &GroupKey, width: u32) -> bool {
         let shape = &self.homes[home as usize];
         shape.account == key.account
-            && shape.settled()
+            && shape.has_block()
             && key.guarantee.as_ref().is_none_or(|it| *it == shape.guarantee)
             && self.kept_claims(home, key) + width <= shape.size
             && (key.guarantee.is_some() || !self.blocks_shape(shape, key, width))
@@ -56,19 +56,19 @@
     fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, width: u32) -> bool {
         let rule = &self.catalog.classes[key.class as usize];
         let gangs = shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
-        self.is_hard(rule) && (shape.named || gangs)
+        self.is_hard(rule) && (shape.claimed_by_name || gangs)
     }
 
     /// Accelerators of a home whose claims do not yield to work of this kind.
     fn kept_claims(&self, home: u32, key: &GroupKey) -> u32 {
-        let kept = |it: &&u32| !self.yields(**it, key);
+        let kept = |it: &&u32| !self.claim_yields(**it, key);
         let claims = self.homes[home as usize].claims.iter().filter(kept);
-        claims.map(|it| self.items.at(*it).width()).sum()
+        claims.map(|it| self.items.at(*it).n_accelerators()).sum()
     }
 
     /// Whether a claim gives way to other work of its own account: it took the guarantee without
     /// naming it, and the other names it or is urgent.
-    pub(crate) fn yields(&self, claim: u32, key: &GroupKey) -> bool {
+    pub(crate) fn claim_yields(&self, claim: u32, key: &GroupKey) -> bool {
         let item = self.items.at(claim);
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[key.class as usize];
@@ -89,21 +89,21 @@
         let key = it.key.clone();
         let Some(entry) = it.entries.first().copied() else { return false };
         let index = entry.item;
-        if self.held_back(index).is_some() {
+        if self.ineligibility(index).is_some() {
             return false;
         }
         let width = key.tasks * key.demand.accelerators;
         let homes: Vec<u32> =
             (0..self.homes.len() as u32).filter(|it| self.home_fits(*it, &key, width)).collect();
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         // What can't be reclaimed is as safe elsewhere, and would stand in the way of a claim of the
         // whole shape at home.
-        let hard = self.booking_of(index) == Booking::Hard;
-        if hard && key.guarantee.is_none() && self.place_open(index) {
+        let hard = self.booking_of(index) == Booking::NonReclaimable;
+        if hard && key.guarantee.is_none() && self.start_unguaranteed(index) {
             return true;
         }
         for home in &homes {
-            if let Some(tasks) = self.place_claim(index, *home, &ask, &key) {
+            if let Some(tasks) = self.place_claim(index, *home, &request, &key) {
                 return self.start_claim(index, *home, tasks, "home block is free");
             }
         }
@@ -112,19 +112,19 @@
         for home in &homes {
             let most = self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
             if most
-                && self.move_to_free(*home, index)
-                && let Some(tasks) = self.place_claim(index, *home, &ask, &key)
+                && self.move_home_to_free_block(*home, index)
+                && let Some(tasks) = self.place_claim(index, *home, &request, &key)
             {
                 return self.start_claim(index, *home, tasks, "block was moved to a free one");
             }
         }
-        if key.guarantee.is_none() && !hard && self.place_open(index) {
+        if key.guarantee.is_none() && !hard && self.start_unguaranteed(index) {
             return true;
         }
-        homes.iter().any(|it| self.reclaim_home(index, *it, &ask, &key))
+        homes.iter().any(|it| self.reclaim_home(index, *it, &request, &key))
     }
 
-    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<HeldTask>, how: &str) -> bool {
+    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, how: &str) -> bool {
         let reason = self.claim_reason(home, how);
         self.dequeue(index);
         self.start(index, tasks, Some(home), reason);
@@ -141,33 +141,39 @@
         &self,
         index: u32,
         home: u32,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         key: &GroupKey,
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let exclude = &self.items.at(index).exclude;
-        let rule = ClaimRule { core: self, home, key, ask, reclaims: false, exclude };
-        placement::best(&self.topology, ask, &rule)
+        let rule = ClaimRule { core: self, home, key, request, reclaims: false, exclude };
+        placement::best(&self.topology, request, &rule)
     }
 
     /// Reserves the cheapest place in the home block and sends away whoever is there.
-    fn reclaim_home(&mut self, index: u32, home: u32, ask: &PlaceAsk, key: &GroupKey) -> bool {
-        self.move_to_cheaper(home, index);
+    fn reclaim_home(
+        &mut self,
+        index: u32,
+        home: u32,
+        request: &PlacementRequest,
+        key: &GroupKey,
+    ) -> bool {
+        self.move_home_to_cheaper_block(home, index);
         let exclude = &self.items.at(index).exclude;
-        let rule = ClaimRule { core: self, home, key, ask, reclaims: true, exclude };
-        let Some(tasks) = self.cheapest_place(ask, &rule, home) else { return false };
+        let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
+        let Some(tasks) = self.cheapest_place(request, &rule, home) else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Claim, Some(home));
-        self.send_away(index, ReserveKind::Claim);
+        self.preempt_holders(index, ReserveKind::Claim);
         true
     }
 
     fn cheapest_place(
         &self,
-        ask: &PlaceAsk,
-        rule: &impl PlaceRule,
+        request: &PlacementRequest,
+        rule: &impl PlacementRule,
         home: u32,
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let block = &self.homes[home as usize].block;
-        reclaim::cheapest(self, ask, rule, block, self.terms.grace)
+        reclaim::cheapest_placement(self, request, rule, block, self.parameters.grace)
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -10,8 +10,8 @@
 
 use crate::core::HallCore;
 use crate::item::{QueueItem, ReserveKind};
-use crate::ledger::{Booking, HeldTask};
-use crate::placement::{self, PlaceAsk};
+use crate::ledger::{Booking, PlacedTask};
+use crate::placement::{self, PlacementRequest};
 use crate::queue::{GroupKey, QueueEntry, QueueGroup};
 use crate::reasons;
 use crate::reclaim;
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupRank {
     not_urgent: bool,
-    level: Reverse<u64>,
+    aged_priority: Reverse<u64>,
     share: u32,
     eldest: QueueEntry,
 }
 
 impl HallCore {
     /// Priority with ageing.
-    pub(crate) fn level(&self, item: &QueueItem, priority: u8) -> u64 {
+    pub(crate) fn aged_priority(&self, item: &QueueItem, priority: u8) -> u64 {
         let waited = self.now.since(item.work.submitted_at);
-        let steps = waited.as_millis() / self.terms.ageing_step.as_millis().max(1);
+        let steps = waited.as_millis() / self.parameters.ageing_step.as_millis().max(1);
         (u64::from(priority) + steps as u64).min(HIGHEST_LEVEL.max(u64::from(priority)))
     }
 
@@ -54,8 +54,8 @@
         let item = self.items.at(eldest.item);
         Some(GroupRank {
             not_urgent: !rule.urgent,
-            level: Reverse(self.level(item, rule.priority)),
-            share: self.uses[group.key.account as usize].dominant(&self.capacity),
+            aged_priority: Reverse(self.aged_priority(item, rule.priority)),
+            share: self.account_usage[group.key.account as usize].dominant(&self.capacity),
             eldest,
         })
     }
@@ -75,7 +75,9 @@
     /// Starts what fits, in order, within the bound of a turn.
     pub(crate) fn dispatch(&mut self) {
         let fresh = |it: &u32| {
-            self.queue.group(*it).is_some_and(|group| group.blocked_at != Some(self.version))
+            self.queue
+                .group(*it)
+                .is_some_and(|group| group.blocked_at_version != Some(self.capacity_version))
         };
         let mut heap: BinaryHeap<Reverse<(GroupRank, u32)>> = self
             .queue
@@ -88,7 +90,7 @@
         let mut starts = 0;
         while let Some(Reverse((rank, group))) = heap.pop() {
             if STEPS_A_TURN <= steps || STARTS_A_TURN <= starts {
-                self.leftover = true;
+                self.budget_exhausted = true;
                 return;
             }
             // Shares grow with each start of the turn.
@@ -114,15 +116,15 @@
         let urgent = self.catalog.classes[it.key.class as usize].urgent;
         let mut code = model::WaitCode::NoCapacity;
         for entry in entries {
-            match self.held_back(entry.item) {
+            match self.ineligibility(entry.item) {
                 Some(it) => code = it,
-                None if self.place_open(entry.item) => return true,
+                None if self.start_unguaranteed(entry.item) => return true,
                 None if self.lend(entry.item) => return true,
                 None if urgent && self.opens_soon(entry.item) => {}
                 None if urgent && self.reclaim_urgent(entry.item) => return true,
                 None => {
                     code = self.blocked_by(entry.item);
-                    let hard = self.booking_of(entry.item) == Booking::Hard;
+                    let hard = self.booking_of(entry.item) == Booking::NonReclaimable;
                     if hard && !self.homes.is_empty() || self.kept_for_others(entry.item) {
                         self.look_again();
                     }
@@ -135,10 +137,10 @@
         if self.gives_up(group) {
             return true;
         }
-        let version = self.version;
+        let version = self.capacity_version;
         if let Some(it) = self.queue.group_mut(group) {
-            it.blocked_at = Some(version);
-            it.block = code;
+            it.blocked_at_version = Some(version);
+            it.wait_code = code;
         }
         false
     }
@@ -148,19 +150,19 @@
     fn gives_up(&mut self, group: u32) -> bool {
         let number = self.config_number;
         let Some(it) = self.queue.group_mut(group) else { return false };
-        if it.possible_in == number {
+        if it.feasible_in_config == number {
             return false;
         }
         let Some(entry) = it.entries.first().copied() else { return false };
         let refusal = self.check_admission(&self.items.at(entry.item).work).err();
         match refusal {
             Some(reason) if reason.code == model::WaitCode::NeverFits => {
-                self.finish_unrun(entry.item, reason);
+                self.finish_unplaced(entry.item, reason);
                 true
             }
             _ => {
                 if let Some(it) = self.queue.group_mut(group) {
-                    it.possible_in = number;
+                    it.feasible_in_config = number;
                 }
                 false
             }
@@ -168,11 +170,11 @@
     }
 
     /// Why work may not start whatever is free.
-    pub(crate) fn held_back(&self, index: u32) -> Option<model::WaitCode> {
+    pub(crate) fn ineligibility(&self, index: u32) -> Option<model::WaitCode> {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let account = &self.catalog.accounts[item.account as usize];
-        let uses = &self.uses[item.account as usize];
+        let uses = &self.account_usage[item.account as usize];
         if !rule.known {
             return Some(model::WaitCode::UnknownClass);
         }
@@ -182,23 +184,24 @@
         if rule.drained || !rule.served {
             return Some(model::WaitCode::UpstreamUnavailable);
         }
-        let above = account.accelerators.is_some_and(|it| it < uses.accelerators + item.width());
+        let above =
+            account.accelerators.is_some_and(|it| it < uses.accelerators + item.n_accelerators());
         let many = rule.request && account.running_requests <= uses.requests;
         (above || many).then_some(model::WaitCode::AccountLimit)
     }
 
     /// Starts work in free capacity above the guarantee.
-    pub(crate) fn place_open(&mut self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+    pub(crate) fn start_unguaranteed(&mut self, index: u32) -> bool {
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule::new(self, index);
-        let Some(tasks) = placement::best(&self.topology, &ask, &rule) else { return false };
+        let Some(tasks) = placement::best(&self.topology, &request, &rule) else { return false };
         let reason = self.start_reason(&tasks);
         self.dequeue(index);
         self.start(index, tasks, None, reason);
         true
     }
 
-    pub(crate) fn start_reason(&self, tasks: &[HeldTask]) -> model::WaitReason {
+    pub(crate) fn start_reason(&self, tasks: &[PlacedTask]) -> model::WaitReason {
         let first = &self.topology.workers[tasks[0].worker as usize].name;
         let mut workers: Vec<u32> = tasks.iter().map(|it| it.worker).collect();
         workers.dedup();
@@ -212,7 +215,7 @@
     /// The nearest reason for which free capacity does not do.
     fn blocked_by(&self, index: u32) -> model::WaitCode {
         let item = self.items.at(index);
-        if self.booking_of(index) == Booking::Hard && self.fits_in_homes(index) {
+        if self.booking_of(index) == Booking::NonReclaimable && self.fits_in_homes(index) {
             return model::WaitCode::GuaranteeKept;
         }
         let kept = self.kept_for_others(index) || !self.reserving.is_empty();
@@ -227,24 +230,24 @@
 
     /// Whether work that can't be reclaimed would fit if home blocks were open to it.
     fn fits_in_homes(&self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule { hard: false, homes_only: false, ..OpenRule::new(self, index) };
-        placement::best(&self.topology, &ask, &rule).is_some()
+        placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Whether work would fit if reserved places were open to it.
     fn fits_in_blocks(&self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
+        let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = OpenRule { keeps: false, homes_only: false, ..OpenRule::new(self, index) };
-        placement::best(&self.topology, &ask, &rule).is_some()
+        placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Whether enough accelerators are expected to be free within a part of the urgent start bound
     /// for all urgent work that waits. Short runs end all the time; stopping a long one for each
     /// piece of a burst would lose much work for nothing.
     fn opens_soon(&mut self, index: u32) -> bool {
-        let patience = self.submitted(index) + self.terms.urgent_start / URGENT_PATIENCE;
-        if patience <= self.now || 1 < self.items.at(index).width() {
+        let patience = self.submitted_at(index) + self.parameters.urgent_start / URGENT_PATIENCE;
+        if patience <= self.now || 1 < self.items.at(index).n_accelerators() {
             return false;
         }
         let ends = |holder: &u32| self.expected_end(self.items.at(*holder)) <= patience;
@@ -256,44 +259,45 @@
         if n_opening < n_waiting {
             return false;
         }
-        self.set_timer(patience, TimerKind::Patience, NONE);
+        self.set_timer(patience, TimerKind::WaitOver, NONE);
         true
     }
 
     /// Makes room for work that may not run in home blocks, by moving one.
     fn lend(&mut self, index: u32) -> bool {
-        if self.booking_of(index) != Booking::Hard {
+        if self.booking_of(index) != Booking::NonReclaimable {
             return false;
         }
-        self.lend_home() && self.place_open(index) || self.restore_homes() && self.place_open(index)
+        self.relocate_idle_home() && self.start_unguaranteed(index)
+            || self.restore_canonical_blocks() && self.start_unguaranteed(index)
     }
 
     /// Reserves a place for urgent work whose holders are repeatable, of lower priority and above
     /// their guarantee, where nothing opens by itself in time.
     fn reclaim_urgent(&mut self, index: u32) -> bool {
-        let ask = PlaceAsk::of(&self.items.at(index).work);
-        if ask.width == 0 {
+        let request = PlacementRequest::of(&self.items.at(index).work);
+        if request.accelerators_per_task == 0 {
             return false;
         }
         let rule = crate::urgent::UrgentRule::new(self, index);
         let starts: Vec<u32> = (0..self.topology.n_accelerators()).collect();
-        let grace = self.terms.urgent_grace();
-        let Some(tasks) = reclaim::cheapest(self, &ask, &rule, &starts, grace) else {
+        let grace = self.parameters.urgent_grace();
+        let Some(tasks) = reclaim::cheapest_placement(self, &request, &rule, &starts, grace) else {
             return false;
         };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Urgent, None);
-        self.send_away(index, ReserveKind::Urgent);
+        self.preempt_holders(index, ReserveKind::Urgent);
         true
     }
 
     /// How long work of a group has waited at most.
-    pub(crate) fn waited(&self, index: u32) -> std::time::Duration {
+    pub(crate) fn wait_time(&self, index: u32) -> std::time::Duration {
         self.now.since(self.items.at(index).work.submitted_at)
     }
 
     /// When work was submitted.
-    pub(crate) fn submitted(&self, index: u32) -> time::WallTime {
+    pub(crate) fn submitted_at(&self, index: u32) -> time::WallTime {
         self.items.at(index).work.submitted_at
     }
 }
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -11,7 +11,7 @@
 use almondpass_schema::time;
 
 use crate::core::HallCore;
-use crate::ledger::{Booking, HeldTask};
+use crate::ledger::{Booking, PlacedTask};
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -83,12 +83,12 @@
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
                 free += i64::from(self.is_open(at));
-            } else if self.items.at(holder).booking == Booking::Hard {
+            } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 hard_held += 1;
             }
         }
         let (urgent_waits, hard_waits) = self.waiting_needs();
-        let deviations = MOST_DEVIATIONS * (1.0 - self.terms.fragmentation);
+        let deviations = MOST_DEVIATIONS * (1.0 - self.parameters.fragmentation);
         let most = MOST_KEPT * f64::from(self.capacity.accelerators);
         let book = &mut self.headroom;
         let urgent_need = book.urgent_held.saturating_add(urgent_waits).min(outside);
@@ -125,7 +125,7 @@
     }
 
     /// Counts accelerators beside home blocks that a start takes.
-    pub(crate) fn spend(&mut self, index: u32, tasks: &[HeldTask]) {
+    pub(crate) fn spend(&mut self, index: u32, tasks: &[PlacedTask]) {
         let outside = |it: &&u32| self.ledger.home[**it as usize] == NONE;
         let n = tasks.iter().flat_map(|it| &it.accelerators).filter(outside).count() as i64;
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
@@ -142,7 +142,7 @@
     pub(crate) fn kept_for_others(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        let width = i64::from(item.width());
+        let width = i64::from(item.n_accelerators());
         let spare = match self.is_hard(rule) {
             true => self.headroom.spare,
             false => self.headroom.spare.min(self.headroom.soft_spare),
@@ -155,7 +155,7 @@
     fn ends_soon(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        rule.request && self.estimate(item).median <= self.terms.urgent_start * SHORT_RUN
+        rule.request && self.estimate(item).median <= self.parameters.urgent_start * SHORT_RUN
     }
 
     /// Whether work that can be reclaimed would crowd out work that can't, if a block beside the
@@ -164,11 +164,11 @@
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let left = f64::from(self.headroom.outside) - self.headroom.hard.mean;
-        !self.is_hard(rule) && left < f64::from(item.width())
+        !self.is_hard(rule) && left < f64::from(item.n_accelerators())
     }
 
     /// Has work that was held back looked at again soon.
     pub(crate) fn look_again(&mut self) {
-        self.set_timer(self.now + LOOK_AGAIN, TimerKind::Patience, NONE);
+        self.set_timer(self.now + LOOK_AGAIN, TimerKind::WaitOver, NONE);
     }
 }
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -6,7 +6,7 @@
 
 use almondpass_schema::{ids, model};
 
-use crate::scheduler;
+use crate::hall_policy;
 use crate::topology::HallTopology;
 
 /// A guaranteed shape at home.
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// Names the account, the guarantee and the hall of the first shape that has no place.
-pub fn assign(config: &model::ConfigDocument) -> Result<Vec<Home>, scheduler::PolicyFault> {
+pub fn assign(config: &model::ConfigDocument) -> Result<Vec<Home>, hall_policy::PolicyFault> {
     let mut halls: Vec<HallPlan> =
         config.halls.iter().map(|it| HallPlan::new(it, &config.worker_kinds)).collect();
     let mut wanted: Vec<WantedShape<'_>> = config
@@ -42,7 +42,7 @@
     wanted.sort_by_key(|it| {
         (it.shape.hall.is_none(), !strict(it.shape.adjacency), Reverse(it.shape.accelerators))
     });
-    wanted.iter().map(|it| it.settle(&mut halls)).collect()
+    wanted.iter().map(|it| it.assign(&mut halls)).collect()
 }
 
 /// Whether a shape has to be one run.
@@ -56,7 +56,7 @@
 }
 
 impl WantedShape<'_> {
-    fn settle(&self, halls: &mut [HallPlan]) -> Result<Home, scheduler::PolicyFault> {
+    fn assign(&self, halls: &mut [HallPlan]) -> Result<Home, hall_policy::PolicyFault> {
         let shape = self.shape;
         let mut order: Vec<usize> = (0..halls.len())
             .filter(|it| shape.hall.as_ref().is_none_or(|name| *name == halls[*it].name))
@@ -65,7 +65,7 @@
         order.sort_by_key(|it| (Reverse(halls[*it].left()), *it));
         for it in &order {
             let plan = &mut halls[*it];
-            if let Some(block) = plan.settle(shape) {
+            if let Some(block) = plan.take_block(shape) {
                 return Ok(Home {
                     account: self.account.id.clone(),
                     guarantee: shape.name.clone(),
@@ -79,7 +79,7 @@
         Err(self.unfit(halls, &order))
     }
 
-    fn unfit(&self, halls: &[HallPlan], order: &[usize]) -> scheduler::PolicyFault {
+    fn unfit(&self, halls: &[HallPlan], order: &[usize]) -> hall_policy::PolicyFault {
         let shape = self.shape;
         let first = order.first().map(|it| &halls[*it]);
         let hall = shape.hall.clone().or(first.map(|it| it.name.clone())).unwrap_or_default();
@@ -95,7 +95,7 @@
                 shape.accelerators
             ),
         };
-        scheduler::PolicyFault::GuaranteeUnfit {
+        hall_policy::PolicyFault::GuaranteeUnfit {
             account: self.account.id.clone(),
             guarantee: shape.name.clone(),
             hall,
@@ -123,11 +123,12 @@
     }
 
     fn longest(&self, adjacency: model::Adjacency) -> u32 {
-        let runs = crate::placement::runs(&self.topology, adjacency, |it| !self.taken[it as usize]);
+        let runs =
+            crate::placement::free_runs(&self.topology, adjacency, |it| !self.taken[it as usize]);
         runs.into_iter().map(|it| it.len()).max().unwrap_or(0)
     }
 
-    fn settle(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
+    fn take_block(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
         let free = |it: u32| !self.taken[it as usize];
         let blocks =
             crate::blocks::choices(&self.topology, shape.accelerators, shape.adjacency, free);
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -83,12 +83,12 @@
     fn check_holders(&self) -> Result<(), InvariantBreach> {
         let mut holders: BTreeMap<u32, u32> = BTreeMap::new();
         for (index, item) in self.items.iter() {
-            if !item.state.holds() {
+            if !item.state.holds_accelerators() {
                 continue;
             }
             let held = item.tasks.len() as u32;
             if held != item.work.tasks {
-                let (work, tasks) = (item.work.work, item.work.tasks);
+                let (work, tasks) = (item.work.id, item.work.tasks);
                 return Err(InvariantBreach::PartialGang { work, tasks, held });
             }
             for accelerator in item.tasks.iter().flat_map(|it| &it.accelerators) {
@@ -96,9 +96,9 @@
                     let spec = self.topology.host(*accelerator);
                     return Err(InvariantBreach::HeldTwice {
                         worker: spec.name.clone(),
-                        accelerator: accelerator - spec.first,
-                        first: self.items.at(first).work.work,
-                        second: item.work.work,
+                        accelerator: accelerator - spec.first_accelerator,
+                        first: self.items.at(first).work.id,
+                        second: item.work.id,
                     });
                 }
             }
@@ -120,16 +120,16 @@
             }
             let mut used = Usage::default();
             let mut hard = Usage::default();
-            for (_, item) in self.items.iter().filter(|(_, it)| it.state.holds()) {
+            for (_, item) in self.items.iter().filter(|(_, it)| it.state.holds_accelerators()) {
                 let n = item.tasks.iter().filter(|it| it.worker as usize == worker).count() as u32;
                 let here = Usage::of(&item.work.demand).times(n);
                 used.add(here);
-                if item.booking == Booking::Hard {
+                if item.booking == Booking::NonReclaimable {
                     hard.add(here);
                 }
             }
             let book = &self.ledger.workers[worker];
-            if book.free != Usage::capacity(spec).minus(used) || book.hard != hard {
+            if book.free != Usage::capacity(spec).minus(used) || book.non_reclaimable != hard {
                 let text = format!("{book:?} on {}, used {used:?}, hard {hard:?}", spec.name);
                 return Err(InvariantBreach::Ledger(text));
             }
@@ -147,11 +147,11 @@
         for (home, shape) in self.homes.iter().enumerate() {
             let breach =
                 |detail: String| Err(InvariantBreach::HomeBlock { home: shape.label(), detail });
-            if shape.settled() && shape.block.len() as u32 != shape.size {
+            if shape.has_block() && shape.block.len() as u32 != shape.size {
                 return breach(format!("{} accelerators", shape.block.len()));
             }
-            if shape.size < self.claimed(home as u32) {
-                return breach(format!("{} claimed", self.claimed(home as u32)));
+            if shape.size < self.claimed_accelerators(home as u32) {
+                return breach(format!("{} claimed", self.claimed_accelerators(home as u32)));
             }
             for it in &shape.block {
                 if owners.insert(*it, home as u32).is_some() {
@@ -179,13 +179,13 @@
                 }
                 let item = self.items.at(holder);
                 let rule = &self.catalog.classes[item.class as usize];
-                let claims = item.claim == Some(home as u32);
+                let claims = item.claimed_home == Some(home as u32);
                 let stops = !rule.request && (rule.repeatable || item.cancelled || item.overran);
-                let ends = self.certain_end(item) <= now + self.terms.reclaim;
+                let ends = self.certain_end(item) <= now + self.parameters.reclaim;
                 if !(claims || stops || ends) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
-                        work: item.work.work,
+                        work: item.work.id,
                         worker: spec.name.clone(),
                     });
                 }
@@ -200,7 +200,7 @@
     }
 
     fn check_share(&self, worker: u32, home: &str) -> Result<(), InvariantBreach> {
-        let room = self.ledger.hard_room(worker, &self.topology);
+        let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
         if room.covers(Usage::default()) {
             return Ok(());
         }
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -5,9 +5,9 @@
 use almondpass_schema::model;
 
 use crate::core::HallCore;
-use crate::decision::{Decision, StopFate};
+use crate::decision::{AfterStop, Decision};
 use crate::item::ItemState;
-use crate::ledger::{Booking, HeldTask};
+use crate::ledger::{Booking, PlacedTask};
 use crate::queue::{GroupKey, QueueEntry};
 use crate::reasons;
 use crate::timers::TimerKind;
@@ -38,7 +38,7 @@
 
     fn entry(&self, index: u32) -> QueueEntry {
         let work = &self.items.at(index).work;
-        QueueEntry { submitted_at: work.submitted_at, work: work.work, item: index }
+        QueueEntry { submitted_at: work.submitted_at, work: work.id, item: index }
     }
 
     /// Puts an item in the queue.
@@ -46,9 +46,9 @@
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Waiting;
-        item.since = now;
+        item.state_since = now;
         self.queue.push(self.group_key(index), self.entry(index));
-        self.stirred = true;
+        self.changed_since_round = true;
     }
 
     /// Takes an item out of the queue.
@@ -60,7 +60,7 @@
     pub(crate) fn hold(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         booking: Booking,
         claim: Option<u32>,
     ) {
@@ -68,8 +68,8 @@
         self.ledger.hold(index, &tasks, usage, booking);
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
-        let width = item.width();
-        let account = &mut self.uses[item.account as usize];
+        let width = item.n_accelerators();
+        let account = &mut self.account_usage[item.account as usize];
         account.accelerators += width;
         account.usage.add(usage.times(item.work.tasks));
         account.requests += u32::from(request);
@@ -80,19 +80,19 @@
         item.tasks = tasks;
         item.booking = booking;
         if let Some(home) = claim {
-            self.attach(index, home);
+            self.attach_claim(index, home);
         }
     }
 
     /// Frees what an item holds.
     pub(crate) fn release(&mut self, index: u32) {
-        self.detach(index);
+        self.detach_claim(index);
         let usage = self.usage_of(index);
         let request = self.catalog.classes[self.items.at(index).class as usize].request;
         let item = self.items.at_mut(index);
         let tasks = std::mem::take(&mut item.tasks);
-        let width = item.width();
-        let account = &mut self.uses[item.account as usize];
+        let width = item.n_accelerators();
+        let account = &mut self.account_usage[item.account as usize];
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
         account.requests -= u32::from(request);
@@ -100,14 +100,14 @@
         item.urgent_width = 0;
         let booking = item.booking;
         self.ledger.release(index, &tasks, usage, booking);
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Starts an item that is in no queue and reserves nothing.
     pub(crate) fn start(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         claim: Option<u32>,
         reason: model::WaitReason,
     ) {
@@ -116,73 +116,77 @@
             None => self.booking_of(index),
         };
         self.spend(index, &tasks);
-        let placement = self.slots(&tasks);
+        let placement = self.task_slots(&tasks);
         self.hold(index, tasks, booking, claim);
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Starting;
-        item.since = now;
-        item.begun = false;
+        item.state_since = now;
+        item.start_reported = false;
         item.started_at = now;
         item.saved_at = now;
-        item.fate = StopFate::Requeue;
+        item.after_stop = AfterStop::Requeue;
         item.throttled = false;
-        let work = item.work.work;
+        let work = item.work.id;
         self.outbox.push(Decision::Start { work, placement, reason });
     }
 
     /// Tasks as the scheduler knows them.
-    pub(crate) fn slots(&self, tasks: &[HeldTask]) -> Vec<work::TaskSlot> {
-        let slot = |(rank, it): (usize, &HeldTask)| {
+    pub(crate) fn task_slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
+        let slot = |(rank, it): (usize, &PlacedTask)| {
             let spec = &self.topology.workers[it.worker as usize];
             work::TaskSlot {
                 rank: rank as u32,
                 worker: spec.name.clone(),
-                accelerators: it.accelerators.iter().map(|it| it - spec.first).collect(),
+                accelerators: it
+                    .accelerators
+                    .iter()
+                    .map(|it| it - spec.first_accelerator)
+                    .collect(),
             }
         };
         tasks.iter().enumerate().map(slot).collect()
     }
 
     /// Orders a whole gang to stop at once.
-    pub(crate) fn stop(&mut self, index: u32, fate: StopFate, reason: model::WaitReason) {
+    pub(crate) fn stop(&mut self, index: u32, after_stop: AfterStop, reason: model::WaitReason) {
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Stopping;
-        item.since = now;
-        item.fate = fate;
-        if fate == StopFate::End && item.end.is_none() {
-            item.end = Some(reason.clone());
+        item.state_since = now;
+        item.after_stop = after_stop;
+        if after_stop == AfterStop::End && item.end_reason.is_none() {
+            item.end_reason = Some(reason.clone());
         }
-        let work = item.work.work;
-        self.outbox.push(Decision::Stop { work, fate, reason });
+        let work = item.work.id;
+        self.outbox.push(Decision::Stop { work, after_stop, reason });
     }
 
     /// Asks a gang for a checkpoint within a grace, where it can make one, and then stops it.
-    pub(crate) fn wind_down(
+    pub(crate) fn checkpoint_and_stop(
         &mut self,
         index: u32,
         grace: Duration,
-        fate: StopFate,
+        after_stop: AfterStop,
         reason: model::WaitReason,
     ) {
         let item = self.items.at(index);
         let able = self.catalog.classes[item.class as usize].checkpoint;
         if item.state != ItemState::Running || !able || grace.is_zero() {
-            self.stop(index, fate, reason);
+            self.stop(index, after_stop, reason);
             return;
         }
         let stop_by = self.now + grace;
         let now = self.now;
         let item = self.items.at_mut(index);
         item.state = ItemState::Checkpointing;
-        item.since = now;
+        item.state_since = now;
         item.stop_by = stop_by;
-        item.fate = fate;
-        if fate == StopFate::End {
-            item.end = Some(reason.clone());
+        item.after_stop = after_stop;
+        if after_stop == AfterStop::End {
+            item.end_reason = Some(reason.clone());
         }
-        let work = item.work.work;
+        let work = item.work.id;
         let stop_by = Some(stop_by);
         self.outbox.push(Decision::Checkpoint { work, stop_by, reason });
         self.set_timer(now + grace, TimerKind::Grace, index);
@@ -191,9 +195,9 @@
     /// Queues an item again after its attempt ended, with its age and checkpoint.
     pub(crate) fn requeue(&mut self, index: u32, wait: Duration, reason: model::WaitReason) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         if item.cancelled {
-            self.finish_unrun(index, reasons::cancelled());
+            self.finish_unplaced(index, reasons::cancelled());
             return;
         }
         self.outbox.push(Decision::Requeue { work, reason });
@@ -203,7 +207,7 @@
             let now = self.now;
             let item = self.items.at_mut(index);
             item.state = ItemState::Delayed;
-            item.since = now;
+            item.state_since = now;
             self.set_timer(now + wait, TimerKind::Retry, index);
         }
         self.check_deadline(index);
@@ -211,12 +215,12 @@
 
     /// Why an item ends whose stop was ordered.
     pub(crate) fn end_reason(&self, index: u32) -> model::WaitReason {
-        self.items.at(index).end.clone().unwrap_or_else(reasons::cancelled)
+        self.items.at(index).end_reason.clone().unwrap_or_else(reasons::cancelled)
     }
 
     /// Ends an item that holds nothing now: `not run` only where it never ran.
-    pub(crate) fn finish_unrun(&mut self, index: u32, reason: model::WaitReason) {
-        let outcome = match self.items.at(index).ran {
+    pub(crate) fn finish_unplaced(&mut self, index: u32, reason: model::WaitReason) {
+        let outcome = match self.items.at(index).ever_started {
             true => model::RequestOutcome::Failed,
             false => model::RequestOutcome::NotRun,
         };
@@ -229,7 +233,7 @@
     }
 
     fn finish(&mut self, index: u32, outcome: model::RequestOutcome, reason: model::WaitReason) {
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         self.outbox.push(Decision::Finish { work, outcome, reason });
         self.forget(index);
     }
@@ -254,11 +258,11 @@
         self.release(index);
         let item = self.items.at(index);
         let asked = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
-        if item.fate == StopFate::End && asked {
+        if item.after_stop == AfterStop::End && asked {
             let reason = self.end_reason(index);
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
         } else if asked || self.retries(index) {
-            self.items.at_mut(index).reclaimed += 1;
+            self.items.at_mut(index).n_reclaims += 1;
             self.requeue(index, Duration::ZERO, reasons::stopped());
         } else {
             self.finish(index, model::RequestOutcome::Unknown, reasons::stopped());
@@ -273,7 +277,7 @@
     }
 
     pub(crate) fn failed(&mut self, index: u32, worker: Option<u32>) {
-        let work = self.items.at(index).work.work;
+        let work = self.items.at(index).work.id;
         if let Some(worker) = worker {
             self.blame(index, worker, work);
         }
@@ -300,7 +304,7 @@
         self.release(index);
         let reason = reasons::worker_lost(worker);
         if self.items.at(index).cancelled {
-            self.finish_unrun(index, reason);
+            self.finish_unplaced(index, reason);
         } else if self.retries(index) {
             self.requeue(index, Duration::ZERO, reason);
         } else {
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -33,7 +33,7 @@
             ItemState::Checkpointing => reasons::until(
                 model::WaitCode::Reclaiming,
                 "makes a checkpoint, and is stopped then",
-                item.since + self.terms.grace,
+                item.state_since + self.parameters.grace,
             ),
             ItemState::Stopping => reasons::plain(model::WaitCode::Reclaiming, "is being stopped"),
         }
@@ -54,7 +54,7 @@
     }
 
     fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
-        let opening = self.items.at(index).opening;
+        let opening = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(opening);
         match kind {
@@ -85,13 +85,13 @@
                 format!("behind {ahead} of work of the same account, class and shape"),
             );
         }
-        if group.blocked_at.is_none() {
+        if group.blocked_at_version.is_none() {
             return reasons::plain(model::WaitCode::Queued, "queued; decided in the next turn");
         }
         if item.work.guarantee.is_some() {
             return self.explain_claim(item);
         }
-        match group.block {
+        match group.wait_code {
             model::WaitCode::Adjacency => self.explain_adjacency(item),
             code => reasons::plain(code, self.waiting_text(item, code, now)),
         }
@@ -107,11 +107,11 @@
             return reasons::plain(model::WaitCode::NoCapacity, text);
         };
         let label = shape.label();
-        if !shape.settled() {
+        if !shape.has_block() {
             let text = format!("guarantee {label} is lost: too few workers of {}", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         }
-        let claimed: u32 = shape.claims.iter().map(|it| self.items.at(*it).width()).sum();
+        let claimed: u32 = shape.claims.iter().map(|it| self.items.at(*it).n_accelerators()).sum();
         let text = format!(
             "guarantee {label} is claimed already, with {claimed} of {} accelerators, and nothing \
              above it is free",
@@ -121,8 +121,8 @@
     }
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
-        let need = item.width();
-        let runs = placement::runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
+        let need = item.n_accelerators();
+        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -144,7 +144,7 @@
         let rule = &self.catalog.classes[item.class as usize];
         match code {
             model::WaitCode::AccountLimit => {
-                let uses = &self.uses[item.account as usize];
+                let uses = &self.account_usage[item.account as usize];
                 format!(
                     "{} is at its limit, with {} accelerators and {} running",
                     item.work.account,
@@ -196,11 +196,11 @@
             .reserving
             .iter()
             .map(|it| self.items.at(*it))
-            .map(|it| (it.width(), it.work.adjacency));
+            .map(|it| (it.n_accelerators(), it.work.adjacency));
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::runs(&self.topology, adjacency, |it| self.is_open(it));
+        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_open(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
@@ -223,7 +223,7 @@
         let shape = &self.homes[home as usize];
         model::GuaranteeView {
             account: shape.account_id.clone(),
-            claimed: self.claimed(home),
+            claimed: self.claimed_accelerators(home),
             guarantee: shape.guarantee.clone(),
             state: self.home_state(home),
         }
@@ -240,7 +240,7 @@
             model::QueueView {
                 account: item.work.account.clone(),
                 class: item.work.class.clone(),
-                job: item.work.work,
+                job: item.work.id,
                 reason: self.explain(index, now),
                 since: item.work.submitted_at,
             }
@@ -252,7 +252,9 @@
         let spec = &self.topology.workers[worker];
         let book = &self.ledger.workers[worker];
         model::WorkerView {
-            accelerators: (spec.first..spec.end()).map(|it| self.draw_accelerator(it)).collect(),
+            accelerators: (spec.first_accelerator..spec.accelerators_end())
+                .map(|it| self.draw_accelerator(it))
+                .collect(),
             cores_free: book.free.cores.max(0) as u32,
             memory_free_mb: book.free.memory_mb.max(0) as u64,
             rack: self.topology.rack_name(worker as u32).to_owned(),
@@ -266,7 +268,7 @@
         let at = accelerator as usize;
         let worker = self.topology.worker_of[at] as usize;
         let home = self.ledger.home[at];
-        let reserved = self.ledger.reserved[at];
+        let reserved = self.ledger.reserved_for[at];
         let holder = match self.ledger.holder[at] {
             NONE => reserved,
             holder => holder,
@@ -276,14 +278,14 @@
         let state = match item {
             _ if !self.health[worker].present => model::AcceleratorState::Lost,
             None => model::AcceleratorState::Free,
-            Some(it) if !it.state.holds() => model::AcceleratorState::Reserved,
+            Some(it) if !it.state.holds_accelerators() => model::AcceleratorState::Reserved,
             Some(_) if request => model::AcceleratorState::Request,
             Some(_) => model::AcceleratorState::Job,
         };
         model::AcceleratorView {
             account: item.map(|it| it.work.account.clone()),
             home_of: (home != NONE).then(|| self.homes[home as usize].label()),
-            job: item.filter(|_| !request).map(|it| it.work.work),
+            job: item.filter(|_| !request).map(|it| it.work.id),
             state,
         }
     }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask, Usage};
+use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::NONE;
 
@@ -14,21 +14,21 @@
     pub(crate) fn reserve(
         &mut self,
         index: u32,
-        tasks: Vec<HeldTask>,
+        tasks: Vec<PlacedTask>,
         kind: ReserveKind,
         claim: Option<u32>,
     ) {
         let mut others: Vec<u32> = tasks
             .iter()
             .flat_map(|it| &it.accelerators)
-            .map(|it| self.ledger.reserved[*it as usize])
+            .map(|it| self.ledger.reserved_for[*it as usize])
             .filter(|it| *it != NONE)
             .collect();
         if kind == ReserveKind::Clearing {
             // A gang of tasks without accelerators shares its workers with no other reservation.
             let books = tasks.iter().filter(|it| it.accelerators.is_empty());
             let there =
-                |it: &HeldTask| self.ledger.workers[it.worker as usize].reservations.clone();
+                |it: &PlacedTask| self.ledger.workers[it.worker as usize].reservations.clone();
             others.extend(books.flat_map(there));
         }
         others.sort_unstable();
@@ -43,23 +43,23 @@
         let item = self.items.at_mut(index);
         item.tasks = tasks;
         item.state = ItemState::Reserving(kind);
-        item.since = now;
-        item.opening = opening;
+        item.state_since = now;
+        item.expected_free_at = opening;
         self.reserving.insert(index);
         if let Some(home) = claim {
-            self.attach(index, home);
+            self.attach_claim(index, home);
         }
-        self.reserved_version = 0;
+        self.reservation_check_version = 0;
     }
 
     /// Gives the place up; the item is then in no queue.
     pub(crate) fn unreserve(&mut self, index: u32) {
-        self.detach(index);
+        self.detach_claim(index);
         let usage = self.usage_of(index);
         let tasks = std::mem::take(&mut self.items.at_mut(index).tasks);
         self.ledger.unreserve(index, &tasks, usage);
         self.reserving.remove(&index);
-        self.bump();
+        self.note_capacity_change();
     }
 
     /// Gives the place up and queues the item again.
@@ -69,7 +69,7 @@
     }
 
     /// When a place is expected to be free: when the last of its holders has gone.
-    pub(crate) fn opening(&self, index: u32, tasks: &[HeldTask]) -> time::WallTime {
+    pub(crate) fn opening(&self, index: u32, tasks: &[PlacedTask]) -> time::WallTime {
         let holder = |it: &u32| self.ledger.holder[*it as usize];
         let mut latest = self.now;
         let mut last = NONE;
@@ -102,15 +102,15 @@
                 return at;
             }
         }
-        self.now + self.terms.run_bound(self.terms.gang_wait)
+        self.now + self.parameters.run_bound(self.parameters.gang_wait)
     }
 
     /// Starts what has its whole place free, and sees to it that the rest goes on.
     pub(crate) fn check_reservations(&mut self) {
-        if self.reserved_version == self.version {
+        if self.reservation_check_version == self.capacity_version {
             return;
         }
-        self.reserved_version = self.version;
+        self.reservation_check_version = self.capacity_version;
         let all: Vec<u32> = self.reserving.iter().copied().collect();
         for index in all {
             // An earlier one of this round may have pushed it aside.
@@ -122,7 +122,7 @@
 
     fn check_reservation(&mut self, index: u32) {
         let tasks = self.items.at(index).tasks.clone();
-        let open = |it: &HeldTask| self.health[it.worker as usize].usable();
+        let open = |it: &PlacedTask| self.health[it.worker as usize].usable();
         if !tasks.iter().all(open) || !self.leaves_homes_alone(index, &tasks) {
             self.withdraw(index);
             return;
@@ -131,17 +131,19 @@
         if self.is_free(index, &tasks) && self.spares_homes(index, &tasks) {
             self.start_reserved(index, kind);
         } else if kind == ReserveKind::Clearing {
-            self.refresh_clearing(index);
+            self.refresh_gang_reservation(index);
         } else {
-            self.send_away(index, kind);
+            self.preempt_holders(index, kind);
         }
     }
 
     /// Whether work that can't be reclaimed would still start beside all home blocks. A block may
     /// have moved over a place after it was reserved; started there, the work would hold the
     /// guarantee up for its whole run.
-    fn leaves_homes_alone(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claim.is_some() || self.booking_of(index) != Booking::Hard {
+    fn leaves_homes_alone(&self, index: u32, tasks: &[PlacedTask]) -> bool {
+        if self.items.at(index).claimed_home.is_some()
+            || self.booking_of(index) != Booking::NonReclaimable
+        {
             return true;
         }
         let outside = |it: &u32| self.ledger.home[*it as usize] == NONE;
@@ -150,26 +152,28 @@
             && by_worker(tasks).all(|(worker, here)| {
                 // Who is there now will have gone: counted here, the place would be given up and
                 // reserved again in turn after turn.
-                let room = self.ledger.hard_capacity(worker, &self.topology);
+                let room = self.ledger.capacity_for_non_reclaimable(worker, &self.topology);
                 room.covers(usage.times(here.len() as u32))
             })
     }
 
     /// Whether work that can't be reclaimed leaves each worker, beside what of its kind runs there,
     /// the cores, memory and slots of the home blocks.
-    fn spares_homes(&self, index: u32, tasks: &[HeldTask]) -> bool {
-        if self.items.at(index).claim.is_some() || self.booking_of(index) != Booking::Hard {
+    fn spares_homes(&self, index: u32, tasks: &[PlacedTask]) -> bool {
+        if self.items.at(index).claimed_home.is_some()
+            || self.booking_of(index) != Booking::NonReclaimable
+        {
             return true;
         }
         let usage = self.usage_of(index);
         by_worker(tasks).all(|(worker, here)| {
-            let room = self.ledger.hard_room(worker, &self.topology);
+            let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
             room.covers(usage.times(here.len() as u32))
         })
     }
 
     /// Whether every accelerator, and the cores, memory and slots beside them, are free.
-    fn is_free(&self, index: u32, tasks: &[HeldTask]) -> bool {
+    fn is_free(&self, index: u32, tasks: &[PlacedTask]) -> bool {
         let usage = self.usage_of(index);
         let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
         by_worker(tasks).all(|(worker, here)| {
@@ -180,7 +184,7 @@
     }
 
     fn start_reserved(&mut self, index: u32, kind: ReserveKind) {
-        let claim = self.items.at(index).claim;
+        let claim = self.items.at(index).claimed_home;
         let tasks = self.items.at(index).tasks.clone();
         self.unreserve(index);
         let reason = match (kind, claim) {
@@ -195,6 +199,6 @@
 }
 
 /// Tasks of each worker; tasks of one worker stand together.
-pub(crate) fn by_worker(tasks: &[HeldTask]) -> impl Iterator<Item = (u32, &[HeldTask])> {
+pub(crate) fn by_worker(tasks: &[PlacedTask]) -> impl Iterator<Item = (u32, &[PlacedTask])> {
     tasks.chunk_by(|a, b| a.worker == b.worker).map(|it| (it[0].worker, it))
 }
