--- a/crates/pool/src/cancel.rs
+++ b/crates/pool/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels job graphs: durable before the caller hears of it.
+//! Cancels job graphs. A cancellation is stored before the caller is answered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,14 @@
 use crate::store_call;
 use crate::writer;
 
-/// Wait before the row is read and written again.
-const AGAIN: Duration = Duration::from_millis(80);
+/// Wait before a failed cancellation reads and writes the row again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(80);
 
-/// The own way to the store is tried for this long before a peer is asked.
-const OWN_PATIENCE: Duration = Duration::from_millis(500);
+/// Time allowed for a direct write to the store before the call is relayed through a peer.
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Marks a job as cancelled: by the own way to the store, or by that of a peer.
+/// Marks a job as cancelled: directly in the store, or through a peer where the store does not answer this
+/// instance. Returns `Unknown` where the write may or may not have taken effect by `deadline`.
 pub async fn cancel<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
@@ -28,8 +29,8 @@
     deadline: Instant,
 ) -> model::CancelOutcome {
     if !state.is_store_unavailable() {
-        let patience = deadline.min(Instant::now() + OWN_PATIENCE);
-        let outcome = cancel_directly(state, graph, account, patience).await;
+        let direct_deadline = deadline.min(Instant::now() + DIRECT_TIMEOUT);
+        let outcome = cancel_directly(state, graph, account, direct_deadline).await;
         if outcome != model::CancelOutcome::Unknown {
             return outcome;
         }
@@ -40,7 +41,7 @@
     }
 }
 
-/// Marks a job as cancelled by the own way to the store.
+/// Marks a job as cancelled directly in the store, and retries until `deadline`.
 pub(crate) async fn cancel_directly<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
@@ -51,10 +52,10 @@
         if let Some(outcome) = try_cancel(state, graph, account).await {
             return outcome;
         }
-        if Instant::now() + AGAIN >= deadline {
+        if Instant::now() + RETRY_INTERVAL >= deadline {
             return model::CancelOutcome::Unknown;
         }
-        time::sleep(AGAIN).await;
+        time::sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -68,7 +69,7 @@
         return Some(model::CancelOutcome::Absent);
     };
     if row.cancelled {
-        // Cancelled before, by an earlier call or by a write of this one whose answer was lost.
+        // An earlier call has cancelled the job, or a write of this call whose answer was lost.
         nudge::send(state, model::GraphNudge { graph, version, row });
         return Some(model::CancelOutcome::Cancelled);
     }
--- a/crates/pool/src/document.rs
+++ b/crates/pool/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document as the pool uses it, and the slot that holds the one in force.
+//! The operators' configuration document as the pool uses it, and the slot that holds the version in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,60 +9,62 @@
 
 use crate::worker_entry;
 
-/// A class as callers reach it.
+/// Host and path prefix under which callers reach a job class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassRoute {
-    /// The class.
+    /// Job class of the calls that match.
     pub class: ids::ClassName,
-    /// Host that callers name.
+    /// Host that a call has to name to match.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the paths that match; the longest matching prefix wins.
     pub prefix: String,
-    /// Whether calls need no key.
+    /// Whether callers need no API key.
     pub allows_anonymous: bool,
 }
 
-/// One version of the operators' document.
+/// One version of the operators' configuration document.
 #[derive(Clone, Debug, Default)]
 pub struct PoolDocument {
-    /// Its number.
+    /// Configuration version: a document replaces the one in force only with a higher version.
     pub version: ids::ConfigVersion,
-    /// The classes as callers reach them.
+    /// Routes from host and path to job class.
     pub routes: Vec<ClassRoute>,
-    /// The upstreams that it names.
+    /// Upstreams named by the document; workers of any other upstream are not used.
     pub upstreams: BTreeSet<ids::UpstreamName>,
-    /// Account by key.
+    /// Client account of each API key.
     pub keys: BTreeMap<String, ids::AccountId>,
-    /// Classes and accounts as the scheduler needs them.
+    /// Job classes and client accounts in the form that the scheduler needs.
     pub catalog: Arc<catalog::PoolCatalog>,
-    /// Longest body of a request, in bytes.
+    /// Longest accepted body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// The document as the operator wrote it, for peers.
+    /// Text of the document as the operator wrote it, sent to peers that have an older version.
     pub source: blob::Blob,
 }
 
-/// Reads what the platform and its operators write, in their form.
+/// Parses the rows that the platform and its operators write, in the platform's format.
 pub trait PlatformReader: Clone + Send + Sync + 'static {
-    /// Table of the operators' document.
+    /// Table that holds the configuration document and the evacuations.
     const DOCUMENT_TABLE: &'static str;
-    /// Its row there.
+    /// Key of the configuration document in that table.
     const DOCUMENT_KEY: &'static str;
-    /// Table of the workers; a row each, under the worker's id.
+    /// Table of the workers; one row per worker, under the worker's id.
     const WORKER_TABLE: &'static str;
 
-    /// The data centre under evacuation of which a row of the document's table tells, while it is there.
+    /// Returns the data centre that a row of the document's table evacuates; `None` for rows of
+    /// another kind. The evacuation lasts as long as the row exists.
     fn evacuated_data_center(key: &str) -> Option<&str>;
 
-    /// Reads a document.
+    /// Parses the text of a configuration document, and fails where it is invalid.
     fn document(&self, source: &[u8]) -> anyhow::Result<PoolDocument>;
 
-    /// Reads the row of a worker. Whoever has written it, what it names is used.
+    /// Parses and checks the row of a worker. What the row names is used whoever wrote it, so an invalid row
+    /// has to be rejected here.
     fn worker(&self, value: &[u8]) -> Result<worker::WorkerEntry, worker_entry::EntryFault>;
 }
 
-/// The document in force. It only ever moves to a higher version, at this one place, whoever
-/// brings it: a read of the store that was under way while a peer brought a newer version would
-/// otherwise undo it.
+/// Holds the configuration document in force. Only a higher version replaces it, whether the store
+/// or a peer supplied it. Otherwise a read of the store that was in progress while a peer supplied
+/// a newer version would bring the older version back.
 #[derive(Debug)]
 pub struct DocumentSlot {
     current: Mutex<Option<Arc<PoolDocument>>>,
@@ -76,22 +78,23 @@
 }
 
 impl DocumentSlot {
-    /// The document in force; nothing before the first.
+    /// Returns the document in force; `None` before the first one was installed.
     pub fn current(&self) -> Option<Arc<PoolDocument>> {
         self.current.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Its version, 0 before the first.
+    /// Returns the version in force; 0 before the first document was installed.
     pub fn version(&self) -> ids::ConfigVersion {
         *self.version.borrow()
     }
 
-    /// Tells of new versions.
+    /// Returns a receiver that is notified of each new version.
     pub fn subscribe(&self) -> watch::Receiver<ids::ConfigVersion> {
         self.version.subscribe()
     }
 
-    /// Puts a document in force if it is newer. `origin` says who brought it.
+    /// Replaces the document in force if `document` has a higher version, and returns whether it did.
+    /// `origin` names the source of the document in the log.
     pub fn install_if_newer(&self, document: PoolDocument, origin: &str) -> bool {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         let in_force = current.as_ref().map_or(0, |it| it.version);
@@ -115,7 +118,8 @@
 }
 
 impl PoolDocument {
-    /// The route of a call: the longest prefix of its path under its host.
+    /// Returns the route of a call: among the routes of its host, the one with the longest prefix of its
+    /// path.
     pub fn route(&self, host: &str, path: &str) -> Option<&ClassRoute> {
         let fitting =
             self.routes.iter().filter(|it| it.host == host && path.starts_with(&it.prefix));
--- a/crates/pool/src/document_follower.rs
+++ b/crates/pool/src/document_follower.rs
@@ -1,5 +1,5 @@
-//! Follows the operators' document and their evacuations: in the store, and at the peers while the store
-//! gives none.
+//! Follows the operators' configuration document and evacuations: in the store, and through peers while
+//! the store does not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,79 +14,82 @@
 use crate::state;
 use crate::store_call;
 
-/// How long the store may wait for a change. A store that turns this instance away, or a connection
-/// that has gone silent, is noticed that much later at most; the users allow 7 s for what peers
-/// know then.
-const WAIT: Duration = Duration::from_millis(1_000);
+/// Longest time for which the store may hold a read open until a change occurs. It bounds how late the
+/// instance notices a store that rejects it or a connection that has gone silent. The users allow 7 s
+/// until what peers know is in force here.
+const FEED_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Wait before the store is asked again after a failure, in which the peers are asked.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Wait before the store is read again after a failure and the round of peers that follows it.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// For a peer to answer.
-const PEER_DEADLINE: Duration = Duration::from_millis(300);
+/// Time allowed for a peer to answer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Peers asked after each failure of the store.
-const PEERS_ASKED: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 
-/// Follows until the process ends.
+/// Follows the document's table until the process ends.
 pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     let mut after = None;
     let mut next_peer = 0;
-    let mut is_away = false;
+    let mut is_unavailable = false;
     loop {
-        match follow(&state, after).await {
+        match read_feed(&state, after).await {
             Ok(rows) => {
-                if is_away {
-                    tracing::info!("the store answers again");
+                if is_unavailable {
+                    tracing::info!("store answers again");
                 }
-                is_away = false;
+                is_unavailable = false;
                 state.set_store_unavailable(false);
                 match after {
-                    Some(_) => take_changes(&state, &rows),
+                    Some(_) => apply_table_changes(&state, &rows),
                     None => apply_table(&state, &rows),
                 }
                 after = Some(rows.version);
             }
             Err(row_feed::FeedFault::HistoryGone) => after = None,
             Err(row_feed::FeedFault::Call(error)) => {
-                if !is_away {
+                if !is_unavailable {
                     tracing::warn!(%error, "the store does not answer");
                 }
-                is_away = true;
+                is_unavailable = true;
                 state.set_store_unavailable(true);
-                // The connection may be at fault; the table is read anew once it answers.
+                // The connection may be at fault: read the whole table once the store answers.
                 after = None;
                 ask_peers(&state, &mut next_peer).await;
-                time::sleep(AGAIN).await;
+                time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-async fn follow<S: state::PoolAdapters>(
+async fn read_feed<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     after: Option<ids::RowVersion>,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
     let table = S::Reader::DOCUMENT_TABLE;
     match after {
-        Some(after) => store_call::follow(state, table, after, WAIT).await,
+        Some(after) => store_call::follow(state, table, after, FEED_WAIT).await,
         None => Ok(store_call::snapshot(state, table).await?),
     }
 }
 
-/// Takes in the whole table.
+/// Applies a read of the whole table: the document if it is newer, and all evacuations.
 pub(crate) fn apply_table<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     read: &row_feed::FeedRows,
 ) {
-    take_document(state, &read.rows);
+    apply_document(state, &read.rows);
     state
         .evacuations
         .replace(evacuation::view_from_table(read, S::Reader::evacuated_data_center), "store");
 }
 
-fn take_changes<S: state::PoolAdapters>(state: &state::PoolState<S>, read: &row_feed::FeedRows) {
-    take_document(state, &read.rows);
+fn apply_table_changes<S: state::PoolAdapters>(
+    state: &state::PoolState<S>,
+    read: &row_feed::FeedRows,
+) {
+    apply_document(state, &read.rows);
     state.evacuations.apply_changes(
         read.rows.iter(),
         read.version,
@@ -94,7 +97,7 @@
     );
 }
 
-fn take_document<S: state::PoolAdapters>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
+fn apply_document<S: state::PoolAdapters>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
     for row in rows.iter().filter(|it| it.key == S::Reader::DOCUMENT_KEY) {
         if let Some(value) = &row.value {
             offer(state, value, "store");
@@ -107,20 +110,20 @@
         Ok(document) => {
             state.document.install_if_newer(document, origin);
         }
-        Err(error) => tracing::error!(%error, origin, "the configuration can't be read"),
+        Err(error) => tracing::error!(%error, origin, "configuration document cannot be parsed"),
     }
 }
 
-/// Asks a few peers in turn for a newer document.
+/// Asks the next few peers, by round robin, for a newer document and for their evacuations.
 async fn ask_peers<S: state::PoolAdapters>(state: &state::PoolState<S>, next: &mut usize) {
     let peers = state.peer_addresses();
-    let n_asked = PEERS_ASKED.min(peers.len());
+    let n_asked = PEERS_PER_ROUND.min(peers.len());
     let asked = (0..n_asked).map(|it| peers[(*next + it) % peers.len()].clone());
     let mut asking = tokio::task::JoinSet::new();
     for peer in asked {
         let link = state.adapters.peers().clone();
         let pull = model::DocumentPull { have: state.document.version() };
-        asking.spawn(async move { link.call(&peer, pull, PEER_DEADLINE).await });
+        asking.spawn(async move { link.call(&peer, pull, PEER_TIMEOUT).await });
     }
     *next = next.wrapping_add(n_asked);
     while let Some(answered) = asking.join_next().await {
--- a/crates/pool/src/graph_follower.rs
+++ b/crates/pool/src/graph_follower.rs
@@ -1,4 +1,5 @@
-//! Follows the accepted job graphs, besides the nudges of the instances that accept them.
+//! Admits accepted job graphs into the core: from the feed of their table, and from the nudges of the
+//! instances that accept them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +18,14 @@
 use crate::store_call;
 use crate::tenure_loader;
 
-/// How long the store may wait for a change. Bounds for how long a connection that has gone
-/// silent is believed in.
-const WAIT: Duration = Duration::from_millis(2_000);
+/// Longest time for which the store may hold a read open until a change occurs. It bounds for how
+/// long a connection that has gone silent is used.
+const FEED_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Wait after a failure.
-const AGAIN: Duration = Duration::from_millis(200);
+/// Wait before the feed is read again after a failure.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows until the tenure is over.
+/// Follows the feed from `after` until the tenure is over.
 pub(crate) async fn run<S: state::PoolAdapters>(
     state: Arc<state::PoolState<S>>,
     leader: Arc<leader::LeaderState>,
@@ -32,23 +33,23 @@
 ) {
     let mut monitor = feed_monitor::FeedMonitor::new("jobs");
     loop {
-        match next(&state, &mut monitor, after).await {
-            // Rows that could not be taken come again.
-            Ok(rows) if take(&state, &leader, &rows.rows) => {
+        match read_changes(&state, &mut monitor, after).await {
+            // `after` moves on only once all rows were admitted, so that rejected rows are read again.
+            Ok(rows) if admit_rows(&state, &leader, &rows.rows) => {
                 after = after.max(rows.version);
                 leader.set_applied_graph_version(after);
             }
-            Ok(_) => time::sleep(AGAIN).await,
+            Ok(_) => time::sleep(RETRY_INTERVAL).await,
             Err(error) => {
                 monitor.record_failure(&error, after);
-                time::sleep(AGAIN).await;
+                time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// What has changed behind `after`, or the whole table.
-async fn next<S: state::PoolAdapters>(
+/// Reads the changes after version `after`, or the whole table where the feed fails or its history is gone.
+async fn read_changes<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     monitor: &mut feed_monitor::FeedMonitor,
     after: ids::RowVersion,
@@ -56,21 +57,21 @@
     if monitor.take_table_due() {
         return Ok(store_call::snapshot(state, keys::GRAPHS).await?);
     }
-    match store_call::follow(state, keys::GRAPHS, after, WAIT).await {
+    match store_call::follow(state, keys::GRAPHS, after, FEED_WAIT).await {
         Ok(rows) => {
             monitor.record_answer(after);
             Ok(rows)
         }
         Err(row_feed::FeedFault::HistoryGone) => {
-            tracing::info!(after, "history of the job graphs is gone; the table is read");
+            tracing::info!(after, "history of the job graph feed is gone; reading the whole table");
             Ok(store_call::snapshot(state, keys::GRAPHS).await?)
         }
         Err(error) => Err(error),
     }
 }
 
-/// Takes rows of accepted job graphs into the core.
-fn take<S: state::PoolAdapters>(
+/// Admits the rows that are new. Returns false where this holder may not admit jobs now.
+fn admit_rows<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     leader: &Arc<leader::LeaderState>,
     rows: &[row_feed::FeedRow],
@@ -83,8 +84,9 @@
     rows.is_empty() || admit(state, leader, admitted)
 }
 
-/// Whether a row is to be taken in as it is. One that the feed has passed and that is not
-/// known was forgotten since, or missed: only the store can tell, and what was saved of its progress.
+/// Returns whether a row is to be admitted without its saved progress. A row that the feed has passed and
+/// whose job is not known belongs to a job that was forgotten since or missed. Only the store shows which,
+/// and the progress saved for the job, so such a row starts a recovery instead.
 fn is_new<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     leader: &Arc<leader::LeaderState>,
@@ -100,8 +102,8 @@
     false
 }
 
-/// Takes the row that an instance has just written. Tells whether it is known from then on; where it
-/// can't be taken, the feed or another nudge brings it.
+/// Admits the row that an instance has just written. Returns whether the core knows the row afterwards;
+/// otherwise the feed or another nudge delivers it.
 pub(crate) fn accept_nudge<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     leader: &Arc<leader::LeaderState>,
@@ -121,8 +123,8 @@
     is_new(state, leader, &admitted) && admit(state, leader, std::iter::once(admitted))
 }
 
-/// Takes job graphs into the core. A holder that isn't firm takes none: another may have taken
-/// over, and would not know that this one has started them.
+/// Admits job graphs into the core. A holder whose tenure isn't firm admits none and returns false: another
+/// instance may have taken over, and would not know that this one has started their tasks.
 pub(crate) fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
--- a/crates/pool/src/job_query.rs
+++ b/crates/pool/src/job_query.rs
@@ -1,4 +1,4 @@
-//! What callers ask of an instance.
+//! Answers callers' queries: the state of a job and the backlog of a job class.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,26 +16,26 @@
 use crate::state;
 use crate::store_call;
 
-/// For the holder of the tenure to answer before the store is asked.
-const HOLDER_DEADLINE: Duration = Duration::from_millis(250);
+/// Time allowed for the tenure holder to answer before the store is read.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The own way to the store is tried for this long before a peer is asked.
-const OWN_PATIENCE: Duration = Duration::from_millis(400);
+/// Time allowed for direct reads of the store before the query is relayed through a peer.
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Wait before the store is read again after a failure.
-const READ_AGAIN: Duration = Duration::from_millis(100);
+/// Wait before the job's rows are read again after the store failed.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How far a job is. The holder of the tenure is asked first, then the store, and a peer where
-/// neither gives an answer.
+/// Returns the state of a job. Asks the tenure holder first, then reads the store, and relays the
+/// query through a peer where neither answers. A job of another account is `Absent`.
 pub async fn job_state<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     account: Option<&str>,
     deadline: Instant,
 ) -> model::GraphLooked {
-    let patience = if state.is_store_unavailable() { Duration::ZERO } else { OWN_PATIENCE };
-    let own = deadline.min(Instant::now() + patience);
-    let answer = direct_job_state(state, graph, account, own).await;
+    let direct_timeout = if state.is_store_unavailable() { Duration::ZERO } else { DIRECT_TIMEOUT };
+    let direct_deadline = deadline.min(Instant::now() + direct_timeout);
+    let answer = direct_job_state(state, graph, account, direct_deadline).await;
     if answer.outcome != model::LookOutcome::Unavailable {
         return answer;
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// How far a job is, by the holder of the tenure or the own way to the store.
+/// Returns the state of a job from the tenure holder or from direct reads of the store.
 pub(crate) async fn direct_job_state<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
@@ -55,11 +55,11 @@
     let answer = ask_holder(state, model::GraphQuery { graph }).await;
     let holder_schedules = answer.as_ref().is_some_and(|it| it.schedules == Some(true));
     if let Some(model::GraphAnswer { account: owner, state: Some(known), failure, .. }) = answer {
-        let is_theirs = owner.as_deref() == account;
-        return if is_theirs {
-            known_job(known, failure)
+        let is_own_account = owner.as_deref() == account;
+        return if is_own_account {
+            known_answer(known, failure)
         } else {
-            looked(model::LookOutcome::Absent)
+            plain_answer(model::LookOutcome::Absent)
         };
     }
     loop {
@@ -67,17 +67,17 @@
             if let Some(nudge) = stored.unfinished.filter(|_| holder_schedules) {
                 nudge::send(state, nudge);
             }
-            return stored.looked;
+            return stored.answer;
         }
-        if Instant::now() + READ_AGAIN >= deadline {
-            return looked(model::LookOutcome::Unavailable);
+        if Instant::now() + READ_RETRY_INTERVAL >= deadline {
+            return plain_answer(model::LookOutcome::Unavailable);
         }
-        time::sleep(READ_AGAIN).await;
+        time::sleep(READ_RETRY_INTERVAL).await;
     }
 }
 
-/// Accepted jobs of a class of which no task has started; nothing where the holder of the tenure
-/// can't be asked.
+/// Returns the number of accepted jobs of a class of which no task has started; `None` where the
+/// tenure holder can't be asked.
 pub async fn backlog<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     class: &ids::ClassName,
@@ -87,11 +87,11 @@
     }
     let holder = state.remote_holder()?;
     let query = model::BacklogQuery { class: class.clone() };
-    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
+    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_TIMEOUT).await;
     answer.ok()?.waiting
 }
 
-/// What the holder of the tenure knows of a job.
+/// Answers a job query from the scheduler's state in memory. Called on the tenure holder only.
 pub(crate) fn answer_as_holder(
     leader: &leader::LeaderState,
     graph: ids::GraphId,
@@ -109,12 +109,15 @@
     }
 }
 
-fn known_job(state: model::GraphState, failure: Option<model::FailureCause>) -> model::GraphLooked {
+fn known_answer(
+    state: model::GraphState,
+    failure: Option<model::FailureCause>,
+) -> model::GraphLooked {
     let failure = failure.filter(|_| state == model::GraphState::Failed);
     model::GraphLooked { outcome: model::LookOutcome::Known(state), failure }
 }
 
-fn looked(outcome: model::LookOutcome) -> model::GraphLooked {
+fn plain_answer(outcome: model::LookOutcome) -> model::GraphLooked {
     model::GraphLooked { outcome, failure: None }
 }
 
@@ -126,18 +129,20 @@
         return Some(answer_as_holder(&leader, query.graph));
     }
     let holder = state.remote_holder()?;
-    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_DEADLINE).await;
-    answer.inspect_err(|error| tracing::debug!(%error, "holder gave no answer")).ok()
+    let answer = state.adapters.peers().call(&holder.address, query, HOLDER_TIMEOUT).await;
+    answer
+        .inspect_err(|error| tracing::debug!(%error, "tenure holder did not answer a job query"))
+        .ok()
 }
 
-/// A job by the rows of the store.
+/// State of a job according to its rows in the store.
 struct StoredJob {
-    looked: model::GraphLooked,
-    /// What the holder is told where it does not know the job; nothing where nothing is left to do.
+    answer: model::GraphLooked,
+    /// Nudge for a tenure holder that does not know the job; `None` where the job has ended or is cancelled.
     unfinished: Option<model::GraphNudge>,
 }
 
-/// A job by the rows of the store; nothing where they can't be read.
+/// Reads a job's state from its rows in the store; `None` where the rows can't be read.
 async fn stored_job<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
@@ -149,7 +154,10 @@
     )
     .ok()?;
     let Some((row, version)) = row.filter(|(it, _)| it.account.as_deref() == account) else {
-        return Some(StoredJob { looked: looked(model::LookOutcome::Absent), unfinished: None });
+        return Some(StoredJob {
+            answer: plain_answer(model::LookOutcome::Absent),
+            unfinished: None,
+        });
     };
     let failure = progress.as_ref().and_then(|(it, _)| it.failure);
     let known = match progress.map(|(it, _)| it.state) {
@@ -159,28 +167,28 @@
     };
     let is_unfinished = matches!(known, model::GraphState::Pending | model::GraphState::Running);
     let unfinished = is_unfinished.then_some(model::GraphNudge { graph, version, row });
-    Some(StoredJob { looked: known_job(known, failure), unfinished })
+    Some(StoredJob { answer: known_answer(known, failure), unfinished })
 }
 
-/// Reads one row; nothing inside where there is none.
+/// Reads and decodes one row; `Ok(None)` where the row does not exist.
 pub(crate) async fn read_row<S: state::PoolAdapters, M: serde::de::DeserializeOwned>(
     state: &state::PoolState<S>,
     key: ids::RowKey,
 ) -> Result<Option<(M, ids::RowVersion)>, ReadFailure> {
     let rows = store_call::get(state, key).await;
     let rows = rows.map_err(|error| {
-        tracing::debug!(%error, "row can't be read");
+        tracing::debug!(%error, "row cannot be read from the store");
         ReadFailure
     })?;
     let Some(row) = rows.rows.into_iter().next() else { return Ok(None) };
     let Some(value) = row.value else { return Ok(None) };
     let content = codec::decode(&value).map_err(|error| {
-        tracing::error!(key = row.key, %error, "row can't be understood");
+        tracing::error!(key = row.key, %error, "stored row cannot be decoded");
         ReadFailure
     })?;
     Ok(Some((content, row.version)))
 }
 
-/// The store gave no usable answer; it was logged.
+/// A row could not be read or decoded. The reason is logged where it occurs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadFailure;
--- a/crates/pool/src/member_list.rs
+++ b/crates/pool/src/member_list.rs
@@ -1,8 +1,8 @@
-//! How instances find each other: a row of each in the store.
+//! Discovery of instances: each instance writes one row into the store.
 //!
-//! A row changes only when its instance starts. So each instance reads all rows once, and then what
-//! has changed: if each read all rows of all again and again, what is read would grow with the square
-//! of the number of instances.
+//! A row changes only when its instance starts. So each instance reads all rows once, and then only
+//! the changes: if every instance read all rows each time, the number of rows read would grow with the
+//! square of the number of instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,41 +18,41 @@
 use crate::store_call;
 use crate::writer;
 
-/// Changes are read this often. Peers are needed while the store is away, and those that were
-/// known before will do.
+/// Interval between two reads of the changes. Peers are needed while the store is unavailable, and the
+/// peers known from before are enough then.
 const READ_INTERVAL: Duration = Duration::from_secs(6);
 
-/// The first reads come sooner: all instances start at about the same time.
-const FIRST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between the first reads, shorter because all instances start at about the same time.
+const EARLY_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads at the shorter interval.
-const N_FIRST: u32 = 3;
+/// Number of reads at the shorter interval.
+const N_EARLY_READS: u32 = 3;
 
-/// Writes the own row, then follows those of all.
+/// Writes the row of this instance, then follows the rows of all instances.
 pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
     while !write_own(&state).await {
-        time::sleep(FIRST_INTERVAL).await;
+        time::sleep(EARLY_READ_INTERVAL).await;
     }
     let mut list = MemberList::default();
     let mut n_reads = 0;
     loop {
         match read(&state, list.after).await {
             Ok(rows) => {
-                list.take(rows);
+                list.apply(rows);
                 state.set_members(list.members.values().cloned().collect());
             }
             Err(row_feed::FeedFault::HistoryGone) => list.after = None,
             Err(row_feed::FeedFault::Call(error)) => {
-                tracing::debug!(%error, "instances can't be read");
+                tracing::debug!(%error, "rows of the instances cannot be read");
             }
         }
         n_reads += 1;
-        let interval = if n_reads < N_FIRST { FIRST_INTERVAL } else { READ_INTERVAL };
+        let interval = if n_reads < N_EARLY_READS { EARLY_READ_INTERVAL } else { READ_INTERVAL };
         time::sleep(interval).await;
     }
 }
 
-/// The rows, as far as they were read.
+/// The rows read so far, by key.
 #[derive(Debug, Default)]
 struct MemberList {
     members: BTreeMap<String, model::InstanceRow>,
@@ -60,7 +60,7 @@
 }
 
 impl MemberList {
-    fn take(&mut self, rows: row_feed::FeedRows) {
+    fn apply(&mut self, rows: row_feed::FeedRows) {
         if self.after.is_none() {
             self.members.clear();
         }
@@ -87,7 +87,7 @@
 
 async fn write_own<S: state::PoolAdapters>(state: &state::PoolState<S>) -> bool {
     let settings = &state.settings;
-    // One row for each address, so that a process started again replaces its former row.
+    // One row per address, so that a restarted process replaces its former row.
     let row = model::InstanceRow {
         instance: settings.peer_address.clone(),
         address: settings.peer_address.clone(),
@@ -97,7 +97,7 @@
     let transaction = model::TableTransaction { conditions: Vec::new(), writes: vec![write] };
     let written = store_call::transact(state, transaction).await;
     if let Err(error) = &written {
-        tracing::debug!(%error, "the own row can't be written");
+        tracing::debug!(%error, "row of this instance cannot be written");
     }
     written.is_ok()
 }
--- a/crates/pool/src/missed_job.rs
+++ b/crates/pool/src/missed_job.rs
@@ -1,5 +1,5 @@
-//! Jobs that are stored although the holder of the tenure does not know them, and whose rows its feed has
-//! passed. None should be; one that is would wait for the next takeover.
+//! Recovers missed jobs: jobs that are stored, that the tenure holder does not know, and whose rows its feed
+//! has passed. There should be none; without recovery such a job would wait until the next takeover.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,14 @@
 use crate::leader;
 use crate::state;
 
-/// Wait before a job that could not be read or taken in is looked for again; doubled for each further time.
-const FIRST_AGAIN: Duration = Duration::from_millis(250);
+/// Wait before the first repetition for a job that could not be read or admitted; doubled for each further
+/// one.
+const FIRST_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait between two times.
-const LONGEST_AGAIN: Duration = Duration::from_secs(8);
+/// Longest wait between two attempts.
+const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Looks for a job in the store and takes it in, without waiting for it.
+/// Starts to read a job from the store and admit it, unless that is in progress already. Returns at once.
 pub(crate) fn recover<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     leader: &Arc<leader::LeaderState>,
@@ -29,50 +30,51 @@
     if !leader.missed_jobs().insert(graph) {
         return;
     }
-    let (state, mark) = (Arc::clone(state), MissedMark { leader: Arc::clone(leader), graph });
+    let (state, mark) = (Arc::clone(state), RecoveryMark { leader: Arc::clone(leader), graph });
     tokio::spawn(async move {
-        look_for(&state, &mark.leader, graph).await;
+        recover_until_known(&state, &mark.leader, graph).await;
         drop(mark);
     });
 }
 
-/// Looks for a job until it is known, or nowhere to be found, or the tenure is over.
-async fn look_for<S: state::PoolAdapters>(
+/// Reads a job until the core knows it, the store has no row of it, or the tenure is over.
+async fn recover_until_known<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     graph: ids::GraphId,
 ) {
-    let mut again = FIRST_AGAIN;
+    let mut retry_interval = FIRST_RETRY_INTERVAL;
     loop {
-        let is_over = match read(state, leader, graph).await {
+        let is_settled = match read_saved_job(state, leader, graph).await {
             Ok(Some(missed)) => admit(state, leader, missed),
             Ok(None) => true,
             Err(job_query::ReadFailure) => false,
         };
-        if is_over {
+        if is_settled {
             return;
         }
         tokio::select! {
             () = leader.ended.cancelled() => return,
-            () = time::sleep(again) => {}
+            () = time::sleep(retry_interval) => {}
         }
-        again = (again * 2).min(LONGEST_AGAIN);
+        retry_interval = (retry_interval * 2).min(MAX_RETRY_INTERVAL);
     }
 }
 
-/// A job that is being looked for. It ends with its task, by a panic too: else nobody would look for it again.
-struct MissedMark {
+/// Marks a job as being recovered. The mark is removed with its task, also by a panic: otherwise the job
+/// would never be recovered later.
+struct RecoveryMark {
     leader: Arc<leader::LeaderState>,
     graph: ids::GraphId,
 }
 
-impl Drop for MissedMark {
+impl Drop for RecoveryMark {
     fn drop(&mut self) {
         self.leader.missed_jobs().remove(&self.graph);
     }
 }
 
-/// Takes a job in. Tells whether it is known from then on; a holder that isn't firm takes none.
+/// Admits a job. Returns whether the core knows it afterwards; a holder whose tenure isn't firm admits none.
 fn admit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
@@ -91,9 +93,10 @@
     true
 }
 
-/// Reads a job as a takeover would; nothing where it was forgotten. Its acceptance is the first to go when a
-/// job is forgotten, and one without progress would run once more: so it has to be there still at the end.
-async fn read<S: state::PoolAdapters>(
+/// Reads a job's rows as a takeover does; `None` where the job was forgotten. When a job is forgotten, the
+/// row of its acceptance is removed first, and a job admitted without its progress would run once more. So
+/// the acceptance is read again at the end, and has to exist still.
+async fn read_saved_job<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     leader: &leader::LeaderState,
     graph: ids::GraphId,
--- a/crates/pool/src/nudge.rs
+++ b/crates/pool/src/nudge.rs
@@ -1,7 +1,8 @@
-//! Tells the holder of the tenure of rows of jobs, until it knows of them.
+//! Nudges the tenure holder about a job row that was written, and repeats the nudge until the holder knows
+//! the row.
 //!
-//! The feed brings every row, but a feed may stand still for seconds, and the holder may change while a
-//! nudge is under way.
+//! The feed delivers every row too, but a feed may stop for seconds, and the holder may change while a
+//! nudge is in progress.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,37 +17,38 @@
 use crate::graph_follower;
 use crate::state;
 
-/// For the holder to answer.
-const DEADLINE: Duration = Duration::from_millis(500);
+/// Time allowed for the holder to answer.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Wait before the first repetition; doubled for each further one.
-const FIRST_AGAIN: Duration = Duration::from_millis(200);
+const FIRST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest wait between two repetitions.
-const LONGEST_AGAIN: Duration = Duration::from_millis(3_200);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(3_200);
 
-/// A nudge is repeated for this long: through an outage of the store and the takeover behind it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// A nudge is repeated for this long: through an outage of the store and the takeover after it.
+const MAX_REPEAT_DURATION: Duration = Duration::from_secs(30);
 
-/// Nudges that are repeated at a time. Each keeps its row, usually a few kilobytes; more than that
-/// many wait for the feed.
-const MOST_PENDING: usize = 200;
+/// Most nudges that are repeated at a time. Each keeps its row in memory, usually a few kilobytes. Further
+/// nudges are sent once, after which the job waits for the feed.
+const MAX_PENDING: usize = 200;
 
-/// Nudges that are not acknowledged yet.
+/// Nudges that are being repeated until the holder acknowledges them.
 #[derive(Debug, Default)]
 pub(crate) struct PendingNudges {
-    /// Their jobs, and whether the job was cancelled.
+    /// Keys of the nudges; a cancellation is a nudge of its own besides that of the acceptance.
     pending: BTreeSet<NudgeKey>,
 }
 
+/// Job of a nudge, and whether the row is cancelled.
 type NudgeKey = (ids::GraphId, bool);
 
 /// Why a nudge is not acknowledged.
 #[derive(Debug, Error)]
 enum NudgeFault {
-    #[error("no holder is known")]
+    #[error("no tenure holder is known")]
     NoHolder,
-    #[error("the holder does not know the job")]
+    #[error("the tenure holder does not know the job")]
     NotKnown,
     #[error(transparent)]
     Call(#[from] error::CallError),
@@ -62,7 +64,8 @@
     }
 }
 
-/// Tells the holder of a row without waiting for it.
+/// Sends a nudge to the holder in the background, unless the same nudge is pending. Where this instance is
+/// the holder, the row is admitted directly.
 pub(crate) fn send<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     nudge: model::GraphNudge,
@@ -76,18 +79,19 @@
         if nudges.pending.contains(&key) {
             return;
         }
-        nudges.pending.len() < MOST_PENDING && nudges.pending.insert(key)
+        nudges.pending.len() < MAX_PENDING && nudges.pending.insert(key)
     };
     let mark = is_repeated.then(|| PendingMark { state: Arc::clone(state), key });
-    let patience = if is_repeated { PATIENCE } else { Duration::ZERO };
+    let repeat_for = if is_repeated { MAX_REPEAT_DURATION } else { Duration::ZERO };
     let state = Arc::clone(state);
     tokio::spawn(async move {
-        repeat(&state, &nudge, patience).await;
+        repeat(&state, &nudge, repeat_for).await;
         drop(mark);
     });
 }
 
-/// A nudge that is under way. It ends with its task, by a panic too: else no later nudge would tell of its job.
+/// Marks a nudge as pending. The mark is removed with its task, also by a panic: otherwise no later nudge
+/// of the job would be sent.
 struct PendingMark<S: state::PoolAdapters> {
     state: Arc<state::PoolState<S>>,
     key: NudgeKey,
@@ -99,15 +103,15 @@
     }
 }
 
-/// Nudges until the holder knows of the row, for as long as `patience`.
+/// Repeats a nudge until the holder knows the row, for `repeat_for` at most.
 async fn repeat<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     nudge: &model::GraphNudge,
-    patience: Duration,
+    repeat_for: Duration,
 ) {
     let job = format!("{:016x}", nudge.graph);
     let began = Instant::now();
-    let mut again = FIRST_AGAIN;
+    let mut retry_interval = FIRST_RETRY_INTERVAL;
     let mut n_tries = 1;
     while let Err(fault) = try_once(state, nudge).await {
         count(fault.outcome());
@@ -115,13 +119,13 @@
             let version = nudge.version;
             tracing::info!(job, version, %fault, "nudge is not acknowledged");
         }
-        if began.elapsed() + again > patience {
+        if began.elapsed() + retry_interval > repeat_for {
             count("given_up");
             tracing::info!(job, n_tries, %fault, "nudge is given up");
             return;
         }
-        time::sleep(again).await;
-        again = (again * 2).min(LONGEST_AGAIN);
+        time::sleep(retry_interval).await;
+        retry_interval = (retry_interval * 2).min(MAX_RETRY_INTERVAL);
         n_tries += 1;
     }
     count("acknowledged");
@@ -131,7 +135,7 @@
     }
 }
 
-/// Nudges whoever holds the tenure now.
+/// Sends a nudge once to the current holder, which may be this instance.
 async fn try_once<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     nudge: &model::GraphNudge,
@@ -141,8 +145,8 @@
         return is_known.then_some(()).ok_or(NudgeFault::NotKnown);
     }
     let holder = state.remote_holder().ok_or(NudgeFault::NoHolder)?;
-    let taken = state.adapters.peers().call(&holder.address, nudge.clone(), DEADLINE).await?;
-    // An earlier release does not tell.
+    let taken = state.adapters.peers().call(&holder.address, nudge.clone(), HOLDER_TIMEOUT).await?;
+    // An earlier release does not send `known`; its answer counts as an acknowledgement.
     if taken.known.unwrap_or(true) { Ok(()) } else { Err(NudgeFault::NotKnown) }
 }
 
--- a/crates/pool/src/peer_handler.rs
+++ b/crates/pool/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What an instance answers its peers.
+//! Handles the calls of peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::state;
 use crate::submit;
 
-/// Answers the calls of peers.
+/// Serves the calls of peers from the state of one instance. `serve` returns `None` for an unknown path.
 #[derive(Debug)]
 pub struct PeerHandler<S> {
     state: Arc<state::PoolState<S>>,
@@ -29,7 +29,7 @@
 }
 
 impl<S: state::PoolAdapters> PeerHandler<S> {
-    /// A desk for an instance.
+    /// Creates the handler of an instance; clones share `state`.
     pub fn new(state: Arc<state::PoolState<S>>) -> PeerHandler<S> {
         PeerHandler { state }
     }
@@ -46,26 +46,26 @@
         model::NudgeTaken { known: Some(known) }
     }
 
-    fn graph(&self, query: &model::GraphQuery) -> model::GraphAnswer {
+    fn answer_job_query(&self, query: &model::GraphQuery) -> model::GraphAnswer {
         let leader = self.state.leader();
         leader.map(|it| job_query::answer_as_holder(&it, query.graph)).unwrap_or_default()
     }
 
     async fn submit(&self, call: model::GraphSubmit) -> model::GraphSubmitted {
-        let deadline = deadline_in(call.patience_ms);
+        let deadline = deadline_after(call.patience_ms);
         let outcome = submit::submit_directly(&self.state, call.graph, &call.row, deadline).await;
         model::GraphSubmitted { outcome }
     }
 
     async fn cancel(&self, call: model::GraphCancel) -> model::GraphCancelled {
-        let deadline = deadline_in(call.patience_ms);
+        let deadline = deadline_after(call.patience_ms);
         let account = call.account.as_deref();
         let outcome = cancel::cancel_directly(&self.state, call.graph, account, deadline).await;
         model::GraphCancelled { outcome }
     }
 
-    async fn look(&self, call: model::GraphLook) -> model::GraphLooked {
-        let deadline = deadline_in(call.patience_ms);
+    async fn job_state(&self, call: model::GraphLook) -> model::GraphLooked {
+        let deadline = deadline_after(call.patience_ms);
         let account = call.account.as_deref();
         job_query::direct_job_state(&self.state, call.graph, account, deadline).await
     }
@@ -87,14 +87,18 @@
                 dispatch::answer(&body, async |it| self.document(&it)).await
             }
             model::GraphNudge::PATH => dispatch::answer(&body, async |it| self.nudge(&it)).await,
-            model::GraphQuery::PATH => dispatch::answer(&body, async |it| self.graph(&it)).await,
+            model::GraphQuery::PATH => {
+                dispatch::answer(&body, async |it| self.answer_job_query(&it)).await
+            }
             model::GraphSubmit::PATH => {
                 dispatch::answer(&body, async |it| self.submit(it).await).await
             }
             model::GraphCancel::PATH => {
                 dispatch::answer(&body, async |it| self.cancel(it).await).await
             }
-            model::GraphLook::PATH => dispatch::answer(&body, async |it| self.look(it).await).await,
+            model::GraphLook::PATH => {
+                dispatch::answer(&body, async |it| self.job_state(it).await).await
+            }
             model::TenureQuery::PATH => dispatch::answer(&body, async |it| self.tenure(&it)).await,
             model::BacklogQuery::PATH => {
                 dispatch::answer(&body, async |it| self.backlog(&it)).await
@@ -104,6 +108,6 @@
     }
 }
 
-fn deadline_in(patience_ms: u64) -> Instant {
-    Instant::now() + Duration::from_millis(patience_ms)
+fn deadline_after(timeout_ms: u64) -> Instant {
+    Instant::now() + Duration::from_millis(timeout_ms)
 }
--- a/crates/pool/src/relay.rs
+++ b/crates/pool/src/relay.rs
@@ -1,8 +1,8 @@
-//! Calls by way of a peer, where this instance's own way to the store is cut.
+//! Relays calls through a peer while the store does not answer this instance.
 //!
-//! The store turns some instances away while it serves the others. What such an instance can't do
-//! itself, a peer does for it, instead of sending its callers away. Only one step is made: a peer
-//! that is asked uses its own way or none.
+//! The store may reject some instances while it serves the others. A rejected instance relays its
+//! calls to a peer instead of rejecting its callers. A call is relayed at most once: the peer
+//! calls the store directly or not at all.
 
 use std::time::Duration;
 
@@ -14,38 +14,38 @@
 
 use crate::state;
 
-/// Peers asked for one call. The store seldom turns more than a third of the instances away.
-const MOST_PEERS: usize = 3;
+/// Peers tried for one call. The store seldom rejects more than a third of the instances.
+const MAX_PEERS: usize = 3;
 
-/// For one peer to answer.
-const PEER_DEADLINE: Duration = Duration::from_millis(700);
+/// Time allowed for one peer to answer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Kept of a peer's deadline for its answer to travel.
-const TRAVEL_MARGIN: Duration = Duration::from_millis(60);
+/// Part of a peer's time that is reserved for its answer to arrive.
+const ANSWER_MARGIN: Duration = Duration::from_millis(60);
 
-/// After a call that no peer could serve, none is tried for this long: the store is away for all,
-/// and callers are better told at once.
-const FRUITLESS_PAUSE: Duration = Duration::from_millis(600);
+/// After a call that no peer could serve, nothing is relayed for this long: the store is probably
+/// unavailable to all instances, and callers are better rejected at once.
+const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(600);
 
-/// Whether a way round the store is worth a try.
+/// Which peer is tried next, and until when relaying is paused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RelayState {
-    fruitless_until: Option<Instant>,
+    paused_until: Option<Instant>,
     next_peer: usize,
 }
 
-/// What became of a call by way of peers.
+/// Outcome of a relayed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RelayOutcome<R> {
-    /// A peer has served it.
+    /// A peer served the call.
     Served(R),
-    /// None could, and none has done anything.
+    /// No peer served the call, and the call certainly had no effect.
     NotServed,
-    /// None could, or one may have.
+    /// No peer answered definitely; the call may have had an effect.
     Unclear,
 }
 
-/// Has a peer store a job graph.
+/// Submits a job graph through a peer.
 pub(crate) async fn submit<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
@@ -53,15 +53,15 @@
     deadline: Instant,
 ) -> RelayOutcome<model::SubmitOutcome> {
     let call = |patience_ms| model::GraphSubmit { graph, row: row.clone(), patience_ms };
-    let judge = |reply: model::GraphSubmitted| match reply.outcome {
+    let outcome_of = |reply: model::GraphSubmitted| match reply.outcome {
         model::SubmitOutcome::NotRun => RelayOutcome::NotServed,
         model::SubmitOutcome::Unknown => RelayOutcome::Unclear,
         served => RelayOutcome::Served(served),
     };
-    ask(state, deadline, call, judge).await
+    try_peers(state, deadline, call, outcome_of).await
 }
 
-/// Has a peer cancel a job graph.
+/// Cancels a job graph through a peer.
 pub(crate) async fn cancel<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
@@ -70,14 +70,14 @@
 ) -> RelayOutcome<model::CancelOutcome> {
     let account = account.map(str::to_owned);
     let call = |patience_ms| model::GraphCancel { graph, account: account.clone(), patience_ms };
-    let judge = |reply: model::GraphCancelled| match reply.outcome {
+    let outcome_of = |reply: model::GraphCancelled| match reply.outcome {
         model::CancelOutcome::Unknown => RelayOutcome::Unclear,
         served => RelayOutcome::Served(served),
     };
-    ask(state, deadline, call, judge).await
+    try_peers(state, deadline, call, outcome_of).await
 }
 
-/// Has a peer look how far a job graph is.
+/// Reads the state of a job graph through a peer.
 pub(crate) async fn job_state<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     graph: ids::GraphId,
@@ -86,26 +86,26 @@
 ) -> RelayOutcome<model::GraphLooked> {
     let account = account.map(str::to_owned);
     let call = |patience_ms| model::GraphLook { graph, account: account.clone(), patience_ms };
-    let judge = |reply: model::GraphLooked| match reply.outcome {
+    let outcome_of = |reply: model::GraphLooked| match reply.outcome {
         model::LookOutcome::Unavailable => RelayOutcome::NotServed,
         _ => RelayOutcome::Served(reply),
     };
-    ask(state, deadline, call, judge).await
+    try_peers(state, deadline, call, outcome_of).await
 }
 
-async fn ask<S: state::PoolAdapters, C: PeerCall, R>(
+async fn try_peers<S: state::PoolAdapters, C: PeerCall, R>(
     state: &state::PoolState<S>,
     deadline: Instant,
     call: impl Fn(u64) -> C,
-    judge: impl Fn(C::Reply) -> RelayOutcome<R>,
+    outcome_of: impl Fn(C::Reply) -> RelayOutcome<R>,
 ) -> RelayOutcome<R> {
     let mut outcome = RelayOutcome::NotServed;
     for peer in next_peers(state) {
-        let left = deadline.saturating_duration_since(Instant::now()).min(PEER_DEADLINE);
-        let Some(patience) = left.checked_sub(TRAVEL_MARGIN) else { break };
+        let time_left = deadline.saturating_duration_since(Instant::now()).min(PEER_TIMEOUT);
+        let Some(peer_time) = time_left.checked_sub(ANSWER_MARGIN) else { break };
         let reply =
-            state.adapters.peers().call(&peer, call(patience.as_millis() as u64), left).await;
-        match reply.map(&judge) {
+            state.adapters.peers().call(&peer, call(peer_time.as_millis() as u64), time_left).await;
+        match reply.map(&outcome_of) {
             Ok(served @ RelayOutcome::Served(_)) => {
                 metrics::counter!("almondpass_pool_detours_total").increment(1);
                 return served;
@@ -120,23 +120,23 @@
             }
         }
     }
-    state.relays().fruitless_until = Some(Instant::now() + FRUITLESS_PAUSE);
+    state.relays().paused_until = Some(Instant::now() + PAUSE_AFTER_FAILURE);
     outcome
 }
 
 fn log_failure(error: &error::CallError) {
-    tracing::debug!(%error, "a peer gave no answer");
+    tracing::debug!(%error, "peer did not answer a relayed call");
 }
 
-/// The next few peers in turn; none while a way round is not worth a try.
+/// Chooses the peers for one call by round robin; empty while relaying is paused.
 fn next_peers<S: state::PoolAdapters>(state: &state::PoolState<S>) -> Vec<ids::PeerAddress> {
     let peers = state.peer_addresses();
     let mut relays = state.relays();
-    if relays.fruitless_until.is_some_and(|it| Instant::now() < it) || peers.is_empty() {
+    if relays.paused_until.is_some_and(|it| Instant::now() < it) || peers.is_empty() {
         return Vec::new();
     }
     let first = relays.next_peer;
     relays.next_peer = first.wrapping_add(1);
-    let n_asked = MOST_PEERS.min(peers.len());
-    (0..n_asked).map(|it| peers[first.wrapping_add(it) % peers.len()].clone()).collect()
+    let n_tried = MAX_PEERS.min(peers.len());
+    (0..n_tried).map(|it| peers[first.wrapping_add(it) % peers.len()].clone()).collect()
 }
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of an instance share.
+//! State shared by the tasks of an instance.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,81 +21,81 @@
 use crate::settings;
 use crate::worker_entry;
 
-/// The platform and the peers as an instance reaches them.
+/// Access to everything outside the instance: the store, the workers, the peers and the clock.
 pub trait PoolAdapters: Clone + Send + Sync + 'static {
-    /// The store.
+    /// Client of the platform's store: transactions, reads and feeds.
     type Store: table::TableService + row_feed::RowFeed;
-    /// The workers.
+    /// Client that starts, stops and polls tasks on workers.
     type Control: control::TaskControl;
-    /// What the platform and its operators write.
+    /// Parser of the rows that the platform and its operators write.
     type Reader: document::PlatformReader;
-    /// The other instances.
+    /// Client for calls to other instances.
     type Peers: link::PeerLink;
-    /// The time.
+    /// Clock that counts while the machine is suspended too.
     type Clock: boot_clock::BootClock;
 
-    /// The store.
+    /// Returns the client of the store; calls have no deadline of their own (see [`crate::store_call`]).
     fn store(&self) -> &Self::Store;
-    /// The workers.
+    /// Returns the client of the workers.
     fn control(&self) -> &Self::Control;
-    /// What the platform and its operators write.
+    /// Returns the parser of platform rows.
     fn reader(&self) -> &Self::Reader;
-    /// The other instances.
+    /// Returns the client of the other instances.
     fn peers(&self) -> &Self::Peers;
-    /// The time.
+    /// Returns the clock by which the tenure's term and the workers' leases are measured.
     fn clock(&self) -> &Self::Clock;
 }
 
-/// State of an instance; its parts hold it in an `Arc`.
+/// State of an instance, shared by its tasks in an `Arc`.
 #[derive(Debug)]
 pub struct PoolState<S> {
-    /// The platform and the peers.
+    /// Access to the store, the workers, the peers and the clock.
     pub adapters: S,
-    /// What the instance was told at its start.
+    /// Settings given at the start of the process; they never change.
     pub settings: settings::PoolSettings,
-    /// When the process began.
+    /// Time of the clock at the start of the process.
     pub(crate) started_at: Duration,
-    /// The configuration in force.
+    /// Configuration document in force, from the store or from a peer.
     pub document: document::DocumentSlot,
-    /// The data centres under evacuation.
+    /// Data centres under evacuation, from the store or from a peer.
     pub evacuations: evacuation::EvacuationSlot,
-    /// Ends when the instance is to leave.
+    /// Cancelled once the instance is to give up the tenure and shut down.
     pub shutdown: CancellationToken,
-    /// Who holds the tenure, as last seen.
+    /// Holder of the tenure according to the last read of the tenure's row.
     holder: Mutex<Option<HolderView>>,
-    /// The tenure, while this instance holds it.
+    /// State of the tenure; `None` while this instance does not hold it.
     leader: Mutex<Option<Arc<leader::LeaderState>>>,
-    /// Number of the tenure from its taking on, before its rows are read.
+    /// Epoch of the tenure that this instance has acquired, set before the tenure's rows are loaded.
     taken_epoch: Mutex<Option<ids::Epoch>>,
-    /// When an order of a tenure that is over here may have left last.
+    /// Latest time at which an order of an ended tenure of this instance may have been sent.
     last_order_at: Mutex<Option<Duration>>,
-    /// What the last such tenure held against tasks and had not saved.
+    /// Suspicions against tasks that the last ended tenure of this instance had not saved.
     unsaved: Mutex<Vec<model::UnsavedSuspicions>>,
-    /// Whether the store gives this instance no answers, as its last long call showed.
+    /// Whether the store does not answer this instance, according to the last read of the document's feed.
     store_unavailable: AtomicBool,
-    /// Whether calls by way of peers are worth a try.
+    /// Which peer relays the next call, and whether relaying is paused.
     relays: Mutex<relay::RelayState>,
-    /// Nudges that the holder has not acknowledged yet.
+    /// Nudges that the tenure holder has not acknowledged yet.
     nudges: Mutex<nudge::PendingNudges>,
-    /// Instances that were found, this one included.
+    /// Rows of all known instances, including this one.
     members: Mutex<Vec<model::InstanceRow>>,
     /// Stronger instances to which this one has offered the tenure.
     offered_instances: Mutex<hand_over::OfferedInstances>,
-    /// Entries of the list of workers that name no worker to use.
+    /// Entries of the list of workers that are invalid and not used.
     faulty_entries: Mutex<worker_entry::FaultyEntries>,
 }
 
-/// The holder of the tenure.
+/// Identity and address of the tenure holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderView {
-    /// Which instance.
+    /// Id of the instance, new at each start of its process.
     pub instance: ids::InstanceId,
-    /// Where it answers its peers.
+    /// Address at which the instance answers calls of peers.
     pub address: ids::PeerAddress,
 }
 
 impl<S: PoolAdapters> PoolState<S> {
-    /// An instance that knows nothing yet.
+    /// Creates the state of an instance that has read nothing from the store yet.
     pub fn new(adapters: S, settings: settings::PoolSettings) -> PoolState<S> {
         let started_at = adapters.clock().now();
         PoolState {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The tenure, while this instance holds it.
+    /// Returns the state of the tenure; `None` while this instance does not hold it.
     pub fn leader(&self) -> Option<Arc<leader::LeaderState>> {
         lock(&self.leader).clone()
     }
@@ -128,7 +128,7 @@
         *lock(&self.leader) = leader;
     }
 
-    /// Number of the tenure that this instance has taken and not ended.
+    /// Returns the epoch of the tenure that this instance has acquired and not ended.
     pub(crate) fn taken_epoch(&self) -> Option<ids::Epoch> {
         *lock(&self.taken_epoch)
     }
@@ -137,17 +137,19 @@
         *lock(&self.taken_epoch) = epoch;
     }
 
-    /// When an order of a tenure that is over here may have left last, if any has.
+    /// Returns the latest time at which an order of an ended tenure of this instance may have been sent, if
+    /// any was.
     pub(crate) fn last_order_at(&self) -> Option<Duration> {
         *lock(&self.last_order_at)
     }
 
-    /// What the last tenure that is over here held against tasks and had not saved.
+    /// Returns the suspicions against tasks that the last ended tenure of this instance had not saved.
     pub(crate) fn unsaved_suspicions(&self) -> Vec<model::UnsavedSuspicions> {
         lock(&self.unsaved).clone()
     }
 
-    /// A tenure is over here, whose last order may have left at `ordered_at`.
+    /// Records that a tenure of this instance has ended. Its last order may have been sent at
+    /// `last_order_at`.
     pub(crate) fn record_tenure_end(
         &self,
         last_order_at: Option<Duration>,
@@ -158,7 +160,8 @@
         *lock(&self.unsaved) = unsaved;
     }
 
-    /// Another instance that holds the tenure, as last seen.
+    /// Returns the holder of the tenure according to the last read; `None` where this instance or nobody
+    /// holds it.
     pub fn remote_holder(&self) -> Option<HolderView> {
         let holder = lock(&self.holder).clone();
         holder.filter(|it| it.instance != self.settings.instance)
@@ -173,7 +176,8 @@
         *current = holder;
     }
 
-    /// Peers that were found, and those named at the start.
+    /// Returns the addresses of all known peers and of the seeds in the settings, sorted, without this
+    /// instance.
     pub fn peer_addresses(&self) -> Vec<ids::PeerAddress> {
         let members = lock(&self.members);
         let mut addresses = members.iter().map(|it| it.address.clone()).collect::<Vec<_>>();
@@ -184,7 +188,7 @@
         addresses
     }
 
-    /// Whether the store gives this instance no answers.
+    /// Returns whether the store does not answer this instance.
     pub(crate) fn is_store_unavailable(&self) -> bool {
         self.store_unavailable.load(Ordering::Relaxed)
     }
@@ -213,12 +217,12 @@
         *lock(&self.members) = members;
     }
 
-    /// Whether a stronger instance than this was found.
+    /// Returns whether an instance with a higher strength than this one is known.
     pub(crate) fn knows_stronger_instance(&self) -> bool {
         !self.stronger_instances().is_empty()
     }
 
-    /// Instances that were found and are stronger than this.
+    /// Returns the known instances with a higher strength than this one.
     pub(crate) fn stronger_instances(&self) -> BTreeSet<ids::InstanceId> {
         let members = lock(&self.members);
         let own = self.settings.strength_milli;
@@ -227,7 +231,8 @@
     }
 }
 
-/// Locks although a holder of the lock panicked: the state is whole between any two statements.
+/// Locks a mutex and ignores poisoning: the state under it is consistent between any two statements, so a
+/// panic while it was locked does no harm.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/pool/src/store_call.rs
+++ b/crates/pool/src/store_call.rs
@@ -1,5 +1,5 @@
-//! Calls to the store, each with its deadline: a store that says nothing must not hold up what
-//! waits for it.
+//! Calls to the store, each with a deadline: a store that does not answer must not block the task that
+//! calls it.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,45 +14,47 @@
 
 use crate::state;
 
-/// For a transaction: 60 times the usual 9 ms, the slowest that the users' sites name, and more.
+/// Time allowed for a transaction: more than 60 times the usual 9 ms. The slowest store that the users'
+/// sites report takes 60 times as long as usual.
 pub const WRITE_DEADLINE: Duration = Duration::from_millis(900);
 
-/// For a read of one row: 60 times the usual 4 ms, and more.
+/// Time allowed for a read of one row: more than 60 times the usual 4 ms.
 pub const READ_DEADLINE: Duration = Duration::from_millis(600);
 
-/// For one page of a table, and what is asked for before it: at 60 times the usual 4 ms each.
+/// Time allowed for one page of a table and the calls that precede it, at 60 times the usual 4 ms each.
 pub const PAGE_DEADLINE: Duration = Duration::from_millis(1_500);
 
-/// For a whole table, however many pages it has. With a bound for a few pages nobody could take the
-/// tenure while the store is slow, once jobs are many: 6,000 that ended lately are 13 pages. The tenure
-/// is renewed meanwhile. At 60 times the usual 4 ms this is 40 pages, or 20,000 rows.
+/// Time allowed for a whole table, however many pages it has. With a bound for a few pages, no instance
+/// could take over the tenure while the store is slow and jobs are many: 6,000 recently ended jobs are 13
+/// pages. The tenure is renewed in the meantime. At 60 times the usual 4 ms per page, 10 s are enough for
+/// 40 pages, or 20,000 rows.
 pub const TABLE_DEADLINE: Duration = Duration::from_secs(10);
 
-/// For the answer to a feed, beyond the time that the store may wait.
+/// Time allowed for the answer to a read of a feed, beyond the time for which the store may hold it open.
 pub const FEED_SLACK: Duration = Duration::from_millis(500);
 
-/// Wait before a write is sent again to a store that gives no answers; usually one takes 9 ms.
-const RESEND: Duration = Duration::from_millis(150);
+/// Wait before a write is sent again while the store does not answer; a write usually takes 9 ms.
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Name of the store in errors of this module.
+/// Name of the store in call errors.
 const STORE: &str = "store";
 
-/// Writes. Every transaction of this crate may be sent twice: its condition holds once, or it
-/// writes the same again.
+/// Commits a transaction. Every transaction of this crate may be sent twice: either its condition holds only
+/// the first time, or it writes the same values again.
 pub(crate) async fn transact<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     transaction: model::TableTransaction,
 ) -> Result<model::TableOutcome, error::CallError> {
     let step = model::TableTransaction::PATH;
     if state.is_store_unavailable() {
-        return within(step, WRITE_DEADLINE, transact_insistently(state, transaction)).await;
+        return within(step, WRITE_DEADLINE, transact_with_resends(state, transaction)).await;
     }
     within(step, WRITE_DEADLINE, state.adapters.store().transact(transaction)).await
 }
 
-/// Sends a transaction again and again, and takes the first answer. A store that says nothing has
-/// lost the call, and once it is back only another one tells.
-async fn transact_insistently<S: state::PoolAdapters>(
+/// Sends a transaction repeatedly and returns the first answer. A store that does not answer has lost the
+/// call, and only a call sent after the store is back is answered.
+async fn transact_with_resends<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     transaction: model::TableTransaction,
 ) -> Result<model::TableOutcome, error::CallError> {
@@ -60,7 +62,7 @@
     let mut unclear = None;
     loop {
         calls.push(state.adapters.store().transact(transaction.clone()));
-        let resend = time::sleep(RESEND);
+        let resend = time::sleep(RESEND_INTERVAL);
         tokio::pin!(resend);
         loop {
             tokio::select! {
@@ -68,8 +70,9 @@
                 Some(answer) = calls.next() => match answer {
                     Ok(outcome) => return Ok(outcome),
                     Err(error) => {
-                        // One that may have landed counts for all: else a caller would be told that
-                        // its job was not stored, and it would run.
+                        // One call that may have taken effect makes the whole outcome unclear.
+                        // Otherwise a caller would learn that its job was not stored, and the job
+                        // would run.
                         if unclear.is_none() && !error.fault.had_no_effect() {
                             unclear = Some(error.clone());
                         }
@@ -84,7 +87,7 @@
     }
 }
 
-/// Reads one row.
+/// Reads one row within `READ_DEADLINE`.
 pub(crate) async fn get<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     key: ids::RowKey,
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -1,4 +1,4 @@
-//! Accepts job graphs: a row in the store, then a nudge for the scheduler.
+//! Accepts job graphs: writes a row into the store, then nudges the tenure holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use crate::store_call;
 use crate::writer;
 
-/// A store that refuses is asked again for this long, so that one refusal in passing does not
-/// reach the caller; a longer outage does at once.
-const REFUSED_PATIENCE: Duration = Duration::from_millis(250);
+/// A store that rejects a write without effect is tried again for this long, so that a single rejection does
+/// not reach the caller; a longer outage is reported to the caller at once.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The own way to the store is tried for this long before a peer is asked: a write takes up to
-/// 0.54 s while the store is 60 times slower.
-const OWN_PATIENCE: Duration = Duration::from_millis(650);
+/// Time allowed for direct writes to the store before the call is relayed through a peer: a write takes up
+/// to 0.54 s while the store is 60 times slower than usual.
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(650);
 
-/// Wait before the row is written again.
-const WRITE_AGAIN: Duration = Duration::from_millis(80);
+/// Wait before a failed write of the row is repeated.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Stores a job graph under its id, unless it is stored already: by the own way to the store, or
-/// by that of a peer.
+/// Stores a job graph under its id, unless it is stored already: directly in the store, or through a peer
+/// where the store does not answer this instance. Returns `Unknown` where the row may have been stored.
 pub async fn submit<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
@@ -37,14 +37,14 @@
     let account = row.account.clone().unwrap_or_default();
     let labels =
         [("account", account), ("class", row.class.clone())].map(|(key, it)| Label::new(key, it));
-    let outcome = submit_by_any_way(state, graph, row, deadline).await;
+    let outcome = submit_with_relay(state, graph, row, deadline).await;
     let outcome_label = Label::new("outcome", outcome.to_string());
     let labels = labels.into_iter().chain([outcome_label]).collect::<Vec<_>>();
     metrics::counter!("almondpass_pool_submissions_total", labels).increment(1);
     outcome
 }
 
-async fn submit_by_any_way<S: state::PoolAdapters>(
+async fn submit_with_relay<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     row: model::GraphRow,
@@ -52,7 +52,8 @@
 ) -> model::SubmitOutcome {
     let mut may_be_stored = false;
     if !state.is_store_unavailable() {
-        match submit_directly(state, graph, &row, deadline.min(Instant::now() + OWN_PATIENCE)).await
+        match submit_directly(state, graph, &row, deadline.min(Instant::now() + DIRECT_TIMEOUT))
+            .await
         {
             model::SubmitOutcome::NotRun => {}
             model::SubmitOutcome::Unknown => may_be_stored = true,
@@ -64,16 +65,17 @@
         relay::RelayOutcome::NotServed => {}
         relay::RelayOutcome::Unclear => may_be_stored = true,
     }
-    // The store may be back, or slow rather than away; one that refuses is given up on in there.
-    // While a write may still land, its outcome is worth the rest of the caller's time: a caller
-    // can't repeat what is unknown for nothing.
+    // The store may be back, or slow rather than unavailable; `submit_directly` gives up early on a store
+    // that rejects writes. While a write may still take effect, its outcome is worth the rest of the caller's
+    // time: a caller can't repeat a call of unknown outcome without a cost.
     match submit_directly(state, graph, &row, deadline).await {
         model::SubmitOutcome::NotRun if may_be_stored => model::SubmitOutcome::Unknown,
         outcome => outcome,
     }
 }
 
-/// Stores a job graph by the own way to the store.
+/// Stores a job graph directly in the store, and retries until `deadline` or until the store has rejected
+/// writes for `REJECTION_TIMEOUT`.
 pub(crate) async fn submit_directly<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
@@ -97,10 +99,10 @@
                 nudge::send(state, model::GraphNudge { graph, version, row: row.clone() });
                 return model::SubmitOutcome::Accepted;
             }
-            // Stored before: by an earlier call of the caller, or by a write of this one whose
-            // answer was lost.
+            // The row exists: an earlier call of the caller has stored it, or a write of this call
+            // whose answer was lost.
             Ok(model::TableOutcome::Conflict { rows }) => {
-                return settle(state, graph, &rows, row);
+                return outcome_of_existing(state, graph, &rows, row);
             }
             Err(error) if error.fault.is_for_good() => {
                 tracing::error!(
@@ -110,12 +112,13 @@
                     may_be_stored,
                     "row of a job is refused"
                 );
-                return unless_stored(may_be_stored, model::SubmitOutcome::Refused);
+                return outcome_unless_stored(may_be_stored, model::SubmitOutcome::Refused);
             }
             Err(error) => {
                 may_be_stored |= !error.fault.had_no_effect();
                 n_failed += 1;
-                // Once a call: it tries a dozen times a second, and an outage meets all callers.
+                // Logged once per call: a call tries a dozen times a second, and an outage affects all
+                // callers.
                 if n_failed == 1 {
                     tracing::info!(
                         job = format_args!("{graph:016x}"),
@@ -126,28 +129,33 @@
                 }
             }
         }
-        let next = Instant::now() + WRITE_AGAIN;
-        let is_refused_for_long = !may_be_stored && next >= started + REFUSED_PATIENCE;
-        if next >= deadline || is_refused_for_long {
+        let next = Instant::now() + WRITE_RETRY_INTERVAL;
+        let is_rejected_for_long = !may_be_stored && next >= started + REJECTION_TIMEOUT;
+        if next >= deadline || is_rejected_for_long {
             tracing::info!(
                 job = format_args!("{graph:016x}"),
                 n_failed,
                 may_be_stored,
                 "storing a job is given up"
             );
-            return unless_stored(may_be_stored, model::SubmitOutcome::NotRun);
+            return outcome_unless_stored(may_be_stored, model::SubmitOutcome::NotRun);
         }
-        time::sleep(WRITE_AGAIN).await;
+        time::sleep(WRITE_RETRY_INTERVAL).await;
     }
 }
 
-/// The outcome of a write that certainly did not land, unless an earlier one may have.
-fn unless_stored(may_be_stored: bool, outcome: model::SubmitOutcome) -> model::SubmitOutcome {
+/// Returns `outcome` for a write that had no effect, or `Unknown` where an earlier write may have stored
+/// the row.
+fn outcome_unless_stored(
+    may_be_stored: bool,
+    outcome: model::SubmitOutcome,
+) -> model::SubmitOutcome {
     if may_be_stored { model::SubmitOutcome::Unknown } else { outcome }
 }
 
-/// What the row tells that was found in place of `wanted`. The holder may not know of it yet.
-fn settle<S: state::PoolAdapters>(
+/// Derives the outcome from the row found in place of `wanted`: `Taken` where it belongs to another account.
+/// The tenure holder may not know the row yet, so it is nudged.
+fn outcome_of_existing<S: state::PoolAdapters>(
     state: &Arc<state::PoolState<S>>,
     graph: ids::GraphId,
     rows: &[model::TableRow],
