--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -1,4 +1,5 @@
-//! Storms over accepted work: calm and faults in turn, and while it is calm no job stands still.
+//! Storms over accepted jobs: periods with and without faults in turn, where no job may starve in a period
+//! without faults. A storm is a test run whose faults are drawn at random from a seed.
 //!
 //! A long run: `POOL_STORM_CASES=400 POOL_STORM_SEED=1 cargo test --release -p almondpass-pool --test
 //! pool -- --nocapture storms_of_accepted_work`.
@@ -12,116 +13,122 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::{self, Instant};
 
-use crate::still_jobs;
+use crate::starvation_oracle;
 use crate::support;
 
 const N_INSTANCES: usize = 4;
 const N_WORKERS: usize = 24;
 
-/// Rounds of a storm: faults, then calm.
+/// Rounds of a storm; each is a period of faults and a period without.
 const N_ROUNDS: usize = 5;
 
-/// Jobs are looked at this often.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two checks of the accepted jobs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Strengths of instances, in thousandths of a core.
+/// Strengths drawn for restarted instances, in thousandths of a core.
 const STRENGTHS: [u32; 3] = [150, 250, 400];
 
-/// The end of a storm: the longest tasks, and leases of workers that were lost before.
-const SETTLE: Duration = Duration::from_secs(60);
+/// Time after the last fault in which all jobs have to end: it covers the longest tasks, and the leases of
+/// workers that were lost before.
+const SETTLING_TIME: Duration = Duration::from_secs(60);
 
-/// What strikes.
+/// Kinds of faults that a storm injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WorkKind {
-    /// All but losses of workers for good.
+    /// All faults except permanent losses of workers.
     Faults,
-    /// Workers are lost as well, by themselves and along with the holder.
+    /// Workers are lost for good as well, alone and together with the tenure holder.
     Losses,
 }
 
-/// A storm under way.
+/// State of a running storm.
 struct WorkStorm {
     kind: WorkKind,
     bench: support::PoolBench,
-    jobs: still_jobs::StillJobs,
+    oracle: starvation_oracle::StarvationOracle,
     rng: ChaCha8Rng,
-    /// Chance that a job is a large one.
-    load: f64,
-    n_handed_in: u64,
-    /// Jobs that were accepted, in this order.
+    /// Probability that a job is large.
+    large_job_rate: f64,
+    n_submitted: u64,
+    /// Accepted jobs that were not cancelled, in the order of their acceptance.
     accepted: Vec<ids::GraphId>,
-    /// Where instances are, or were.
+    /// Addresses of all instances, including those that are down.
     addresses: Vec<String>,
-    /// Instances that are to come back, with the time.
-    down: Vec<(Instant, String)>,
+    /// Addresses of killed instances, with the time of their restart.
+    killed: Vec<(Instant, String)>,
 }
 
-/// An accepted job stands still, or is not known to the holder in force, although all are in touch.
+/// Guards against accepted jobs that starve, or that the tenure holder does not know, although all parties
+/// are connected.
 #[test]
 fn storms_of_accepted_work() {
-    play(WorkKind::Faults, support::storm_seeds());
+    run_storms(WorkKind::Faults, support::storm_seeds());
 }
 
-/// The same where workers die for good, also along with the holder.
+/// Guards against starved or unknown jobs where workers are lost for good, also together with the holder.
 #[test]
 fn storms_of_accepted_work_amid_losses() {
-    play(WorkKind::Losses, support::storm_seeds());
+    run_storms(WorkKind::Losses, support::storm_seeds());
 }
 
-/// A job stands still behind room that is kept for urgent work, on a pool of which a quarter is in use.
+/// Guards against a job that starves because of capacity reserved for urgent jobs, on a pool of which only a
+/// quarter is in use.
 #[test]
-fn storms_that_keep_room_for_urgent_work() {
-    play(WorkKind::Faults, [314]);
+fn storms_with_capacity_reserved_for_urgent_jobs() {
+    run_storms(WorkKind::Faults, [314]);
 }
 
-/// The same seed plays out otherwise the next time, so that no finding can be repeated.
+/// Guards against a storm that differs from run to run with the same seed, so that no failure can be
+/// reproduced.
 #[test]
-fn a_storm_plays_the_same_each_time() {
+fn a_storm_repeats_with_its_seed() {
     for seed in [2, 42] {
-        let first = play_one(WorkKind::Losses, seed);
-        assert!(first == play_one(WorkKind::Losses, seed), "storm {seed}");
+        let first = run_storm(WorkKind::Losses, seed);
+        assert!(first == run_storm(WorkKind::Losses, seed), "storm {seed}");
     }
 }
 
-/// What became of a storm.
+/// Everything that a storm did, to compare two runs.
 #[derive(PartialEq)]
-struct PlayedStorm {
-    /// Writes to the store.
+struct StormTrace {
+    /// Number of transactions committed by the store.
     n_writes: u64,
-    /// Which attempt of which task ran, where, from when until when.
+    /// Task, attempt, worker, beginning and end of each run; times since the start of the storm.
     runs: Vec<(task_key::TaskKey, u32, ids::WorkerId, Duration, Duration)>,
 }
 
-/// Accepted jobs wait for the lease of a worker that is lost with its holder, or whose start had no answer.
+/// Guards against accepted jobs that wait for the lease of a worker that was lost together with the tenure
+/// holder, or whose answer to a start was lost.
 #[test]
 fn storms_that_wait_for_a_lost_worker() {
-    play(WorkKind::Losses, [14, 52, 53, 139, 172, 194, 3_100_023]);
-    play(WorkKind::Losses, [770_372, 41_400_013, 41_400_229, 41_400_243, 45_300_029]);
+    run_storms(WorkKind::Losses, [14, 52, 53, 139, 172, 194, 3_100_023]);
+    run_storms(WorkKind::Losses, [770_372, 41_400_013, 41_400_229, 41_400_243, 45_300_029]);
 }
 
-/// Accepted jobs wait for a lease from a holder's last order, although it knew since when the worker was silent.
+/// Guards against accepted jobs that wait for a worker's lease counted from the former holder's last order,
+/// although that holder knew since when the worker had been silent.
 #[test]
 fn storms_that_still_wait_behind_losses() {
-    play(WorkKind::Losses, [52_400_104, 52_400_138]);
+    run_storms(WorkKind::Losses, [52_400_104, 52_400_138]);
 }
 
-fn play(kind: WorkKind, seeds: impl IntoIterator<Item = u64>) {
+fn run_storms(kind: WorkKind, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
         println!("storm {seed}, accepted work, {kind:?}");
-        play_one(kind, seed);
+        run_storm(kind, seed);
     }
 }
 
-fn play_one(kind: WorkKind, seed: u64) -> PlayedStorm {
+fn run_storm(kind: WorkKind, seed: u64) -> StormTrace {
     support::run(async move {
         let mut storm = WorkStorm::start(kind, seed).await;
         for _ in 0..N_ROUNDS {
-            storm.strike_for_a_while(seed).await;
-            storm.calm(seed).await;
+            storm.inject_faults(seed).await;
+            storm.run_without_faults(seed).await;
         }
-        storm.watch(seed, SETTLE).await;
-        storm.judge(seed).await;
-        storm.played()
+        storm.wait_and_check(seed, SETTLING_TIME).await;
+        storm.check_results(seed).await;
+        storm.trace()
     })
 }
 
@@ -131,18 +138,18 @@
         let bench = support::PoolBench::start(N_INSTANCES, N_WORKERS).await;
         bench.start_heartbeats();
         let addresses = bench.instances.iter().map(|it| it.address.clone()).collect();
-        // From pools that are nearly empty to those that are nearly full.
-        let load = rng.random_range(0.0..0.5);
+        // The range covers pools from nearly empty to nearly full.
+        let large_job_rate = rng.random_range(0.0..0.5);
         WorkStorm {
             kind,
-            jobs: still_jobs::StillJobs::new(),
+            oracle: starvation_oracle::StarvationOracle::new(),
             bench,
             rng,
-            load,
-            n_handed_in: 0,
+            large_job_rate,
+            n_submitted: 0,
             accepted: Vec::new(),
             addresses,
-            down: Vec::new(),
+            killed: Vec::new(),
         }
     }
 
@@ -150,61 +157,64 @@
         Duration::from_millis(self.rng.random_range(range))
     }
 
-    async fn strike_for_a_while(&mut self, seed: u64) {
+    async fn inject_faults(&mut self, seed: u64) {
         for _ in 0..self.rng.random_range(2..6) {
-            self.strike().await;
+            self.inject_fault().await;
             for _ in 0..self.rng.random_range(0..4) {
-                self.hand_in().await;
+                self.submit_random_job().await;
                 let pause = self.millis(20..600);
-                self.watch(seed, pause).await;
+                self.wait_and_check(seed, pause).await;
             }
         }
     }
 
-    /// Ends all faults, and goes on handing jobs in.
-    async fn calm(&mut self, seed: u64) {
-        tracing::info!("faults end");
-        let down = std::mem::take(&mut self.down);
+    /// Ends all faults, and submits further jobs for a while.
+    async fn run_without_faults(&mut self, seed: u64) {
+        tracing::info!("all faults are ended");
+        let down = std::mem::take(&mut self.killed);
         for (_, address) in down {
-            self.bring_back(&address);
+            self.restart(&address);
         }
         self.end_faults();
-        self.jobs.calmed();
+        self.oracle.record_faults_ended();
         let until = Instant::now() + self.millis(9_000..14_000);
         while Instant::now() < until {
-            self.hand_in().await;
+            self.submit_random_job().await;
             let pause = self.millis(100..1_500);
-            self.watch(seed, pause).await;
+            self.wait_and_check(seed, pause).await;
         }
     }
 
-    /// Lets time pass, and looks at the jobs.
-    async fn watch(&mut self, seed: u64, span: Duration) {
+    /// Waits for `span`, restarts instances that are due, and checks the accepted jobs at each interval.
+    async fn wait_and_check(&mut self, seed: u64, span: Duration) {
         let until = Instant::now() + span;
         loop {
-            let due = self.down.iter().position(|(at, _)| *at <= Instant::now());
+            let due = self.killed.iter().position(|(at, _)| *at <= Instant::now());
             if let Some(index) = due {
-                let (_, address) = self.down.remove(index);
-                self.bring_back(&address);
+                let (_, address) = self.killed.remove(index);
+                self.restart(&address);
             }
-            if let Some(fault) = self.jobs.look(&self.bench) {
-                let beliefs = self.beliefs(&fault);
-                panic!("storm {seed} at {:?}: {fault}; {beliefs}", self.bench.started.elapsed());
+            if let Some(violation) = self.oracle.check(&self.bench) {
+                let holder_state = self.holder_state(&violation);
+                panic!(
+                    "storm {seed} at {:?}: {violation}; {holder_state}",
+                    self.bench.started.elapsed()
+                );
             }
             if Instant::now() >= until {
                 return;
             }
-            time::sleep(LOOK).await;
+            time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// What the holder in force believes.
-    fn beliefs(&self, fault: &still_jobs::StillFault) -> String {
+    /// Describes the holder's recorded state of the job of a violation, for the panic message.
+    fn holder_state(&self, violation: &starvation_oracle::OracleViolation) -> String {
         let Some(holder) = self.bench.latest_holder() else { return "no holder".to_owned() };
         let instance = &self.bench.instances[holder];
         let Some(leader) = instance.state.leader() else { return "no holder".to_owned() };
         let core = leader.core();
-        let shown = fault.graph().and_then(|it| core.state_of(it));
+        let shown = violation.graph().and_then(|it| core.state_of(it));
         format!(
             "{} of epoch {}: {shown:?}, {:?}; {core:?}",
             instance.address,
@@ -213,9 +223,9 @@
         )
     }
 
-    async fn hand_in(&mut self) {
-        self.n_handed_in += 1;
-        let graph = self.n_handed_in;
+    async fn submit_random_job(&mut self) {
+        self.n_submitted += 1;
+        let graph = self.n_submitted;
         let row = self.draw_job();
         let index = self.rng.random_range(0..self.bench.instances.len());
         let is_accepted = self.submit(index, graph, row).await;
@@ -227,16 +237,16 @@
     async fn cancel(&mut self, index: usize) {
         let chosen = self.rng.random_range(0..self.accepted.len());
         let graph = self.accepted.remove(chosen);
-        // Whether it took effect or not, it may.
+        // The cancellation may have taken effect whatever the outcome is.
         let _ = self.bench.cancel(index, graph).await;
-        self.jobs.cancelled(graph);
+        self.oracle.record_cancelled(graph);
     }
 
     async fn submit(&mut self, index: usize, graph: ids::GraphId, row: model::GraphRow) -> bool {
         let outcome = self.bench.submit(index, graph, row.clone()).await;
         let is_accepted = outcome == model::SubmitOutcome::Accepted;
         if is_accepted {
-            self.jobs.accepted(graph, row);
+            self.oracle.record_accepted(graph, row);
             self.accepted.push(graph);
         }
         is_accepted
@@ -244,9 +254,9 @@
 
     fn draw_job(&mut self) -> model::GraphRow {
         let rng = &mut self.rng;
-        let is_large = rng.random_bool(self.load);
-        let n_tasks = if is_large { rng.random_range(10..50) } else { rng.random_range(1..6) };
-        let run_ms = if is_large { 1_000..7_000 } else { 200..3_000 };
+        let is_large_job = rng.random_bool(self.large_job_rate);
+        let n_tasks = if is_large_job { rng.random_range(10..50) } else { rng.random_range(1..6) };
+        let run_ms = if is_large_job { 1_000..7_000 } else { 200..3_000 };
         let mut row = support::job(n_tasks, rng.random_range(run_ms));
         let (class, priority) = support::CLASSES[rng.random_range(0..support::CLASSES.len())];
         row.class = class.to_owned();
@@ -271,15 +281,15 @@
         row
     }
 
-    async fn strike(&mut self) {
+    async fn inject_fault(&mut self) {
         let n = self.bench.instances.len();
         let index = self.rng.random_range(0..n);
         let n_kinds = if self.kind == WorkKind::Losses { 15 } else { 13 };
         let kind = self.rng.random_range(0..n_kinds);
         if kind != 11 {
-            self.jobs.disrupted();
+            self.oracle.record_fault();
         }
-        tracing::info!(kind, address = self.bench.instances[index].address, "strike");
+        tracing::info!(kind, address = self.bench.instances[index].address, "fault is injected");
         match kind {
             0 => self.bench.instances[index].store_faults.set(fault::Condition::Refusing),
             1 => {
@@ -294,29 +304,29 @@
                 let condition = self.draw_condition();
                 self.bench.store.faults().set(condition);
             }
-            4 => self.strike_follows(index),
-            5 => self.lose_nudges(index),
+            4 => self.disturb_feeds(index),
+            5 => self.cut_instance_from_peers(index),
             6 => {
-                // While an answer is under way.
+                // The history is removed while an answer of the store is in transit.
                 let slow = fault::Condition::Slow(self.millis(200..1_500));
                 self.bench.store.faults().set(slow);
                 let pause = self.millis(0..1_500);
                 time::sleep(pause).await;
                 self.bench.store.forget_history();
             }
-            7 => self.kill_holder_behind_acceptance().await,
+            7 => self.kill_holder_after_acceptance().await,
             8 => {
                 let down = self.millis(0..3_000);
                 self.kill(index, down).await;
             }
-            9 => self.stand_still(index),
+            9 => self.freeze(index),
             10 => self.restart_worker().await,
-            11 => self.start_stronger(),
+            11 => self.start_stronger_instance(),
             13 => self.lose_workers(),
             14 => {
-                // Power is lost in part of a data centre.
+                // Models a power failure in a part of a data centre.
                 self.lose_workers();
-                self.kill_holder_behind_acceptance().await;
+                self.kill_holder_after_acceptance().await;
             }
             _ => {
                 let worker = self.rng.random_range(0..N_WORKERS);
@@ -337,8 +347,8 @@
         }
     }
 
-    /// Answers to those who follow tables are cut, lost or late; nothing else is.
-    fn strike_follows(&mut self, index: usize) {
+    /// Rejects, loses or delays the store's answers to feeds of one instance, and nothing else.
+    fn disturb_feeds(&mut self, index: usize) {
         let rates = fault::FaultRates {
             unavailable: 0.2,
             request_lost: 0.1,
@@ -352,15 +362,15 @@
         plan.sample_step(table::FOLLOW, seed, rates);
     }
 
-    /// Nothing passes between an instance and its peers.
-    fn lose_nudges(&mut self, index: usize) {
+    /// Cuts all connections between an instance and its peers, so that nudges are lost.
+    fn cut_instance_from_peers(&mut self, index: usize) {
         self.bench.cut_from_peers(index, self.addresses.iter().map(String::as_str));
     }
 
-    async fn kill_holder_behind_acceptance(&mut self) {
+    async fn kill_holder_after_acceptance(&mut self) {
         let index = self.rng.random_range(0..self.bench.instances.len());
-        self.n_handed_in += 1;
-        let (graph, row) = (self.n_handed_in, self.draw_job());
+        self.n_submitted += 1;
+        let (graph, row) = (self.n_submitted, self.draw_job());
         self.submit(index, graph, row).await;
         let pause = self.millis(0..30);
         time::sleep(pause).await;
@@ -373,17 +383,17 @@
     async fn kill(&mut self, index: usize, down: Duration) {
         if self.bench.instances.len() > 1 {
             let address = self.bench.kill(index).await;
-            self.down.push((Instant::now() + down, address));
+            self.killed.push((Instant::now() + down, address));
         }
     }
 
-    fn bring_back(&mut self, address: &str) {
+    fn restart(&mut self, address: &str) {
         let strength = STRENGTHS[self.rng.random_range(0..STRENGTHS.len())];
         self.bench.start_instance_with_strength(address, strength);
     }
 
-    /// Nothing of an instance moves: what it has under way goes on when it wakes up.
-    fn stand_still(&mut self, index: usize) {
+    /// Holds all calls from and to an instance; they go on once the condition ends.
+    fn freeze(&mut self, index: usize) {
         let instance = &self.bench.instances[index];
         instance.store_faults.set(fault::Condition::Held);
         instance.worker_faults.set(fault::Condition::Held);
@@ -414,8 +424,8 @@
         }
     }
 
-    /// A machine that is stronger than most joins.
-    fn start_stronger(&mut self) {
+    /// Starts an instance that is stronger than all others so far.
+    fn start_stronger_instance(&mut self) {
         let address = format!("10.0.1.{}:7000", self.addresses.len());
         self.bench
             .start_instance_with_strength(&address, STRENGTHS[2] + self.addresses.len() as u32);
@@ -441,18 +451,18 @@
         }
     }
 
-    fn played(&self) -> PlayedStorm {
+    fn trace(&self) -> StormTrace {
         let since = |it: Instant| it - self.bench.started;
         let records = self.bench.fleet.records().into_iter();
         let run = |it: pool_worker::RunRecord| {
             (it.task, it.attempt, it.worker, since(it.began), since(it.ended))
         };
         let n_writes = self.bench.store.committed();
-        PlayedStorm { n_writes, runs: records.map(run).collect() }
+        StormTrace { n_writes, runs: records.map(run).collect() }
     }
 
-    /// Nothing ran twice, and each accepted job has ended well.
-    async fn judge(&self, seed: u64) {
+    /// Checks that no task ran twice, and that each accepted job has completed.
+    async fn check_results(&self, seed: u64) {
         self.bench.assert_nothing_ran_twice();
         for graph in &self.accepted {
             let shown = self.bench.lookup(0, *graph).await;
--- a/crates/pool/tests/pool/logs.rs
+++ b/crates/pool/tests/pool/logs.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a job, a nudge and a feed.
+//! Log lines about admitted jobs, unacknowledged nudges and failing feeds.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 
 use crate::support;
 
-/// Longer than a feed and a takeover take.
-const SOON: Duration = Duration::from_secs(8);
+/// Longer than a read of a feed takes, and longer than a takeover.
+const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 fn addresses(bench: &support::PoolBench, from: usize, to: usize) -> (&str, &str) {
     (&bench.instances[from].address, &bench.instances[to].address)
 }
 
-/// Guards against a log that leaves open how the holder learned of a job, and by which row.
+/// Guards against a log that does not show how the holder got to know a job, and by which version of its row.
 #[test]
-fn an_admitted_job_tells_how_it_became_known() {
+fn an_admitted_job_is_logged_with_its_origin() {
     support::run(async {
         let (lines, _guard) = support::LogLines::capture();
         let mut bench = support::PoolBench::start(3, 2).await;
@@ -28,13 +28,13 @@
         }
         time::sleep(Duration::from_millis(100)).await;
         bench.submit(other, 1, support::job(1, 60_000)).await;
-        time::sleep(SOON).await;
+        time::sleep(SETTLING_TIME).await;
         let (from, to) = addresses(&bench, other, holder);
         bench.net.partition(&[from], &[to], fault::Condition::Refusing);
         bench.submit(other, 2, support::job(1, 60_000)).await;
-        time::sleep(SOON).await;
+        time::sleep(SETTLING_TIME).await;
         bench.kill(holder).await;
-        time::sleep(SOON).await;
+        time::sleep(SETTLING_TIME).await;
         let admitted = lines.containing("job admitted");
         let origins = admitted.iter().map(|line| {
             assert!(line.contains("version="), "{line}");
@@ -47,9 +47,9 @@
     });
 }
 
-/// Guards against a lost nudge that leaves no line, and against one that leaves many.
+/// Guards against a lost nudge that is not logged, or is logged many times.
 #[test]
-fn a_nudge_that_is_not_acknowledged_is_told_once() {
+fn a_nudge_that_is_not_acknowledged_is_logged_once() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let (holder, other) = (bench.holder(), bench.non_holder());
@@ -60,17 +60,17 @@
             path.nth(model::GraphNudge::PATH, nth, fault::Fault::Refused);
         }
         bench.submit(other, 1, support::job(1, 500)).await;
-        time::sleep(SOON).await;
-        let told = lines.containing("nudge is not acknowledged");
-        assert_eq!(told.len(), 1, "{told:?}");
-        assert!(told[0].contains("0000000000000001"), "{told:?}");
+        time::sleep(SETTLING_TIME).await;
+        let logged = lines.containing("nudge is not acknowledged");
+        assert_eq!(logged.len(), 1, "{logged:?}");
+        assert!(logged[0].contains("0000000000000001"), "{logged:?}");
         assert!(lines.containing("nudge is acknowledged")[0].contains("n_tries=4"));
     });
 }
 
-/// Guards against a feed that stands still without a line, and against one that fills the log.
+/// Guards against a failing feed that is not logged, or fills the log.
 #[test]
-fn a_feed_that_stands_still_is_told_once() {
+fn a_failing_feed_is_logged_once() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
         let holder = bench.holder();
@@ -78,7 +78,7 @@
         for nth in 1..=60 {
             bench.instances[holder].store_faults.nth(table::FOLLOW, nth, fault::Fault::Refused);
         }
-        time::sleep(3 * SOON).await;
+        time::sleep(3 * SETTLING_TIME).await;
         for feed in ["jobs", "workers"] {
             let of_feed = |line: &String| line.contains(&format!("feed=\"{feed}\""));
             let began = lines.containing("feed can't be followed");
--- a/crates/pool/tests/pool/main.rs
+++ b/crates/pool/tests/pool/main.rs
@@ -1,20 +1,21 @@
-//! Instances on the stand-in, on the paused clock: the whole path of job graphs under faults.
+//! Runs instances in one process against simulated workers, store and network, on Tokio's paused clock, and
+//! checks the whole path of job graphs under faults.
 
 mod accepted_work;
-mod calm;
 mod crashes;
 mod entries;
 mod evacuations;
 mod feeds;
 mod logs;
+mod normal_operation;
 mod nudges;
 mod outages;
 mod panics;
+mod resource_changes;
 mod restarts;
-mod rooms;
-mod rows;
 mod sessions;
-mod still_jobs;
+mod starvation_oracle;
+mod store_limits;
 mod storms;
 mod strengths;
 mod successors;
--- a/crates/pool/tests/pool/calm.rs
+++ b/crates/pool/tests/pool/normal_operation.rs
@@ -1,4 +1,4 @@
-//! Nothing goes wrong.
+//! Normal operation without faults, and the expiry of ended jobs.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::support;
 
-/// For the time that the submission itself takes.
-const EARLY: Duration = Duration::from_millis(100);
+/// Tolerance for the time that the submission itself takes.
+const START_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Longer than ended jobs are answered for, and until the next look for them.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(320);
+/// Longer than the retention of ended jobs plus the interval between two searches for expired jobs.
+const REMOVED_AFTER: Duration = Duration::from_secs(320);
 
-const SOON: Duration = Duration::from_secs(6);
+const SETTLING_TIME: Duration = Duration::from_secs(6);
 
 #[test]
 fn a_job_runs_through_its_steps_in_order() {
@@ -25,7 +25,7 @@
         row.graph.steps.push(support::step(2, &[0]));
         let other = bench.non_holder();
         assert_eq!(bench.submit(other, 1, row).await, model::SubmitOutcome::Accepted);
-        bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
         let records = bench.fleet.records();
         assert_eq!(records.len(), 5);
         let first_ended = records.iter().filter(|it| it.task.step == 0).map(|it| it.ended).max();
@@ -35,7 +35,7 @@
     });
 }
 
-/// A caller that had no answer sends its job again, at any instance.
+/// A caller whose call had no answer may submit its job again at any instance.
 #[test]
 fn a_repeated_submission_is_the_same_job() {
     support::run(async {
@@ -44,9 +44,9 @@
             let outcome = bench.submit(index, 1, support::job(1, 300)).await;
             assert_eq!(outcome, model::SubmitOutcome::Accepted);
         }
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         assert_eq!(bench.submit(1, 1, support::job(1, 300)).await, model::SubmitOutcome::Accepted);
-        tokio::time::sleep(SOON).await;
+        tokio::time::sleep(SETTLING_TIME).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
 }
@@ -78,7 +78,7 @@
     });
 }
 
-/// Nobody is told of another account's job.
+/// Jobs of another account are answered like jobs that do not exist.
 #[test]
 fn a_job_is_shown_to_its_own_account_alone() {
     support::run(async {
@@ -93,27 +93,27 @@
     });
 }
 
-/// Symptom: rows and memory grew with every job that was ever accepted, and with them the time that a
-/// takeover takes. Sequence: jobs end; days pass. Cause: nothing was ever removed.
+/// Guards against rows, memory and takeover time that grow with every job that was ever accepted, because
+/// nothing of ended jobs is removed.
 #[test]
-fn a_job_that_ended_long_ago_leaves_nothing_behind() {
+fn an_expired_job_leaves_no_rows() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
         bench.submit(0, 1, support::job(3, 500)).await;
         let mut long = support::job(1, 600_000);
         long.graph.steps[0].estimate_ms = 600_000;
         bench.submit(0, 2, long).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         time::sleep(Duration::from_secs(240)).await;
         assert_eq!(
             bench.lookup(0, 1).await,
             model::LookOutcome::Known(model::GraphState::Completed)
         );
-        time::sleep(FORGOTTEN_AFTER - Duration::from_secs(240)).await;
+        time::sleep(REMOVED_AFTER - Duration::from_secs(240)).await;
         for index in 0..2 {
             assert_eq!(bench.lookup(index, 1).await, model::LookOutcome::Absent);
         }
-        // The other one has made no progress that would have to be saved.
+        // Job 2 still runs, and has made no progress that would have to be saved.
         assert_eq!(bench.store.peek("graph/").len(), 1);
         assert_eq!(bench.store.peek("progress/").len(), 0);
         bench.kill(bench.holder()).await;
@@ -123,14 +123,14 @@
     });
 }
 
-/// A holder that dies between the removal of the two rows of a job leaves the second one to its
-/// successor, and the job does not run again.
+/// A holder that dies between the removals of a job's two rows leaves the second row behind. Its successor
+/// removes that row, and the job does not run again.
 #[test]
-fn a_half_forgotten_job_is_forgotten_by_the_successor() {
+fn a_partly_removed_job_is_removed_by_the_successor() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
         bench.submit(0, 1, support::job(1, 500)).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         let accepted = bench.store.peek("graph/").remove(0).key;
         bench.remove(&accepted).await;
         bench.kill(bench.holder()).await;
@@ -140,9 +140,9 @@
     });
 }
 
-/// The runs of a timed job begin when they are due, through a takeover, and each once.
+/// The runs of a scheduled job begin when they are due, each once, also across a takeover.
 #[test]
-fn a_timed_job_runs_as_often_as_it_is_to() {
+fn a_scheduled_job_runs_once_at_each_due_time() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
         let mut row = support::job(2, 500);
@@ -162,7 +162,7 @@
         assert_eq!(records.len(), 6);
         for record in records {
             let due = Duration::from_secs(3 + 4 * u64::from(record.task.occurrence));
-            assert!(record.began >= submitted + due - EARLY, "{record:?}");
+            assert!(record.began >= submitted + due - START_TOLERANCE, "{record:?}");
         }
     });
 }
--- a/crates/pool/tests/pool/outages.rs
+++ b/crates/pool/tests/pool/outages.rs
@@ -1,4 +1,4 @@
-//! The store is away, for all or for some.
+//! Outages of the store, for all instances or for some.
 
 use std::time::Duration;
 
@@ -9,16 +9,15 @@
 
 use crate::support;
 
-const SOON: Duration = Duration::from_secs(30);
+const SETTLING_TIME: Duration = Duration::from_secs(30);
 
-/// Until the store is back, and a little more.
-const SILENT_PATIENCE: Duration = Duration::from_millis(400);
+/// The 100 ms until the store is back, and a tolerance.
+const SILENT_STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Symptom: callers of an instance that the store turns away were refused for as long as that
-/// lasted. Sequence: the store refuses one instance; jobs come in there. Cause: it knew no other
-/// way than its own.
+/// Guards against an instance that rejects its callers for as long as the store rejects the instance, because
+/// it relays nothing through its peers.
 #[test]
-fn an_instance_that_the_store_turns_away_goes_by_a_peer() {
+fn an_instance_rejected_by_the_store_relays_through_a_peer() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let other = bench.non_holder();
@@ -26,15 +25,15 @@
         time::sleep(Duration::from_secs(2)).await;
         let accepted = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
-        bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
         bench.submit(other, 2, support::job(1, 60_000)).await;
         assert_eq!(bench.cancel(other, 2).await, model::CancelOutcome::Cancelled);
     });
 }
 
-/// "Not run" is said at once, and only while no write is under way.
+/// `NotRun` is returned at once, and only where no write may still take effect.
 #[test]
-fn a_store_that_refuses_everybody_means_not_run() {
+fn a_store_that_rejects_all_instances_means_not_run() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         bench.store.faults().set(fault::Condition::Refusing);
@@ -44,13 +43,13 @@
         assert_eq!(outcome, model::SubmitOutcome::NotRun);
         assert!(began.elapsed() < Duration::from_millis(800), "{:?}", began.elapsed());
         bench.store.faults().set(fault::Condition::Up);
-        time::sleep(SOON).await;
+        time::sleep(SETTLING_TIME).await;
         assert_eq!(bench.fleet.records(), []);
         assert_eq!(bench.lookup(0, 1).await, model::LookOutcome::Absent);
     });
 }
 
-/// An answer of the store is lost and the write lands: the caller is not told that it did not run.
+/// A caller does not get `NotRun` where its write took effect and the store's answer was lost.
 #[test]
 fn a_write_whose_answer_was_lost_is_found_again() {
     support::run(async {
@@ -60,14 +59,14 @@
         bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
         let outcome = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(outcome, model::SubmitOutcome::Accepted);
-        bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
 }
 
-/// What runs goes on while the store is away, and what ends meanwhile is durable afterwards.
+/// Tasks run on while the store is unavailable, and their ends during the outage are saved after it.
 #[test]
-fn work_goes_on_while_the_store_is_away() {
+fn tasks_run_on_while_the_store_is_unavailable() {
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         bench.submit(0, 1, support::job(6, 3_000)).await;
@@ -75,16 +74,17 @@
         bench.store.faults().set(fault::Condition::Refusing);
         time::sleep(Duration::from_millis(4_500)).await;
         bench.store.faults().set(fault::Condition::Up);
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         let records = bench.fleet.records();
         assert!(records.iter().all(|it| it.how == almondpass_graph::order::EndKind::Done));
         bench.assert_nothing_ran_twice();
     });
 }
 
-/// A configuration reaches an instance that the store turns away, by a peer, and never goes back.
+/// A new configuration reaches an instance without access to the store through a peer, and an older one never
+/// replaces it.
 #[test]
-fn a_configuration_travels_between_instances() {
+fn a_configuration_reaches_a_cut_off_instance_through_a_peer() {
     support::run(async {
         let bench = support::PoolBench::start(3, 1).await;
         let away = bench.non_holder();
@@ -99,7 +99,7 @@
     });
 }
 
-/// A worker whose row lapsed while the store was away keeps its tasks.
+/// A worker keeps its tasks although its row has expired, as happens during an outage of the store.
 #[test]
 fn a_worker_that_is_missing_from_the_list_for_a_moment_keeps_its_tasks() {
     support::run(async {
@@ -110,16 +110,16 @@
         let transaction = model::TableTransaction { conditions: Vec::new(), writes: vec![gone] };
         bench.store.transact(transaction).await.expect("a write");
         time::sleep(Duration::from_secs(2)).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         assert_eq!(bench.fleet.records().len(), 2);
     });
 }
 
-/// Symptom: jobs were turned away, and ends shown late, for up to a second after the store was back.
-/// Sequence: the store says nothing for seconds; a call is sent just before it is back. Cause: the
-/// call waited for its own answer, which never came, until its deadline.
+/// Guards against jobs that are rejected, and ends that are shown late, for up to a second after the store is
+/// back. A call sent to the silent store just before its return waits until its deadline for an answer that
+/// never comes, unless the call is sent again.
 #[test]
-fn a_store_that_was_silent_is_found_at_once() {
+fn a_silent_store_is_used_as_soon_as_it_is_back() {
     support::run(async {
         let bench = support::PoolBench::start(2, 2).await;
         bench.submit(0, 1, support::job(1, 3_000)).await;
@@ -133,7 +133,7 @@
             time::sleep(Duration::from_millis(300)).await;
             bench.lookup(0, 1).await
         };
-        let (submitted, shown) = tokio::join!(time::timeout(SILENT_PATIENCE, submitted), back);
+        let (submitted, shown) = tokio::join!(time::timeout(SILENT_STORE_TIMEOUT, submitted), back);
         assert_eq!(submitted, Ok(model::SubmitOutcome::Accepted));
         assert_eq!(shown, model::LookOutcome::Known(model::GraphState::Completed));
     });
--- a/crates/pool/tests/pool/rooms.rs
+++ b/crates/pool/tests/pool/resource_changes.rs
@@ -1,4 +1,5 @@
-//! Rooms of workers that shrink and grow while they run, on workers that start whatever they are told to.
+//! Workers whose resources shrink and grow while tasks run. These workers start every task they are sent, so
+//! that only the scheduler keeps them from being overcommitted.
 
 use std::time::Duration;
 
@@ -8,10 +9,10 @@
 
 use crate::support;
 
-const SOON: Duration = Duration::from_secs(60);
+const SETTLING_TIME: Duration = Duration::from_secs(60);
 
-/// Two workers that refuse nothing.
-async fn unguarded_bench() -> support::PoolBench {
+/// Starts two instances, and two workers that reject no task for lack of resources.
+async fn start_unguarded_bench() -> support::PoolBench {
     let bench = support::PoolBench::start(2, 2).await;
     bench.fleet.unguard();
     bench.start_heartbeats();
@@ -20,20 +21,20 @@
     bench
 }
 
-fn assert_none_overfull(bench: &support::PoolBench) {
+fn assert_none_overcommitted(bench: &support::PoolBench) {
     assert_eq!(bench.fleet.overfull(), []);
 }
 
-/// Work goes where there is room now, and back once the room has grown again.
+/// Tasks are placed by the current resources of each worker, also after these have grown again.
 #[test]
-fn work_goes_by_the_room_as_it_is() {
+fn tasks_are_placed_by_current_resources() {
     support::run(async {
-        let bench = unguarded_bench().await;
+        let bench = start_unguarded_bench().await;
         bench.set_accelerators(&support::worker_id(0), 2);
         time::sleep(Duration::from_secs(6)).await;
         bench.submit(0, 1, support::job(30, 2_000)).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        assert_none_overfull(&bench);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_none_overcommitted(&bench);
         bench.set_accelerators(&support::worker_id(0), 8);
         time::sleep(Duration::from_secs(6)).await;
         bench.submit(0, 2, support::job(16, 2_000)).await;
@@ -42,11 +43,11 @@
     });
 }
 
-/// What is beyond a room that has shrunk goes on, and nothing starts beside it.
+/// Tasks that exceed a worker's reduced resources run on, and no further task starts on that worker.
 #[test]
-fn nothing_starts_beside_what_is_beyond_a_shrunken_room() {
+fn nothing_starts_on_a_worker_above_its_reduced_resources() {
     support::run(async {
-        let bench = unguarded_bench().await;
+        let bench = start_unguarded_bench().await;
         bench.submit(0, 1, support::job(14, 12_000)).await;
         time::sleep(Duration::from_millis(500)).await;
         bench.set_accelerators(&support::worker_id(0), 4);
@@ -55,18 +56,19 @@
             time::sleep(Duration::from_secs(1)).await;
             bench.submit(0, graph, support::job(2, 1_000)).await;
         }
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        bench.await_state(0, 11, model::GraphState::Completed, SOON).await;
-        assert_none_overfull(&bench);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
+        bench.await_state(0, 11, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_none_overcommitted(&bench);
     });
 }
 
-/// Symptom, by reading: a worker gets more than it offers. Sequence: the store is away, and a room
-/// shrinks; the scheduler goes on with what it knows. Cause: nothing bounded how old that may be.
+/// Guards against an overcommitted worker: its resources shrink while the store is unavailable, and the
+/// scheduler goes on with the resources that it read before, however old these are. The fault was found by
+/// reading the code.
 #[test]
-fn news_of_rooms_that_can_t_be_read_stops_starts() {
+fn unreadable_resource_changes_stop_starts() {
     support::run(async {
-        let bench = unguarded_bench().await;
+        let bench = start_unguarded_bench().await;
         bench.submit(0, 1, support::job(160, 1_000)).await;
         time::sleep(Duration::from_millis(100)).await;
         bench.store.faults().set(fault::Condition::Silent);
@@ -74,25 +76,25 @@
         bench.set_accelerators(&support::worker_id(1), 2);
         time::sleep(Duration::from_secs(8)).await;
         bench.store.faults().set(fault::Condition::Up);
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        assert_none_overfull(&bench);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_none_overcommitted(&bench);
     });
 }
 
-/// Symptom, by reading: a worker gets more than it offers. Sequence: a job is cancelled while no scheduler
-/// is there; the next one finds its tasks on the workers and stops them, and starts others meanwhile.
-/// Cause: only the room of tasks that somebody wants counted.
+/// Guards against an overcommitted worker: a job is cancelled while nobody holds the tenure. The next holder
+/// finds the job's tasks on the workers, stops them, and starts others before they have ended, because only
+/// the resources of wanted tasks count as used. The fault was found by reading the code.
 #[test]
-fn what_is_being_stopped_still_counts() {
+fn tasks_being_stopped_still_count_as_used_resources() {
     support::run(async {
-        let mut bench = unguarded_bench().await;
+        let mut bench = start_unguarded_bench().await;
         bench.submit(0, 1, support::job(16, 30_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         let holder = bench.holder();
         bench.kill(holder).await;
         bench.submit(0, 2, support::job(16, 1_500)).await;
         assert_eq!(bench.cancel(0, 1).await, model::CancelOutcome::Cancelled);
-        bench.await_state(0, 2, model::GraphState::Completed, SOON).await;
-        assert_none_overfull(&bench);
+        bench.await_state(0, 2, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_none_overcommitted(&bench);
     });
 }
--- a/crates/pool/tests/pool/rows.rs
+++ b/crates/pool/tests/pool/store_limits.rs
@@ -1,4 +1,4 @@
-//! Rows that the store does not take, and rows that an earlier release has left.
+//! Limits of the store: rows that it rejects, and tables that take many reads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 use crate::support;
 
-const SOON: Duration = Duration::from_secs(30);
+const SETTLING_TIME: Duration = Duration::from_secs(30);
 
-/// What the platform takes.
+/// Limits of the platform's store.
 fn platform_limits() -> table::TableLimits {
     table::TableLimits {
         row_bytes: 65_536,
@@ -24,14 +24,14 @@
     }
 }
 
-fn lead_epoch(bench: &support::PoolBench) -> ids::Epoch {
+fn tenure_epoch(bench: &support::PoolBench) -> ids::Epoch {
     let leader = bench.instances[bench.holder()].state.leader();
     leader.expect("a tenure").epoch
 }
 
-/// Symptom: with 1,100 workers nearly no job ran. Sequence: the scheduler writes the list of workers
-/// on which tasks may be as one row; the store refuses it as too long; the same write is sent again
-/// until the tenure lapses, and by each successor. Cause: the row grew with the number of workers.
+/// Guards against a roster (the list of workers that may run tasks) in a single row, which grows with the
+/// number of workers. With 1,100 workers the store rejected the row as too long, the holder sent the same
+/// write again until its tenure lapsed, as did each successor, and nearly no job ran.
 #[test]
 fn more_workers_than_fit_in_a_row_get_tasks() {
     support::run(async {
@@ -41,52 +41,52 @@
             bench.add_worker(index).await;
         }
         time::sleep(Duration::from_secs(5)).await;
-        let epoch = lead_epoch(&bench);
+        let epoch = tenure_epoch(&bench);
         bench.submit(0, 1, support::job(1_600, 2_000)).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        assert_eq!(lead_epoch(&bench), epoch);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_eq!(tenure_epoch(&bench), epoch);
         let holder = bench.holder();
         bench.kill(holder).await;
         bench.submit(0, 2, support::job(1_600, 2_000)).await;
-        bench.await_state(0, 2, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 2, model::GraphState::Completed, SETTLING_TIME).await;
         bench.assert_nothing_ran_twice();
     });
 }
 
-/// Symptom: one row that the store does not take, and no scheduler keeps its tenure. Sequence: the row
-/// goes out with all others and the renewal in one write; the store refuses the write, each time.
-/// Cause: a refusal for good was taken for an outage.
+/// Guards against a single rejected row that costs every holder its tenure. The row is in one write with all
+/// other rows and the renewal; if a permanent rejection is treated as an outage, the same write is sent, and
+/// rejected, again and again.
 #[test]
-fn a_refused_row_costs_neither_the_tenure_nor_other_jobs() {
+fn a_rejected_row_affects_neither_the_tenure_nor_other_jobs() {
     support::run(async {
         let bench = support::PoolBench::start(2, 4).await;
-        let epoch = lead_epoch(&bench);
+        let epoch = tenure_epoch(&bench);
         let barred = BTreeSet::from([keys::progress(1, 0)]);
         bench.store.set_limits(table::TableLimits { barred, ..platform_limits() });
         for graph in 1..=6 {
             bench.submit(0, graph, support::job(4, 1_000)).await;
         }
         for graph in 2..=6 {
-            bench.await_state(0, graph, model::GraphState::Completed, SOON).await;
+            bench.await_state(0, graph, model::GraphState::Completed, SETTLING_TIME).await;
         }
-        // Long enough for the row to be offered again.
+        // Long enough for the holder to write the row again.
         time::sleep(Duration::from_secs(25)).await;
         assert_eq!(
             bench.lookup(0, 1).await,
             model::LookOutcome::Known(model::GraphState::Running),
             "an end is shown only once it is durable"
         );
-        assert_eq!(lead_epoch(&bench), epoch);
+        assert_eq!(tenure_epoch(&bench), epoch);
         bench.store.set_limits(platform_limits());
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
-        assert_eq!(lead_epoch(&bench), epoch);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
+        assert_eq!(tenure_epoch(&bench), epoch);
         bench.assert_nothing_ran_twice();
     });
 }
 
-/// The end of a task whose row is refused stays with its worker, where a successor finds it.
+/// The end of a task whose row is rejected is kept by its worker, where a successor finds it.
 #[test]
-fn what_a_refused_row_tells_of_outlives_the_scheduler() {
+fn an_end_in_a_rejected_row_survives_a_takeover() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
         let barred = BTreeSet::from([keys::progress(1, 0)]);
@@ -96,12 +96,12 @@
         let holder = bench.holder();
         bench.kill(holder).await;
         bench.store.set_limits(platform_limits());
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         assert_eq!(bench.fleet.records().len(), 4);
     });
 }
 
-/// A job whose own row is too long is turned away at once: it can never be stored.
+/// A job whose own row is too long is refused at once, because it can never be stored.
 #[test]
 fn a_job_that_can_never_be_stored_is_refused_at_once() {
     support::run(async {
@@ -116,11 +116,11 @@
     });
 }
 
-/// Symptom: tasks start on a worker seconds after it has said that it leaves. Sequence: 3,000 workers
-/// write their entries every 1.5 s; the scheduler reads 500 changes each 0.6 s and falls behind by
-/// more each second. Cause: it paused although there was more to read.
+/// Guards against tasks that start on a worker seconds after its entry has announced that it leaves. With
+/// 3,000 workers that write their entries every 1.5 s, a holder that pauses although there are more changes
+/// to read reads 500 changes per 0.6 s, and its delay grows every second.
 #[test]
-fn a_list_that_changes_faster_than_one_answer_tells_is_followed() {
+fn a_list_that_changes_faster_than_one_read_returns_is_followed() {
     support::run(async {
         let bench = support::PoolBench::start(1, 40).await;
         bench.store.set_limits(table::TableLimits { feed_rows: 5, ..platform_limits() });
@@ -134,15 +134,15 @@
         bench.drain_worker(0).await;
         time::sleep(Duration::from_secs(1)).await;
         bench.submit(0, 1, support::job(8, 500)).await;
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         let leaving = support::worker_id(0);
         assert!(bench.fleet.records().iter().all(|it| it.worker != leaving));
     });
 }
 
-/// Symptom: nobody can take over while the store is slow, on a large deployment alone. Sequence: the holder
-/// ends; each successor reads pages one behind the other, gives up after 1.5 s, and after three tries
-/// gives up the tenure. Cause: the bound on reading a table was one for a few pages.
+/// Guards against a large deployment on which nobody can take over while the store is slow. Each successor
+/// reads the pages one after another; with a time limit of 1.5 s, enough for a few pages only, it fails
+/// three times and gives up the tenure.
 #[test]
 fn a_long_table_is_read_from_a_slow_store() {
     support::run(async {
@@ -150,12 +150,12 @@
         bench.store.set_limits(table::TableLimits { page_rows: 3, ..platform_limits() });
         bench.submit(0, 1, support::job(4, 20_000)).await;
         time::sleep(Duration::from_secs(1)).await;
-        let (holder, epoch) = (bench.holder(), lead_epoch(&bench));
+        let (holder, epoch) = (bench.holder(), tenure_epoch(&bench));
         bench.store.faults().set(fault::Condition::Slow(Duration::from_millis(120)));
         bench.kill(holder).await;
         time::sleep(Duration::from_secs(9)).await;
-        assert_eq!(lead_epoch(&bench), epoch + 1);
-        bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
+        assert_eq!(tenure_epoch(&bench), epoch + 1);
+        bench.await_state(0, 1, model::GraphState::Completed, SETTLING_TIME).await;
         bench.assert_nothing_ran_twice();
     });
 }
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -1,6 +1,7 @@
-//! Storms: faults drawn at random over the whole path, judged by a simple oracle.
+//! Storms: test runs with faults drawn at random over the whole path of jobs, whose results are checked
+//! against a few invariants.
 //!
-//! The fixed seeds run in CI. A long run: `POOL_STORM_CASES=2000 POOL_STORM_SEED=1 cargo test
+//! CI runs the fixed seeds. A long run: `POOL_STORM_CASES=2000 POOL_STORM_SEED=1 cargo test
 //! --release -p almondpass-pool --test pool -- --nocapture storms`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,76 +16,78 @@
 
 use crate::support;
 
-/// Instances, workers and steps of a storm.
+/// Instances, workers and steps of a storm; a step submits a job or injects a fault.
 const N_INSTANCES: usize = 3;
 const N_WORKERS: usize = 4;
 const N_STEPS: usize = 45;
 
-/// Where tasks crash workers there are more of them: some are down all the while.
+/// Workers of a storm in which tasks crash workers: more of them, because some are always down.
 const N_WORKERS_CRASHING: usize = 24;
 
-/// Workers of a data centre, and data centres, where these are evacuated.
-const WORKERS_A_DATA_CENTER: usize = 8;
-const N_DATA_CENTERS: usize = N_WORKERS_CRASHING / WORKERS_A_DATA_CENTER;
+/// Workers per data centre, and number of data centres, in storms with evacuations.
+const WORKERS_PER_DATA_CENTER: usize = 8;
+const N_DATA_CENTERS: usize = N_WORKERS_CRASHING / WORKERS_PER_DATA_CENTER;
 
-/// Jobs that are handed in beside an evacuation when nothing is amiss.
-const N_CALM_JOBS: usize = 40;
+/// Jobs submitted during an evacuation while no fault is active.
+const N_FAULTLESS_JOBS: usize = 40;
 
-/// An evacuation is in force this long behind its acknowledgement at the latest.
+/// An evacuation is in force at the latest this long after the store has acknowledged it.
 const EVACUATED_WITHIN: Duration = Duration::from_secs(5);
 
-/// The operator writes again after this.
-const OPERATOR_AGAIN: Duration = Duration::from_millis(200);
+/// Wait before the operator repeats a failed write.
+const OPERATOR_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Once so many workers have crashed under a task...
+/// Number of workers crashed by a task after which its further starts are limited.
 const N_CRASHES: usize = 3;
 
-/// ...it may be started so many times more.
-const MOST_LATER: usize = 2;
+/// Most starts of a task after it has crashed `N_CRASHES` workers.
+const MAX_LATER_STARTS: usize = 2;
 
-/// Instances are in touch this long behind the last disruption.
-const IN_TOUCH_AFTER: Duration = Duration::from_secs(3);
+/// Time after the last fault within which instances, store and workers are connected again.
+const CONNECTED_AFTER: Duration = Duration::from_secs(3);
 
-/// Faults end, and this much later everything must be settled: leases, terms and outages of
-/// seconds, one after the other, then the longest tasks.
-const SETTLE: Duration = Duration::from_secs(90);
+/// Time after the last fault within which all jobs have to end: it covers leases, terms and outages of
+/// seconds, one after another, then the longest tasks.
+const SETTLING_TIME: Duration = Duration::from_secs(90);
 
-/// Accelerators of a worker.
-const WHOLE_ROOM: u32 = 8;
+/// Accelerators of a worker with all its resources.
+const ACCELERATORS_PER_WORKER: u32 = 8;
 
-/// By then each worker has told of itself.
+/// Time within which each worker has written its first entry.
 const FIRST_HEARTBEATS: Duration = Duration::from_secs(4);
 
-/// Storms that found a fault when workers start again: an acknowledgement behind a pause in which nobody
-/// looked, a start that hid a later life, and one that ran on in a later life that could not be reached.
-const RESTART_FINDINGS: [u64; 3] = [31_028, 52_395, 81_036];
+/// Seeds that found faults in the handling of worker restarts: an end acknowledged after a period without
+/// polls, a start that hid a later incarnation, and a start that went on in a later incarnation that could
+/// not be reached.
+const RESTART_FAULT_SEEDS: [u64; 3] = [31_028, 52_395, 81_036];
 
-/// What the callers were told.
+/// Outcomes that callers and the operator received, and the periods of faults.
 #[derive(Default)]
 struct StormLedger {
-    /// Accepted at some time.
+    /// Jobs that were accepted by at least one call.
     accepted: BTreeSet<ids::GraphId>,
-    /// Told each time that it had not run.
-    refused: BTreeSet<ids::GraphId>,
-    /// Acknowledged cancels, with their time.
+    /// Jobs of which every call returned `NotRun`.
+    not_run: BTreeSet<ids::GraphId>,
+    /// Jobs with an acknowledged cancellation, and its time.
     cancelled: BTreeMap<ids::GraphId, Instant>,
     /// Jobs whose tasks fail.
-    poisoned: BTreeSet<ids::GraphId>,
-    /// Since when something stands between the parties.
-    disrupted_since: Option<Instant>,
-    /// The times at which something did.
-    disruptions: Vec<(Instant, Instant)>,
+    failing: BTreeSet<ids::GraphId>,
+    /// Since when a fault is active between instances, store and workers.
+    fault_since: Option<Instant>,
+    /// Past periods of faults, each extended until the parties are connected again.
+    fault_periods: Vec<(Instant, Instant)>,
     /// Jobs whose first task crashes its workers.
     crashing: BTreeSet<ids::GraphId>,
-    /// The evacuations that the store has acknowledged, and those that are over.
+    /// Time at which the store acknowledged each evacuation in force, by number of the data centre.
     evacuations: BTreeMap<usize, Instant>,
+    /// Evacuations that are over.
     past_evacuations: Vec<EvacuationSpan>,
-    /// Jobs of two steps, the second after the first.
+    /// Jobs of two steps, where the second starts after the first.
     chained: BTreeSet<ids::GraphId>,
 }
 
-/// An evacuation from its acknowledgement until the operator began to take it back, or until a former
-/// taking back reached the store late, whichever came first.
+/// Period of an evacuation: from its acknowledgement until the operator began to end it, or until an earlier
+/// attempt to end it reached the store late, whichever came first.
 #[derive(Clone, Copy, Debug)]
 struct EvacuationSpan {
     /// Number of the data centre.
@@ -94,9 +97,9 @@
 }
 
 impl EvacuationSpan {
-    /// Whether a run was started there although it had long been known.
-    fn is_broken_by(&self, run: &pool_worker::RunRecord) -> bool {
-        let is_there = support::index_of(&run.worker) / WORKERS_A_DATA_CENTER == self.number;
+    /// Returns whether a run started in the data centre although the evacuation had to be in force by then.
+    fn is_violated_by(&self, run: &pool_worker::RunRecord) -> bool {
+        let is_there = support::index_of(&run.worker) / WORKERS_PER_DATA_CENTER == self.number;
         is_there && run.began > self.acked_at + EVACUATED_WITHIN && run.began < self.until
     }
 }
@@ -106,69 +109,71 @@
         self.evacuations.contains_key(&number)
     }
 
-    /// The store has acknowledged that a data centre is evacuated.
+    /// Records that the store has acknowledged an evacuation.
     fn evacuated(&mut self, number: usize) {
         self.evacuations.insert(number, Instant::now());
     }
 
-    /// Something stands between instances, store and workers from now on, or did for a moment.
-    fn disrupted(&mut self) {
-        self.disrupted_since.get_or_insert_with(Instant::now);
+    /// Records that a fault is active between instances, store and workers from now on.
+    fn record_fault(&mut self) {
+        self.fault_since.get_or_insert_with(Instant::now);
     }
 
-    /// Nothing does any more.
-    fn calmed(&mut self) {
-        if let Some(since) = self.disrupted_since.take() {
-            self.disruptions.push((since, Instant::now() + IN_TOUCH_AFTER));
+    /// Records that no fault is active any more.
+    fn record_faults_ended(&mut self) {
+        if let Some(since) = self.fault_since.take() {
+            self.fault_periods.push((since, Instant::now() + CONNECTED_AFTER));
         }
     }
 
-    /// Whether the instances were in touch at that moment, as far as is known.
-    fn is_in_touch(&self, at: Instant) -> bool {
-        self.disruptions.iter().all(|(from, until)| !(*from..*until).contains(&at))
+    /// Returns whether no recorded fault kept instances, store and workers apart at that time.
+    fn is_connected(&self, at: Instant) -> bool {
+        self.fault_periods.iter().all(|(from, until)| !(*from..*until).contains(&at))
     }
 }
 
-/// What comes on top of the other faults.
+/// Kind of the faults that are injected in addition to the usual ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StormKind {
-    /// Nothing.
+    /// No additional faults.
     Plain,
-    /// Workers start again under their ids, and tell in which life they are.
+    /// Workers restart under their ids, and report their incarnations.
     Restarts,
-    /// The same, and they don't tell.
-    UntoldRestarts,
-    /// Some tasks crash each worker that starts them, beside workers that start again by themselves.
+    /// Workers restart under their ids, and report no incarnations.
+    UnreportedRestarts,
+    /// Some tasks crash each worker that starts them; workers also restart by themselves.
     Crashes,
-    /// The operator evacuates data centres and takes them back, beside workers that start again.
+    /// The operator begins and ends evacuations of data centres; workers also restart by themselves.
     Evacuations,
-    /// Rooms shrink and grow, on workers that start whatever they are told to, beside tasks that crash
-    /// them.
-    Rooms,
+    /// Resources of workers shrink and grow, and the workers start every task they are sent; some tasks also
+    /// crash their workers.
+    ResourceChanges,
 }
 
 impl StormKind {
-    /// Chance of each step that a worker starts again by itself. Where tasks crash workers, so seldom that
-    /// the two can be told apart.
+    /// Probability, per step, that a worker restarts by itself. Where tasks crash workers it is so low that
+    /// such restarts can be distinguished from crashes.
     fn restarts(self) -> f64 {
         match self {
             StormKind::Plain => 0.0,
-            StormKind::Restarts | StormKind::UntoldRestarts => 0.2,
-            StormKind::Crashes | StormKind::Rooms | StormKind::Evacuations => 0.03,
+            StormKind::Restarts | StormKind::UnreportedRestarts => 0.2,
+            StormKind::Crashes | StormKind::ResourceChanges | StormKind::Evacuations => 0.03,
         }
     }
 
-    /// Chance of each job that its first task crashes its workers.
+    /// Probability that the first task of a job crashes its workers.
     fn crashes(self) -> f64 {
         match self {
-            StormKind::Crashes | StormKind::Rooms => 0.08,
+            StormKind::Crashes | StormKind::ResourceChanges => 0.08,
             _ => 0.0,
         }
     }
 
     fn n_workers(self) -> usize {
         match self {
-            StormKind::Crashes | StormKind::Rooms | StormKind::Evacuations => N_WORKERS_CRASHING,
+            StormKind::Crashes | StormKind::ResourceChanges | StormKind::Evacuations => {
+                N_WORKERS_CRASHING
+            }
             _ => N_WORKERS,
         }
     }
@@ -178,86 +183,93 @@
     ($($(#[$doc:meta])* $name:ident: $kind:ident;)*) => {
         $($(#[$doc])* #[test]
         fn $name() {
-            play(StormKind::$kind, support::storm_seeds());
+            run_storms(StormKind::$kind, support::storm_seeds());
         })*
     };
 }
 
 storms! {
     storms: Plain;
-    storms_of_workers_that_start_again: Restarts;
-    storms_of_workers_that_start_again_untold: UntoldRestarts;
+    storms_of_worker_restarts: Restarts;
+    storms_of_unreported_worker_restarts: UnreportedRestarts;
     storms_of_tasks_that_crash_workers: Crashes;
-    storms_of_rooms_that_shrink_and_grow: Rooms;
+    storms_of_resource_changes: ResourceChanges;
     storms_of_evacuations: Evacuations;
 }
 
 #[test]
-fn storms_that_have_found_a_fault_with_restarts() {
-    for kind in [StormKind::Restarts, StormKind::UntoldRestarts] {
-        play(kind, RESTART_FINDINGS);
+fn storms_that_found_restart_faults() {
+    for kind in [StormKind::Restarts, StormKind::UnreportedRestarts] {
+        run_storms(kind, RESTART_FAULT_SEEDS);
     }
 }
 
-/// Storms that found a fault of how losses are held against tasks: losses that a takeover forgot or took
-/// for rare, what became surer of a loss later, the same worker lost again and again, a suspect that was
-/// adopted and shared its worker, rooms that were believed for too long.
+/// Seeds that found faults in how losses of workers make tasks suspect: losses that a takeover forgot or
+/// considered rare, losses whose cause became more certain later, the same worker lost repeatedly, a
+/// suspect that was adopted and shared its worker, and resources of workers that were used for too long
+/// after a change.
 #[test]
-fn storms_that_have_found_a_fault_with_losses() {
-    play(StormKind::Restarts, [93, 190, 355]);
-    play(StormKind::UntoldRestarts, [36]);
-    play(StormKind::Crashes, [37, 103, 107]);
-    play(StormKind::Rooms, [17, 38, 208]);
+fn storms_that_found_loss_faults() {
+    run_storms(StormKind::Restarts, [93, 190, 355]);
+    run_storms(StormKind::UnreportedRestarts, [36]);
+    run_storms(StormKind::Crashes, [37, 103, 107]);
+    run_storms(StormKind::ResourceChanges, [17, 38, 208]);
 }
 
-/// A task is started once too often by instances in touch: the first workers were lost under it amid
-/// outages and a takeover, and say little.
+/// Guards against a task that connected instances start once too often, because the first losses of its
+/// workers occurred during outages and a takeover and are weak evidence.
 #[test]
-fn storms_that_blur_the_first_losses() {
-    play(StormKind::Crashes, [101, 194, 990_038]);
-    play(StormKind::Rooms, [192, 317, 770_039, 880_104]);
+fn storms_with_weak_evidence_of_the_first_losses() {
+    run_storms(StormKind::Crashes, [101, 194, 990_038]);
+    run_storms(StormKind::ResourceChanges, [192, 317, 770_039, 880_104]);
 }
 
-/// A task is started once too often although its losses were told apart: its start was not on record, or
-/// what was known of its losses was not saved, when the scheduler went while the store was away.
+/// Guards against a task that is started once too often although its losses were attributed to it. The holder
+/// ended while the store was unavailable, and the task's start or its losses were not saved.
 #[test]
 fn storms_that_forget_losses_at_takeovers() {
-    play(StormKind::Crashes, [1_200_271, 1_200_275, 41_200_329]);
+    run_storms(StormKind::Crashes, [1_200_271, 1_200_275, 41_200_329]);
 }
 
-/// A taking back without answer that the store carries out behind a newer evacuation ends that one.
+/// Covers an attempt to end an evacuation that got no answer, and that the store commits after a newer
+/// evacuation began: it ends the newer one.
 #[test]
-fn storms_with_evacuations_undone_late() {
-    play(StormKind::Evacuations, [660_007]);
+fn storms_with_late_ends_of_evacuations() {
+    run_storms(StormKind::Evacuations, [660_007]);
 }
 
-/// A task that ran beside what crashes workers four times is taken for it.
+/// Guards against a harmless task that is treated as the cause of crashes because it ran four times on the same
+/// worker as the crashing task.
 #[test]
-fn storms_in_which_tasks_travel_with_a_culprit() {
-    play(StormKind::Crashes, [990_050]);
+fn storms_with_a_task_beside_a_crashing_task() {
+    run_storms(StormKind::Crashes, [990_050]);
 }
 
-/// A task that accidents have struck on each worker in turn finds none that it does not avoid, and waits for
-/// ever.
+/// Guards against a task that waits forever because it avoids every worker: it was lost by accident on each
+/// of them in turn.
 #[test]
-fn storms_that_strike_a_task_everywhere() {
-    play(StormKind::Restarts, [990_044]);
+fn storms_with_a_task_lost_on_every_worker() {
+    run_storms(StormKind::Restarts, [990_044]);
 }
 
-/// A task that was struck five and six times in a row by workers that start again by themselves is given up.
+/// Guards against a harmless task that fails because workers that restart by themselves lost it five or six
+/// times in a row.
 #[test]
-fn storms_that_look_like_a_culprit() {
-    play(StormKind::Restarts, [990_115, 770_410]);
-    play(StormKind::UntoldRestarts, [990_167]);
+fn storms_with_accidental_losses_in_a_row() {
+    run_storms(StormKind::Restarts, [990_115, 770_410]);
+    run_storms(StormKind::UnreportedRestarts, [990_167]);
 }
 
-/// A worker's entry that the store carries out late tells of a room that has shrunk since.
+/// Covers a worker's entry that the store commits late, with resources that have shrunk since.
 #[test]
-fn storms_with_entries_carried_out_late() {
-    play(StormKind::Rooms, [880_060, 880_245, 1_200_399, 770_460, 41_300_120, 50_300_071]);
+fn storms_with_late_writes_of_entries() {
+    run_storms(
+        StormKind::ResourceChanges,
+        [880_060, 880_245, 1_200_399, 770_460, 41_300_120, 50_300_071],
+    );
 }
 
-fn play(kind: StormKind, seeds: impl IntoIterator<Item = u64>) {
+fn run_storms(kind: StormKind, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
         println!("storm {seed}, {kind:?}");
         support::run(storm(seed, kind));
@@ -267,7 +279,7 @@
 async fn storm(seed: u64, kind: StormKind) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut bench = support::PoolBench::start(N_INSTANCES, kind.n_workers()).await;
-    if kind == StormKind::UntoldRestarts {
+    if kind == StormKind::UnreportedRestarts {
         bench.fleet.hide_lives();
         for worker in 0..N_WORKERS {
             bench.restart_worker(worker, Duration::ZERO).await;
@@ -279,65 +291,66 @@
         let down = Duration::from_millis(rng.random_range(1_000..4_000));
         bench.restart_crashed_workers(support::RestartMode::Rotating, down);
     }
-    if kind == StormKind::Rooms {
+    if kind == StormKind::ResourceChanges {
         bench.fleet.unguard();
         bench.set_document_unguarded(2).await;
         time::sleep(FIRST_HEARTBEATS).await;
     }
     let mut ledger = StormLedger::default();
     for step in 0..N_STEPS {
-        // Nothing is drawn for what a kind does not have: the seeds of the others stay what they were.
+        // A kind without a certain fault draws no number for it, so that the storms of its seeds do not
+        // change.
         if kind.restarts() > 0.0 && rng.random_bool(kind.restarts()) {
             restart(&bench, &mut rng).await;
         }
         if kind == StormKind::Evacuations && rng.random_bool(0.3) {
-            evacuate_or_take_back(&bench, &mut ledger, &mut rng).await;
+            toggle_evacuation(&bench, &mut ledger, &mut rng).await;
         }
-        if kind == StormKind::Rooms && rng.random_bool(0.3) {
-            change_room(&bench, &mut rng);
+        if kind == StormKind::ResourceChanges && rng.random_bool(0.3) {
+            change_resources(&bench, &mut rng);
         }
         if rng.random_bool(0.5) {
             let graph = 1 + step as u64;
             let crashes = kind.crashes() > 0.0 && rng.random_bool(kind.crashes());
-            hand_in(&bench, &mut ledger, &mut rng, HandIn { graph, crashes }).await;
+            submit_random_job(&bench, &mut ledger, &mut rng, DrawnJob { graph, crashes }).await;
         } else {
-            strike(&mut bench, &mut ledger, &mut rng).await;
+            inject_fault(&mut bench, &mut ledger, &mut rng).await;
         }
         time::sleep(Duration::from_millis(rng.random_range(50..1_200))).await;
     }
-    calm(&bench);
-    ledger.calmed();
+    end_faults(&bench);
+    ledger.record_faults_ended();
     if kind == StormKind::Evacuations {
-        evacuate_in_calm(&bench, &mut ledger, &mut rng).await;
+        evacuate_without_faults(&bench, &mut ledger, &mut rng).await;
     }
     for worker in bench.fleet.workers_up() {
-        bench.set_accelerators(&worker, WHOLE_ROOM);
+        bench.set_accelerators(&worker, ACCELERATORS_PER_WORKER);
     }
-    time::sleep(SETTLE).await;
-    judge(&bench, &ledger, seed).await;
+    time::sleep(SETTLING_TIME).await;
+    check_results(&bench, &ledger, seed).await;
 }
 
-/// A job to hand in.
+/// Job to submit, and whether its first task crashes its workers.
 #[derive(Clone, Copy, Debug)]
-struct HandIn {
+struct DrawnJob {
     graph: ids::GraphId,
     crashes: bool,
 }
 
-async fn hand_in(
+async fn submit_random_job(
     bench: &support::PoolBench,
     ledger: &mut StormLedger,
     rng: &mut ChaCha8Rng,
-    job: HandIn,
+    job: DrawnJob,
 ) {
-    let HandIn { graph, crashes } = job;
+    let DrawnJob { graph, crashes } = job;
     let mut row = support::job(rng.random_range(1..6), rng.random_range(200..6_000));
     if rng.random_bool(0.1) {
         row.graph.body.push_str(" fail");
-        ledger.poisoned.insert(graph);
+        ledger.failing.insert(graph);
     }
     if crashes {
-        // Before the shortest task has ended.
+        // The crash occurs before the shortest task ends.
         row.graph.body.push_str(&format!(" crash={}", rng.random_range(1..190)));
         ledger.crashing.insert(graph);
     }
@@ -345,21 +358,21 @@
         row.graph.steps.push(support::step(rng.random_range(1..4), &[0]));
         ledger.chained.insert(graph);
     }
-    let mut n_told = 0;
+    let mut n_not_run = 0;
     for _ in 0..rng.random_range(1..3) {
         let index = rng.random_range(0..bench.instances.len());
         match bench.submit(index, graph, row.clone()).await {
             model::SubmitOutcome::Accepted => {
                 ledger.accepted.insert(graph);
             }
-            model::SubmitOutcome::NotRun => n_told += 1,
-            model::SubmitOutcome::Unknown => n_told = -100,
+            model::SubmitOutcome::NotRun => n_not_run += 1,
+            model::SubmitOutcome::Unknown => n_not_run = -100,
             model::SubmitOutcome::Refused => panic!("the store refuses job {graph}"),
             model::SubmitOutcome::Taken => panic!("job {graph} is taken"),
         }
     }
-    if n_told > 0 && !ledger.accepted.contains(&graph) {
-        ledger.refused.insert(graph);
+    if n_not_run > 0 && !ledger.accepted.contains(&graph) {
+        ledger.not_run.insert(graph);
     }
 }
 
@@ -373,21 +386,22 @@
     bench.write_entry_later(worker, Duration::from_millis(rng.random_range(0..1_500)));
 }
 
-async fn evacuate_or_take_back(
+async fn toggle_evacuation(
     bench: &support::PoolBench,
     ledger: &mut StormLedger,
     rng: &mut ChaCha8Rng,
 ) {
     let number = rng.random_range(0..N_DATA_CENTERS);
     if ledger.is_evacuated(number) {
-        take_back(bench, ledger, number).await;
+        end_evacuation(bench, ledger, number).await;
     } else if bench.evacuate(&data_center(number)).await {
         ledger.evacuated(number);
     }
 }
 
-/// Empties a data centre once nothing is amiss any more, hands in work beside it, and takes all back.
-async fn evacuate_in_calm(
+/// Evacuates a data centre while no fault is active, submits jobs during the evacuation, and ends all
+/// evacuations.
+async fn evacuate_without_faults(
     bench: &support::PoolBench,
     ledger: &mut StormLedger,
     rng: &mut ChaCha8Rng,
@@ -398,18 +412,18 @@
             ledger.evacuated(number);
         }
     }
-    for job in 0..N_CALM_JOBS {
+    for job in 0..N_FAULTLESS_JOBS {
         let graph = (N_STEPS + 1 + job) as u64;
-        hand_in(bench, ledger, rng, HandIn { graph, crashes: false }).await;
+        submit_random_job(bench, ledger, rng, DrawnJob { graph, crashes: false }).await;
         time::sleep(Duration::from_millis(300)).await;
     }
     for number in 0..N_DATA_CENTERS {
-        take_back(bench, ledger, number).await;
+        end_evacuation(bench, ledger, number).await;
     }
 }
 
-async fn take_back(bench: &support::PoolBench, ledger: &mut StormLedger, number: usize) {
-    // An attempt that had no answer may have landed.
+async fn end_evacuation(bench: &support::PoolBench, ledger: &mut StormLedger, number: usize) {
+    // An attempt to end the evacuation may take effect although its answer is lost, so the period ends now.
     let until = Instant::now();
     if let Some(acked_at) = ledger.evacuations.remove(&number) {
         let removals = bench.evacuation_removals(&data_center(number));
@@ -417,8 +431,8 @@
         ledger.past_evacuations.push(EvacuationSpan { number, acked_at, until });
     }
     while !bench.end_evacuation(&data_center(number)).await {
-        time::sleep(OPERATOR_AGAIN).await;
-        if ledger.disrupted_since.is_some() {
+        time::sleep(OPERATOR_RETRY_INTERVAL).await;
+        if ledger.fault_since.is_some() {
             return;
         }
     }
@@ -428,15 +442,19 @@
     format!("dc{number}")
 }
 
-fn change_room(bench: &support::PoolBench, rng: &mut ChaCha8Rng) {
+fn change_resources(bench: &support::PoolBench, rng: &mut ChaCha8Rng) {
     for worker in bench.fleet.workers_up() {
         if rng.random_bool(0.3) {
-            bench.set_accelerators(&worker, rng.random_range(0..=WHOLE_ROOM));
+            bench.set_accelerators(&worker, rng.random_range(0..=ACCELERATORS_PER_WORKER));
         }
     }
 }
 
-async fn strike(bench: &mut support::PoolBench, ledger: &mut StormLedger, rng: &mut ChaCha8Rng) {
+async fn inject_fault(
+    bench: &mut support::PoolBench,
+    ledger: &mut StormLedger,
+    rng: &mut ChaCha8Rng,
+) {
     let index = rng.random_range(0..bench.instances.len());
     let condition = match rng.random_range(0..4) {
         0 => fault::Condition::Refusing,
@@ -445,9 +463,9 @@
         _ => fault::Condition::Up,
     };
     let kind = rng.random_range(0..9);
-    tracing::info!(kind, ?condition, address = bench.instances[index].address, "strike");
+    tracing::info!(kind, ?condition, address = bench.instances[index].address, "fault is injected");
     if matches!(kind, 0..=5) {
-        ledger.disrupted();
+        ledger.record_fault();
     }
     match kind {
         0 => bench.store.faults().set(condition),
@@ -479,14 +497,14 @@
             }
         }
         _ => {
-            calm(bench);
-            ledger.calmed();
+            end_faults(bench);
+            ledger.record_faults_ended();
         }
     }
 }
 
 /// Ends all faults.
-fn calm(bench: &support::PoolBench) {
+fn end_faults(bench: &support::PoolBench) {
     let none = fault::FaultRates::default();
     bench.store.faults().set(fault::Condition::Up);
     bench.store.faults().sample(0, none);
@@ -500,41 +518,40 @@
     }
 }
 
-async fn judge(bench: &support::PoolBench, ledger: &StormLedger, seed: u64) {
+async fn check_results(bench: &support::PoolBench, ledger: &StormLedger, seed: u64) {
     bench.assert_nothing_ran_twice();
     let records = bench.fleet.records();
-    // REFUSED: what was said not to have run did not.
+    // REFUSED: no task ran of a job whose calls all returned `NotRun`.
     for record in &records {
-        assert!(!ledger.refused.contains(&record.task.graph), "storm {seed}: {record:?} ran");
+        assert!(!ledger.not_run.contains(&record.task.graph), "storm {seed}: {record:?} ran");
     }
-    // BUDGET: no task fails more often than allowed, counting the ends that stand.
+    // BUDGET: no task fails more often than allowed, counting acknowledged ends only.
     let mut failures = BTreeMap::<_, u32>::new();
     let failed = records.iter().filter(|it| it.how == order::EndKind::Failed && it.is_noted);
     for record in failed {
         *failures.entry(record.task).or_default() += 1;
     }
     assert!(failures.values().all(|it| *it <= 2), "storm {seed}: {failures:?}");
-    // BUDGET: behind the third worker that has crashed under a task, instances in touch start it twice more
-    // at most.
+    // BUDGET: after a task has crashed three workers, connected instances start it at most twice more.
     for graph in &ledger.crashing {
         let first = task_key::TaskKey { graph: *graph, occurrence: 0, step: 0, task: 0 };
         let mut runs = records.iter().filter(|it| it.task == first).collect::<Vec<_>>();
         runs.sort_by_key(|it| it.began);
-        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_in_touch(it.began));
-        assert!(later.count() <= MOST_LATER, "storm {seed}: starts of {first}: {runs:?}");
+        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_connected(it.began));
+        assert!(later.count() <= MAX_LATER_STARTS, "storm {seed}: starts of {first}: {runs:?}");
     }
-    // EVAC: instances in touch start nothing in a data centre that has been evacuated for a while.
+    // EVAC: connected instances start no task in a data centre once its evacuation is in force.
     for span in &ledger.past_evacuations {
-        let broken = records.iter().filter(|it| span.is_broken_by(it));
-        let broken = broken.filter(|it| ledger.is_in_touch(it.began)).collect::<Vec<_>>();
+        let broken = records.iter().filter(|it| span.is_violated_by(it));
+        let broken = broken.filter(|it| ledger.is_connected(it.began)).collect::<Vec<_>>();
         assert!(broken.is_empty(), "storm {seed}: {span:?}, {broken:?}");
     }
-    // LIMIT: no start brings a worker over its room.
+    // LIMIT: no start overcommits a worker's resources.
     let overfull = bench.fleet.overfull();
     assert_eq!(overfull, [], "storm {seed}");
-    // ORDER: a step begins once each task of the one before it has ended well. A task may run once
-    // more behind that: its end was not acknowledged before the worker's lease lapsed, another run
-    // was started, and then the worker was back and listed the first end (storm 21056).
+    // ORDER: a step begins only after each task of the step before it has ended with `Done`. Such a task may
+    // run once more after that (storm 21056): its end was not acknowledged before the worker's lease lapsed,
+    // another run was started, and then the worker was back and reported the first end.
     for graph in &ledger.chained {
         let of =
             |step| records.iter().filter(move |it| it.task.graph == *graph && it.task.step == step);
@@ -548,7 +565,7 @@
         let of_graph = records.iter().filter(|it| it.task.graph == *graph).collect::<Vec<_>>();
         assert!(began.is_none() || done <= began, "storm {seed}: steps of {graph}: {of_graph:?}");
     }
-    // LOST and MIXED: each accepted job has ended, and as it is shown.
+    // LOST and MIXED: each accepted job has ended, and its shown state matches the tasks drawn for it.
     for graph in &ledger.accepted {
         let shown = bench.lookup(0, *graph).await;
         let model::LookOutcome::Known(shown) = shown else {
@@ -556,16 +573,16 @@
         };
         let expected = match shown {
             model::GraphState::Completed => {
-                !ledger.poisoned.contains(graph) && !ledger.crashing.contains(graph)
+                !ledger.failing.contains(graph) && !ledger.crashing.contains(graph)
             }
             model::GraphState::Failed => {
-                ledger.poisoned.contains(graph) || ledger.crashing.contains(graph)
+                ledger.failing.contains(graph) || ledger.crashing.contains(graph)
             }
             model::GraphState::Cancelled => true,
             _ => false,
         };
         assert!(expected, "storm {seed}: job {graph} is shown as {shown}");
     }
-    // UNASKED: nothing of a cancelled job is left.
+    // UNASKED: no task of a cancelled job still runs.
     assert_eq!(bench.fleet.n_running(), 0, "storm {seed}");
 }
--- a/crates/pool/tests/row_sizes.rs
+++ b/crates/pool/tests/row_sizes.rs
@@ -1,4 +1,4 @@
-//! How long rows get at the size to build towards and beyond.
+//! Sizes of stored rows at the planned size of the platform and beyond.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use almondpass_peer::codec;
 use almondpass_schema::{ids, model};
 
-/// Longest content of a row that the platform takes, in bytes.
-const ROW_BYTES: usize = 65_536;
+/// Longest content of a row that the platform's store accepts, in bytes.
+const MAX_ROW_BYTES: usize = 65_536;
 
-/// Longest name of a row that the platform takes; names of workers are such names.
-const NAME_BYTES: usize = 200;
+/// Longest key of a row that the platform's store accepts, in bytes; ids of workers are such keys.
+const MAX_KEY_BYTES: usize = 200;
 
 fn empty_core() -> core::PoolCore {
     core::PoolCore::new(core::PoolStart {
@@ -22,12 +22,12 @@
     })
 }
 
-fn worker_named(index: usize) -> ids::WorkerId {
-    format!("{index:0width$}", width = NAME_BYTES)
+fn worker_id(index: usize) -> ids::WorkerId {
+    format!("{index:0width$}", width = MAX_KEY_BYTES)
 }
 
-/// Everything that the core wants to save, by row.
-fn save_all(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveKey, saving::SaveContent> {
+/// Returns the content of every row that the core has to save, and marks it as saved.
+fn save_all_rows(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveKey, saving::SaveContent> {
     let mut saved = BTreeMap::new();
     while let Some(batch) = core.take_save_batch(Duration::ZERO, |_| true) {
         saved.extend(batch.rows.iter().map(|it| (it.key, it.content.clone())));
@@ -36,7 +36,7 @@
     saved
 }
 
-fn n_bytes(content: &saving::SaveContent) -> usize {
+fn encoded_bytes(content: &saving::SaveContent) -> usize {
     let encoded = match content {
         saving::SaveContent::Progress(row) => codec::encode(row),
         saving::SaveContent::Roster(row) => codec::encode(row),
@@ -47,12 +47,14 @@
 
 fn assert_all_fit(saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>) {
     for (key, content) in saved {
-        let n_bytes = n_bytes(content);
-        assert!(n_bytes <= ROW_BYTES, "{key:?}: {n_bytes} bytes");
+        let n_bytes = encoded_bytes(content);
+        assert!(n_bytes <= MAX_ROW_BYTES, "{key:?}: {n_bytes} bytes");
     }
 }
 
-fn workers_in(saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>) -> BTreeSet<String> {
+fn workers_of_roster(
+    saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>,
+) -> BTreeSet<String> {
     let pages = saved.values().filter_map(|it| match it {
         saving::SaveContent::Roster(row) => Some(&row.workers),
         _ => None,
@@ -60,57 +62,57 @@
     pages.flatten().map(|it| it.worker.clone()).collect()
 }
 
-/// Symptom: the store refuses the list of workers on which tasks may be. Sequence: more than about
-/// 1,000 workers are listed. Cause: they stood in one row.
+/// Guards against a roster (the list of workers that may run tasks) that the store rejects: in a single
+/// row, it is too long with more than about 1,000 workers.
 #[test]
 fn pages_of_the_roster_fit_with_5_000_workers_of_the_longest_names() {
     let mut core = empty_core();
     for index in 0..5_000 {
         let listing = worker::WorkerEntry {
             address: "255.255.255.255:65535".to_owned(),
-            upstream: "u".repeat(NAME_BYTES),
+            upstream: "u".repeat(MAX_KEY_BYTES),
             ..worker::WorkerEntry::default()
         };
-        core.update_worker(worker_named(index), listing, Duration::ZERO);
+        core.update_worker(worker_id(index), listing, Duration::ZERO);
     }
-    let saved = save_all(&mut core);
+    let saved = save_all_rows(&mut core);
     assert_all_fit(&saved);
-    assert_eq!(workers_in(&saved).len(), 5_000);
+    assert_eq!(workers_of_roster(&saved).len(), 5_000);
 }
 
-/// A change of one worker writes one page.
+/// A new worker changes a single page of the roster.
 #[test]
-fn one_worker_more_writes_one_page() {
+fn a_new_worker_writes_one_page() {
     let mut core = empty_core();
     for index in 0..500 {
-        core.update_worker(worker_named(index), worker::WorkerEntry::default(), Duration::ZERO);
+        core.update_worker(worker_id(index), worker::WorkerEntry::default(), Duration::ZERO);
     }
-    save_all(&mut core);
-    core.update_worker(worker_named(500), worker::WorkerEntry::default(), Duration::ZERO);
-    assert_eq!(save_all(&mut core).len(), 1);
+    save_all_rows(&mut core);
+    core.update_worker(worker_id(500), worker::WorkerEntry::default(), Duration::ZERO);
+    assert_eq!(save_all_rows(&mut core).len(), 1);
 }
 
-/// An earlier release kept all workers in the row that is now the first page.
+/// An earlier release stored all workers in the row that is now the first page.
 #[test]
 fn the_roster_of_an_earlier_release_is_spread_over_pages() {
     let mut core = empty_core();
     for index in 0..1_000 {
         let entry = model::RosterEntry {
             on_record: true,
-            worker: worker_named(index),
+            worker: worker_id(index),
             address: String::new(),
             upstream: String::new(),
         };
         core.inherit_worker(entry, 0);
     }
-    let saved = save_all(&mut core);
+    let saved = save_all_rows(&mut core);
     assert_all_fit(&saved);
-    assert_eq!(workers_in(&saved).len(), 1_000);
+    assert_eq!(workers_of_roster(&saved).len(), 1_000);
     assert!(saved.contains_key(&save_queue::SaveKey::Roster { page: 0 }));
-    assert_eq!(save_all(&mut core).len(), 0);
+    assert_eq!(save_all_rows(&mut core).len(), 0);
 }
 
-fn graph_step(tasks: u32, gang: bool) -> model::GraphStep {
+fn step_of(tasks: u32, gang: bool) -> model::GraphStep {
     model::GraphStep {
         accelerators: 1,
         after: Vec::new(),
@@ -127,7 +129,7 @@
     }
 }
 
-fn graph_row(steps: Vec<model::GraphStep>) -> model::GraphRow {
+fn job_with_steps(steps: Vec<model::GraphStep>) -> model::GraphRow {
     model::GraphRow {
         account: None,
         cancelled: false,
@@ -139,8 +141,8 @@
     }
 }
 
-/// Progress of a step at its longest: every task has failed as often as it may, has a checkpoint, and is
-/// under suspicion of crashing its workers.
+/// Longest possible progress of a step: every task has failed as often as it may, has a checkpoint, and is
+/// suspected of crashing its workers.
 fn longest_progress(tasks: u32) -> model::StepProgress {
     let loss = |attempt| model::WorkerLoss {
         attempt,
@@ -170,7 +172,7 @@
     }
 }
 
-fn inherit(core: &mut core::PoolCore, row: model::GraphRow, chunks: progress::SavedChunks) {
+fn admit_saved_job(core: &mut core::PoolCore, row: model::GraphRow, chunks: progress::SavedChunks) {
     let admitted = intake::AdmittedJob {
         graph: 1,
         row,
@@ -182,12 +184,12 @@
     core.admit(admitted, Duration::ZERO);
 }
 
-/// Symptom: the store refuses what became of a wide job, and with it all else that is saved. Cause: a
-/// job had one row. An earlier release's row is divided.
+/// Guards against the progress of a wide job in a single row, which the store rejects together with all other
+/// rows of the same write. The single row of an earlier release is divided into chunks.
 #[test]
 fn rows_of_the_widest_job_fit() {
     let widths = [100, 1, 6_000, 12_899];
-    let steps = widths.map(|it| graph_step(it, false)).to_vec();
+    let steps = widths.map(|it| step_of(it, false)).to_vec();
     let mut chunks = progress::SavedChunks::default();
     let undivided = model::ProgressRow {
         state: model::GraphState::Running,
@@ -197,9 +199,9 @@
     };
     chunks.insert(progress::HEAD_CHUNK, undivided.clone());
     let mut core = empty_core();
-    inherit(&mut core, graph_row(steps.clone()), chunks);
+    admit_saved_job(&mut core, job_with_steps(steps.clone()), chunks);
 
-    let saved = save_all(&mut core);
+    let saved = save_all_rows(&mut core);
     assert_all_fit(&saved);
     assert_eq!(saved.len(), 19_000_usize.div_ceil(64));
 
@@ -212,15 +214,14 @@
         }
     }
     let mut next = empty_core();
-    inherit(&mut next, graph_row(steps), divided);
-    assert_eq!(save_all(&mut next).len(), 0, "divided already");
+    admit_saved_job(&mut next, job_with_steps(steps), divided);
+    assert_eq!(save_all_rows(&mut next).len(), 0, "divided already");
 }
 
-/// Symptom: a gang runs again although it has ended. Sequence: one member's end is saved and
-/// acknowledged; the scheduler ends before the rows of the other members are written. Cause: a gang
-/// lies in several rows.
+/// Guards against a gang that runs again after it has ended. A gang may lie in several rows: the holder may
+/// save and acknowledge the end of one member, and end before it writes the rows of the other members.
 #[test]
-fn the_end_of_one_member_is_that_of_its_gang() {
+fn the_end_of_one_member_ends_its_gang() {
     let done = model::StepProgress {
         done: vec![130],
         failures: Vec::new(),
@@ -238,14 +239,14 @@
     let mut chunks = progress::SavedChunks::default();
     chunks.insert(2, row);
     let mut core = empty_core();
-    inherit(&mut core, graph_row(vec![graph_step(160, true)]), chunks);
+    admit_saved_job(&mut core, job_with_steps(vec![step_of(160, true)]), chunks);
     let shown = core.state_of(1).map(|it| (it.state, it.account));
     assert_eq!(shown, Some((model::GraphState::Completed, None)));
 }
 
-/// Symptom: a job that its caller has cancelled is shown as failed. Sequence: a task behind the first
-/// chunk fails for the last time after the cancelling; its chunk is saved, the head is not; another
-/// scheduler takes over. Cause: the state was taken from what the tasks show.
+/// Guards against a cancelled job that is shown as failed. After the cancellation, a task outside the first
+/// chunk fails for the last time; its chunk is saved, the head chunk is not, and another instance takes over
+/// the tenure. The state of the job must not be derived from its tasks alone.
 #[test]
 fn a_cancelled_job_stays_cancelled_whatever_its_tasks_show() {
     let failures = model::TaskFailures { task: 70, attempts: (1..=20).collect() };
@@ -266,8 +267,9 @@
     let mut chunks = progress::SavedChunks::default();
     chunks.insert(1, row);
     let mut core = empty_core();
-    let cancelled = model::GraphRow { cancelled: true, ..graph_row(vec![graph_step(100, false)]) };
-    inherit(&mut core, cancelled, chunks);
+    let cancelled =
+        model::GraphRow { cancelled: true, ..job_with_steps(vec![step_of(100, false)]) };
+    admit_saved_job(&mut core, cancelled, chunks);
     let shown = core.state_of(1).map(|it| (it.state, it.account));
     assert_eq!(shown, Some((model::GraphState::Cancelled, None)));
 }
