--- a/crates/graph/src/dispatch.rs
+++ b/crates/graph/src/dispatch.rs
@@ -163,7 +163,7 @@
         let mut racks = BTreeMap::<&str, usize>::new();
         let mut upstreams = BTreeMap::<&str, usize>::new();
         let candidates = usable.map(|(_, it)| candidate::WorkerCandidate {
-            place: Arc::clone(&it.place),
+            profile: Arc::clone(&it.place),
             rack: number_of(&it.place.rack, &mut racks),
             upstream: number_of(&it.place.upstream, &mut upstreams),
             used: it.in_use(),
@@ -171,7 +171,7 @@
             n_runs: it.runs.len() + it.unwanted_runs.len(),
             failed_lately: it.health.has_recent_failures(),
             is_exclusive: !it.isolated_runs.is_empty(),
-            claims: it.claims.iter().map(|it| (it.unit, it.room)).collect(),
+            claims: it.claims.iter().map(|it| (it.unit, it.resources)).collect(),
             reserved: Vec::new(),
         });
         candidates.collect()
@@ -208,7 +208,7 @@
         let is_off = request.rack_number.is_some_and(|rack| racks.iter().any(|it| *it != rack));
         let is_remote = is_off || (request.same_rack && racks.len() > 1);
         let workers =
-            chosen.iter().map(|it| candidates[*it].place.worker.clone()).collect::<Vec<_>>();
+            chosen.iter().map(|it| candidates[*it].profile.worker.clone()).collect::<Vec<_>>();
         let places = UnitPlaces { workers, is_isolated: request.is_isolated, is_remote };
         self.start_unit(unit, places, now);
         StartOutcome::Started
@@ -269,7 +269,7 @@
             is_confirmed_by_incarnation: false,
             is_remote,
             is_from_scratch: task.checkpoint.is_none(),
-            since: now,
+            tracked_since: now,
             percent: 0,
             percent_changed_at: now,
             pace: pace::RunPace::not_started(),
--- a/crates/pool/tests/row_sizes.rs
+++ b/crates/pool/tests/row_sizes.rs
@@ -27,7 +27,9 @@
 }
 
 /// Returns the content of every row that the core has to save, and marks it as saved.
-fn save_all_rows(core: &mut core::PoolCore) -> BTreeMap<save_queue::SaveKey, saving::SaveContent> {
+fn save_all_rows(
+    core: &mut core::PoolCore,
+) -> BTreeMap<save_queue::SaveRowKey, saving::SaveContent> {
     let mut saved = BTreeMap::new();
     while let Some(batch) = core.take_save_batch(Duration::ZERO, |_| true) {
         saved.extend(batch.rows.iter().map(|it| (it.key, it.content.clone())));
@@ -45,7 +47,7 @@
     encoded.expect("a message").len()
 }
 
-fn assert_all_fit(saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>) {
+fn assert_all_fit(saved: &BTreeMap<save_queue::SaveRowKey, saving::SaveContent>) {
     for (key, content) in saved {
         let n_bytes = encoded_bytes(content);
         assert!(n_bytes <= MAX_ROW_BYTES, "{key:?}: {n_bytes} bytes");
@@ -53,7 +55,7 @@
 }
 
 fn workers_of_roster(
-    saved: &BTreeMap<save_queue::SaveKey, saving::SaveContent>,
+    saved: &BTreeMap<save_queue::SaveRowKey, saving::SaveContent>,
 ) -> BTreeSet<String> {
     let pages = saved.values().filter_map(|it| match it {
         saving::SaveContent::Roster(row) => Some(&row.workers),
@@ -108,7 +110,7 @@
     let saved = save_all_rows(&mut core);
     assert_all_fit(&saved);
     assert_eq!(workers_of_roster(&saved).len(), 1_000);
-    assert!(saved.contains_key(&save_queue::SaveKey::Roster { page: 0 }));
+    assert!(saved.contains_key(&save_queue::SaveRowKey::Roster { page: 0 }));
     assert_eq!(save_all_rows(&mut core).len(), 0);
 }
 
@@ -207,8 +209,10 @@
 
     let mut divided = progress::SavedChunks::default();
     for (key, content) in saved {
-        if let (save_queue::SaveKey::Progress { chunk, .. }, saving::SaveContent::Progress(row)) =
-            (key, content)
+        if let (
+            save_queue::SaveRowKey::Progress { chunk, .. },
+            saving::SaveContent::Progress(row),
+        ) = (key, content)
         {
             divided.insert(chunk, row);
         }
