--- a/crates/pool/src/feed_monitor.rs
+++ b/crates/pool/src/feed_monitor.rs
@@ -52,7 +52,7 @@
 
     /// Returns whether the whole table is to be read now instead of the feed, and if so postpones the next
     /// read.
-    pub(crate) fn take_table_due(&mut self) -> bool {
+    pub(crate) fn claim_table_read(&mut self) -> bool {
         let now = Instant::now();
         let due = self.outage.as_mut().filter(|it| now >= it.table_read_due);
         due.map(|it| it.table_read_due = now + TABLE_READ_INTERVAL).is_some()
--- a/crates/pool/src/state.rs
+++ b/crates/pool/src/state.rs
@@ -66,7 +66,7 @@
     /// State of the tenure; `None` while this instance does not hold it.
     leader: Mutex<Option<Arc<leader::LeaderState>>>,
     /// Epoch of the tenure that this instance has acquired, set before the tenure's rows are loaded.
-    taken_epoch: Mutex<Option<ids::Epoch>>,
+    acquired_epoch: Mutex<Option<ids::Epoch>>,
     /// Latest time at which an order of an ended tenure of this instance may have been sent.
     last_order_at: Mutex<Option<Duration>>,
     /// Suspicions against tasks that the last ended tenure of this instance had not saved.
@@ -107,7 +107,7 @@
             shutdown: CancellationToken::new(),
             holder: Mutex::default(),
             leader: Mutex::default(),
-            taken_epoch: Mutex::default(),
+            acquired_epoch: Mutex::default(),
             last_order_at: Mutex::default(),
             unsaved: Mutex::default(),
             store_unavailable: AtomicBool::new(false),
@@ -129,12 +129,12 @@
     }
 
     /// Returns the epoch of the tenure that this instance has acquired and not ended.
-    pub(crate) fn taken_epoch(&self) -> Option<ids::Epoch> {
-        *lock(&self.taken_epoch)
+    pub(crate) fn acquired_epoch(&self) -> Option<ids::Epoch> {
+        *lock(&self.acquired_epoch)
     }
 
-    pub(crate) fn set_taken_epoch(&self, epoch: Option<ids::Epoch>) {
-        *lock(&self.taken_epoch) = epoch;
+    pub(crate) fn set_acquired_epoch(&self, epoch: Option<ids::Epoch>) {
+        *lock(&self.acquired_epoch) = epoch;
     }
 
     /// Returns the latest time at which an order of an ended tenure of this instance may have been sent, if
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -34,7 +34,7 @@
 
 /// Kinds of faults that a storm injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WorkKind {
+enum FaultSet {
     /// All faults except permanent losses of workers.
     Faults,
     /// Workers are lost for good as well, alone and together with the tenure holder.
@@ -42,8 +42,8 @@
 }
 
 /// State of a running storm.
-struct WorkStorm {
-    kind: WorkKind,
+struct AcceptedWorkStorm {
+    kind: FaultSet,
     bench: support::PoolBench,
     oracle: starvation_oracle::StarvationOracle,
     rng: ChaCha8Rng,
@@ -62,20 +62,20 @@
 /// are connected.
 #[test]
 fn storms_of_accepted_work() {
-    run_storms(WorkKind::Faults, support::storm_seeds());
+    run_storms(FaultSet::Faults, support::storm_seeds());
 }
 
 /// Guards against starved or unknown jobs where workers are lost for good, also together with the holder.
 #[test]
 fn storms_of_accepted_work_amid_losses() {
-    run_storms(WorkKind::Losses, support::storm_seeds());
+    run_storms(FaultSet::Losses, support::storm_seeds());
 }
 
 /// Guards against a job that starves because of capacity reserved for urgent jobs, on a pool of which only a
 /// quarter is in use.
 #[test]
 fn storms_with_capacity_reserved_for_urgent_jobs() {
-    run_storms(WorkKind::Faults, [314]);
+    run_storms(FaultSet::Faults, [314]);
 }
 
 /// Guards against a storm that differs from run to run with the same seed, so that no failure can be
@@ -83,8 +83,8 @@
 #[test]
 fn a_storm_repeats_with_its_seed() {
     for seed in [2, 42] {
-        let first = run_storm(WorkKind::Losses, seed);
-        assert!(first == run_storm(WorkKind::Losses, seed), "storm {seed}");
+        let first = run_storm(FaultSet::Losses, seed);
+        assert!(first == run_storm(FaultSet::Losses, seed), "storm {seed}");
     }
 }
 
@@ -101,27 +101,27 @@
 /// holder, or whose answer to a start was lost.
 #[test]
 fn storms_that_wait_for_a_lost_worker() {
-    run_storms(WorkKind::Losses, [14, 52, 53, 139, 172, 194, 3_100_023]);
-    run_storms(WorkKind::Losses, [770_372, 41_400_013, 41_400_229, 41_400_243, 45_300_029]);
+    run_storms(FaultSet::Losses, [14, 52, 53, 139, 172, 194, 3_100_023]);
+    run_storms(FaultSet::Losses, [770_372, 41_400_013, 41_400_229, 41_400_243, 45_300_029]);
 }
 
 /// Guards against accepted jobs that wait for a worker's lease counted from the former holder's last order,
 /// although that holder knew since when the worker had been silent.
 #[test]
 fn storms_that_still_wait_behind_losses() {
-    run_storms(WorkKind::Losses, [52_400_104, 52_400_138]);
+    run_storms(FaultSet::Losses, [52_400_104, 52_400_138]);
 }
 
-fn run_storms(kind: WorkKind, seeds: impl IntoIterator<Item = u64>) {
+fn run_storms(kind: FaultSet, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
         println!("storm {seed}, accepted work, {kind:?}");
         run_storm(kind, seed);
     }
 }
 
-fn run_storm(kind: WorkKind, seed: u64) -> StormTrace {
+fn run_storm(kind: FaultSet, seed: u64) -> StormTrace {
     support::run(async move {
-        let mut storm = WorkStorm::start(kind, seed).await;
+        let mut storm = AcceptedWorkStorm::start(kind, seed).await;
         for _ in 0..N_ROUNDS {
             storm.inject_faults(seed).await;
             storm.run_without_faults(seed).await;
@@ -132,15 +132,15 @@
     })
 }
 
-impl WorkStorm {
-    async fn start(kind: WorkKind, seed: u64) -> WorkStorm {
+impl AcceptedWorkStorm {
+    async fn start(kind: FaultSet, seed: u64) -> AcceptedWorkStorm {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bench = support::PoolBench::start(N_INSTANCES, N_WORKERS).await;
         bench.start_heartbeats();
         let addresses = bench.instances.iter().map(|it| it.address.clone()).collect();
         // The range covers pools from nearly empty to nearly full.
         let large_job_rate = rng.random_range(0.0..0.5);
-        WorkStorm {
+        AcceptedWorkStorm {
             kind,
             oracle: starvation_oracle::StarvationOracle::new(),
             bench,
@@ -284,7 +284,7 @@
     async fn inject_fault(&mut self) {
         let n = self.bench.instances.len();
         let index = self.rng.random_range(0..n);
-        let n_kinds = if self.kind == WorkKind::Losses { 15 } else { 13 };
+        let n_kinds = if self.kind == FaultSet::Losses { 15 } else { 13 };
         let kind = self.rng.random_range(0..n_kinds);
         if kind != 11 {
             self.oracle.record_fault();
--- a/crates/pool/tests/pool/starvation_oracle.rs
+++ b/crates/pool/tests/pool/starvation_oracle.rs
@@ -162,8 +162,8 @@
         }
         let leader = bench.instances[bench.latest_holder()?].state.leader()?;
         let core = leader.core();
-        let due = |it: &AcceptedJob| now > connected_since.max(it.accepted_at) + KNOWN_WITHIN;
-        let mut late = self.accepted.iter().filter(|(_, it)| due(it));
+        let is_due = |it: &AcceptedJob| now > connected_since.max(it.accepted_at) + KNOWN_WITHIN;
+        let mut late = self.accepted.iter().filter(|(_, it)| is_due(it));
         let unknown = late.find(|(graph, _)| core.state_of(**graph).is_none())?;
         Some(OracleViolation::UnknownJob(*unknown.0))
     }
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records that the store has acknowledged an evacuation.
-    fn evacuated(&mut self, number: usize) {
+    fn record_evacuation(&mut self, number: usize) {
         self.evacuations.insert(number, Instant::now());
     }
 
@@ -153,7 +153,7 @@
 impl StormKind {
     /// Probability, per step, that a worker restarts by itself. Where tasks crash workers it is so low that
     /// such restarts can be distinguished from crashes.
-    fn restarts(self) -> f64 {
+    fn restart_probability(self) -> f64 {
         match self {
             StormKind::Plain => 0.0,
             StormKind::Restarts | StormKind::UnreportedRestarts => 0.2,
@@ -162,7 +162,7 @@
     }
 
     /// Probability that the first task of a job crashes its workers.
-    fn crashes(self) -> f64 {
+    fn crash_probability(self) -> f64 {
         match self {
             StormKind::Crashes | StormKind::ResourceChanges => 0.08,
             _ => 0.0,
@@ -286,7 +286,7 @@
             bench.write_entry(worker).await;
         }
     }
-    if kind.crashes() > 0.0 {
+    if kind.crash_probability() > 0.0 {
         bench.start_heartbeats();
         let down = Duration::from_millis(rng.random_range(1_000..4_000));
         bench.restart_crashed_workers(support::RestartMode::Rotating, down);
@@ -300,7 +300,7 @@
     for step in 0..N_STEPS {
         // A kind without a certain fault draws no number for it, so that the storms of its seeds do not
         // change.
-        if kind.restarts() > 0.0 && rng.random_bool(kind.restarts()) {
+        if kind.restart_probability() > 0.0 && rng.random_bool(kind.restart_probability()) {
             restart(&bench, &mut rng).await;
         }
         if kind == StormKind::Evacuations && rng.random_bool(0.3) {
@@ -311,7 +311,8 @@
         }
         if rng.random_bool(0.5) {
             let graph = 1 + step as u64;
-            let crashes = kind.crashes() > 0.0 && rng.random_bool(kind.crashes());
+            let crashes =
+                kind.crash_probability() > 0.0 && rng.random_bool(kind.crash_probability());
             submit_random_job(&bench, &mut ledger, &mut rng, DrawnJob { graph, crashes }).await;
         } else {
             inject_fault(&mut bench, &mut ledger, &mut rng).await;
@@ -395,7 +396,7 @@
     if ledger.is_evacuated(number) {
         end_evacuation(bench, ledger, number).await;
     } else if bench.evacuate(&data_center(number)).await {
-        ledger.evacuated(number);
+        ledger.record_evacuation(number);
     }
 }
 
@@ -409,7 +410,7 @@
     let number = rng.random_range(0..N_DATA_CENTERS);
     while !ledger.is_evacuated(number) {
         if bench.evacuate(&data_center(number)).await {
-            ledger.evacuated(number);
+            ledger.record_evacuation(number);
         }
     }
     for job in 0..N_FAULTLESS_JOBS {
