--- a/crates/pool/src/document_follower.rs
+++ b/crates/pool/src/document_follower.rs
@@ -100,12 +100,16 @@
 fn apply_document<S: state::PoolAdapters>(state: &state::PoolState<S>, rows: &[row_feed::FeedRow]) {
     for row in rows.iter().filter(|it| it.key == S::Reader::DOCUMENT_KEY) {
         if let Some(value) = &row.value {
-            offer(state, value, "store");
+            install_document(state, value, "store");
         }
     }
 }
 
-fn offer<S: state::PoolAdapters>(state: &state::PoolState<S>, source: &[u8], origin: &str) {
+fn install_document<S: state::PoolAdapters>(
+    state: &state::PoolState<S>,
+    source: &[u8],
+    origin: &str,
+) {
     match state.adapters.reader().document(source) {
         Ok(document) => {
             state.document.install_if_newer(document, origin);
@@ -129,7 +133,7 @@
     while let Some(answered) = asking.join_next().await {
         let Ok(Ok(pulled)) = answered else { continue };
         if let Some(source) = pulled.document {
-            offer(state, &source, "peer");
+            install_document(state, &source, "peer");
         }
         if let Some(view) = pulled.evacuations {
             state.evacuations.replace(view, "peer");
--- a/crates/pool/src/member_list.rs
+++ b/crates/pool/src/member_list.rs
@@ -30,13 +30,13 @@
 
 /// Writes the row of this instance, then follows the rows of all instances.
 pub(crate) async fn run<S: state::PoolAdapters>(state: Arc<state::PoolState<S>>) {
-    while !write_own(&state).await {
+    while !write_own_row(&state).await {
         time::sleep(EARLY_READ_INTERVAL).await;
     }
     let mut list = MemberList::default();
     let mut n_reads = 0;
     loop {
-        match read(&state, list.after).await {
+        match read_rows(&state, list.after).await {
             Ok(rows) => {
                 list.apply(rows);
                 state.set_members(list.members.values().cloned().collect());
@@ -75,7 +75,7 @@
     }
 }
 
-async fn read<S: state::PoolAdapters>(
+async fn read_rows<S: state::PoolAdapters>(
     state: &state::PoolState<S>,
     after: Option<ids::RowVersion>,
 ) -> Result<row_feed::FeedRows, row_feed::FeedFault> {
@@ -85,7 +85,7 @@
     }
 }
 
-async fn write_own<S: state::PoolAdapters>(state: &state::PoolState<S>) -> bool {
+async fn write_own_row<S: state::PoolAdapters>(state: &state::PoolState<S>) -> bool {
     let settings = &state.settings;
     // One row per address, so that a restarted process replaces its former row.
     let row = model::InstanceRow {
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -40,7 +40,7 @@
 /// Number of workers crashed by a task after which its further starts are limited.
 const N_CRASHES: usize = 3;
 
-/// Most starts of a task after it has crashed `N_CRASHES` workers.
+/// Most starts of a task by connected instances after it has crashed `N_CRASHES` workers.
 const MAX_LATER_STARTS: usize = 2;
 
 /// Time after the last fault within which instances, store and workers are connected again.
@@ -238,8 +238,8 @@
     run_storms(StormKind::Evacuations, [660_007]);
 }
 
-/// Guards against a harmless task that is treated as the cause of crashes because it ran four times on the same
-/// worker as the crashing task.
+/// Guards against a harmless task that is treated as the cause of crashes because it ran four times on the
+/// same worker as the crashing task.
 #[test]
 fn storms_with_a_task_beside_a_crashing_task() {
     run_storms(StormKind::Crashes, [990_050]);
@@ -504,7 +504,6 @@
     }
 }
 
-/// Ends all faults.
 fn end_faults(bench: &support::PoolBench) {
     let none = fault::FaultRates::default();
     bench.store.faults().set(fault::Condition::Up);
@@ -548,8 +547,8 @@
         assert!(broken.is_empty(), "storm {seed}: {span:?}, {broken:?}");
     }
     // LIMIT: no start overcommits a worker's resources.
-    let overfull = bench.fleet.overfull();
-    assert_eq!(overfull, [], "storm {seed}");
+    let overcommitted = bench.fleet.overfull();
+    assert_eq!(overcommitted, [], "storm {seed}");
     // ORDER: a step begins only after each task of the step before it has ended with `Done`. Such a task may
     // run once more after that (storm 21056): its end was not acknowledged before the worker's lease lapsed,
     // another run was started, and then the worker was back and reported the first end.
