--- a/crates/hall/src/adopt.rs
+++ b/crates/hall/src/adopt.rs
@@ -181,7 +181,7 @@
 
 fn found_member(rank: u32, task: &FoundTask) -> GangMember {
     GangMember {
-        slot: work::TaskSlot {
+        slot: work::TaskAssignment {
             rank,
             worker: task.worker.clone(),
             accelerators: task.status.accelerators.clone(),
@@ -204,7 +204,7 @@
         return None;
     }
     Some(GangMember {
-        slot: work::TaskSlot {
+        slot: work::TaskAssignment {
             rank,
             worker: placed.worker.clone(),
             accelerators: placed.accelerators.clone(),
@@ -340,7 +340,7 @@
     let slot = AdoptedSlot { work: item.id, grant: None, until };
     actor.grants.adopted.insert(lease, slot);
     let accelerators = status.accelerators.clone();
-    let placement = vec![work::TaskSlot { rank: 0, worker: worker.clone(), accelerators }];
+    let placement = vec![work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators }];
     let started_at = actor.wall();
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -42,7 +42,7 @@
     fn start_gang(
         &mut self,
         job: ids::JobId,
-        placement: Vec<work::TaskSlot>,
+        placement: Vec<work::TaskAssignment>,
         reason: model::WaitReason,
     ) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else {
@@ -83,7 +83,7 @@
     fn plan_gang(
         &mut self,
         job: ids::JobId,
-        placement: &[work::TaskSlot],
+        placement: &[work::TaskAssignment],
         upstream: ids::UpstreamName,
     ) -> Option<gang_task::GangPlan> {
         let entry = self.jobs.entries.get_mut(&job)?;
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -15,7 +15,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     /// Carries out the policy's decision to start a request.
-    pub(crate) fn place_request(&mut self, grant: ids::GrantId, slot: &work::TaskSlot) {
+    pub(crate) fn place_request(&mut self, grant: ids::GrantId, slot: &work::TaskAssignment) {
         let Some(work) = self.grants.get(&grant) else { return };
         let upstream = work.class.upstream.clone();
         if !self.has_upstream(&slot.worker, &upstream) {
@@ -43,7 +43,7 @@
     }
 
     /// An idle serving lease of just this place that lasts long enough for the first byte.
-    fn idle_lease(&self, grant: ids::GrantId, slot: &work::TaskSlot) -> Option<ids::LeaseId> {
+    fn idle_lease(&self, grant: ids::GrantId, slot: &work::TaskAssignment) -> Option<ids::LeaseId> {
         let demand = self.request_demand(grant)?;
         let needed_until = Instant::now() + self.options.timing.grant_start_by.0;
         let leases = self.leases.on_worker(&slot.worker);
@@ -68,7 +68,7 @@
         })
     }
 
-    fn reserve_slot(&mut self, grant: ids::GrantId, slot: &work::TaskSlot) {
+    fn reserve_slot(&mut self, grant: ids::GrantId, slot: &work::TaskAssignment) {
         let Some(demand) = self.request_demand(grant) else { return };
         let node = self.nodes.get(&slot.worker);
         let Some(address) = node.and_then(|it| it.address().cloned()) else {
--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GangMember {
     /// Where it is.
-    pub(crate) slot: work::TaskSlot,
+    pub(crate) slot: work::TaskAssignment,
     /// Its lease.
     pub(crate) lease: ids::LeaseId,
     /// How its task ended.
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -15,7 +15,7 @@
     pub(crate) fn insert_reserving(
         &mut self,
         purpose: lease::LeasePurpose,
-        slot: &work::TaskSlot,
+        slot: &work::TaskAssignment,
         demand: work::TaskDemand,
     ) -> ids::LeaseId {
         let now = Instant::now();
@@ -36,7 +36,7 @@
     pub(crate) fn reservation(
         &self,
         lease: &ids::LeaseId,
-        slot: &work::TaskSlot,
+        slot: &work::TaskAssignment,
         demand: &work::TaskDemand,
     ) -> model::LeaseReserve {
         model::LeaseReserve {
@@ -82,7 +82,7 @@
     /// Idle serving leases that stand in the way of a reservation; they are being released.
     pub(crate) fn make_room(
         &mut self,
-        slot: &work::TaskSlot,
+        slot: &work::TaskAssignment,
         demand: &work::TaskDemand,
     ) -> Vec<ids::LeaseId> {
         let on_worker = self.leases.on_worker(&slot.worker);
--- a/crates/policy/src/baseline_best_fit.rs
+++ b/crates/policy/src/baseline_best_fit.rs
@@ -24,11 +24,11 @@
 /// Where and when the first waiting work that does not fit is expected to start.
 struct HeadPlan {
     at: time::WallTime,
-    placement: Vec<work::TaskSlot>,
+    placement: Vec<work::TaskAssignment>,
 }
 
 impl HeadPlan {
-    fn is_clear_of(&self, placement: &[work::TaskSlot]) -> bool {
+    fn is_clear_of(&self, placement: &[work::TaskAssignment]) -> bool {
         !placement.iter().any(|slot| {
             self.placement.iter().any(|planned| {
                 planned.worker == slot.worker
--- a/crates/policy/src/baseline_board.rs
+++ b/crates/policy/src/baseline_board.rs
@@ -37,7 +37,7 @@
 pub(crate) struct WorkEntry {
     pub(crate) item: work::WorkItem,
     pub(crate) stage: WorkStage,
-    pub(crate) placement: Vec<work::TaskSlot>,
+    pub(crate) placement: Vec<work::TaskAssignment>,
     position: u64,
     failures: u32,
     ran: bool,
@@ -131,7 +131,7 @@
     }
 
     /// Starts waiting work.
-    pub(crate) fn start(&mut self, work: work::WorkId, placement: Vec<work::TaskSlot>) {
+    pub(crate) fn start(&mut self, work: work::WorkId, placement: Vec<work::TaskAssignment>) {
         let Some(entry) = self.works.get_mut(&work) else { return };
         entry.stage = WorkStage::Starting;
         entry.placement.clone_from(&placement);
@@ -217,7 +217,7 @@
     fn adopted(
         &mut self,
         item: work::WorkItem,
-        placement: Vec<work::TaskSlot>,
+        placement: Vec<work::TaskAssignment>,
         started_at: time::WallTime,
     ) {
         let work = item.id;
--- a/crates/policy/src/baseline_room.rs
+++ b/crates/policy/src/baseline_room.rs
@@ -110,7 +110,7 @@
         live && (item.exclude.is_empty() || !item.exclude.contains(&self.names.names[index]))
     }
 
-    pub(crate) fn take(&mut self, demand: &work::TaskDemand, placement: &[work::TaskSlot]) {
+    pub(crate) fn take(&mut self, demand: &work::TaskDemand, placement: &[work::TaskAssignment]) {
         for slot in placement {
             let Some(worker) = self.worker_mut(&slot.worker) else { continue };
             worker.cores = worker.cores.saturating_sub(demand.cores);
@@ -122,7 +122,11 @@
         }
     }
 
-    pub(crate) fn give_back(&mut self, demand: &work::TaskDemand, placement: &[work::TaskSlot]) {
+    pub(crate) fn give_back(
+        &mut self,
+        demand: &work::TaskDemand,
+        placement: &[work::TaskAssignment],
+    ) {
         for slot in placement {
             let Some(worker) = self.worker_mut(&slot.worker) else { continue };
             worker.cores += demand.cores;
@@ -139,7 +143,7 @@
         &self,
         item: &work::WorkItem,
         choice: PlaceChoice,
-    ) -> Option<Vec<work::TaskSlot>> {
+    ) -> Option<Vec<work::TaskAssignment>> {
         let adjacency =
             if item.demand.accelerators == 0 { model::Adjacency::Any } else { item.adjacency };
         match adjacency {
@@ -154,7 +158,7 @@
         &self,
         item: &work::WorkItem,
         choice: PlaceChoice,
-    ) -> Option<Vec<work::TaskSlot>> {
+    ) -> Option<Vec<work::TaskAssignment>> {
         let mut room = self.clone();
         let mut placement = Vec::with_capacity(item.tasks as usize);
         for rank in 0..item.tasks {
@@ -170,7 +174,7 @@
         item: &work::WorkItem,
         rank: u32,
         choice: PlaceChoice,
-    ) -> Option<work::TaskSlot> {
+    ) -> Option<work::TaskAssignment> {
         let len = item.demand.accelerators;
         let mut best: Option<(u32, usize, u32)> = None;
         for (index, worker) in self.workers.iter().enumerate() {
@@ -199,7 +203,7 @@
         item: &work::WorkItem,
         adjacency: model::Adjacency,
         choice: PlaceChoice,
-    ) -> Option<Vec<work::TaskSlot>> {
+    ) -> Option<Vec<work::TaskAssignment>> {
         let mut best: Option<(u32, usize, u32)> = None;
         for first in 0..self.workers.len() {
             for offset in 0..self.workers[first].accelerators {
@@ -256,7 +260,12 @@
         None
     }
 
-    fn fill_from(&self, item: &work::WorkItem, first: usize, offset: u32) -> Vec<work::TaskSlot> {
+    fn fill_from(
+        &self,
+        item: &work::WorkItem,
+        first: usize,
+        offset: u32,
+    ) -> Vec<work::TaskAssignment> {
         let len = item.demand.accelerators;
         let mut placement = Vec::with_capacity(item.tasks as usize);
         let mut index = first;
@@ -272,9 +281,9 @@
         placement
     }
 
-    fn task_slot(&self, rank: u32, index: usize, start: u32, len: u32) -> work::TaskSlot {
+    fn task_slot(&self, rank: u32, index: usize, start: u32, len: u32) -> work::TaskAssignment {
         let worker = self.names.names[index].clone();
-        work::TaskSlot { rank, worker, accelerators: (start..start + len).collect() }
+        work::TaskAssignment { rank, worker, accelerators: (start..start + len).collect() }
     }
 
     /// The same hall with nothing running and every worker live.
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -174,6 +174,6 @@
         home: u32,
     ) -> Option<Vec<PlacedTask>> {
         let block = &self.homes[home as usize].block;
-        reclaim::cheapest_placement(self, request, rule, block, self.parameters.grace)
+        reclaim::cheapest_placement(self, request, rule, block, self.parameters.checkpoint_grace)
     }
 }
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -27,7 +27,8 @@
         if !rule.request {
             let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
             let throttle = item.saved_at + left(rule.max_run);
-            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun));
+            let overrun =
+                item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun_factor));
             let saves = rule.checkpoint;
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
@@ -106,12 +107,12 @@
     fn overrun(&mut self, index: u32) {
         let total = self.total_run(index);
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if total < rule.max_run.mul_f64(self.parameters.overrun) {
+        if total < rule.max_run.mul_f64(self.parameters.overrun_factor) {
             return;
         }
         let reason = reasons::overran(rule);
         self.items.at_mut(index).overran = true;
-        self.checkpoint_and_stop(index, self.parameters.grace, AfterStop::End, reason);
+        self.checkpoint_and_stop(index, self.parameters.checkpoint_grace, AfterStop::End, reason);
     }
 
     /// Run time over all attempts that counts.
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -12,7 +12,7 @@
         /// The work.
         work: work::WorkId,
         /// Where.
-        placement: Vec<work::TaskSlot>,
+        placement: Vec<work::TaskAssignment>,
         /// Why there.
         reason: model::WaitReason,
     },
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -246,7 +246,8 @@
     /// for all urgent work that waits. Short runs end all the time; stopping a long one for each
     /// piece of a burst would lose much work for nothing.
     fn opens_soon(&mut self, index: u32) -> bool {
-        let patience = self.submitted_at(index) + self.parameters.urgent_start / URGENT_PATIENCE;
+        let patience =
+            self.submitted_at(index) + self.parameters.urgent_start_bound / URGENT_PATIENCE;
         if patience <= self.now || 1 < self.items.at(index).n_accelerators() {
             return false;
         }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -14,7 +14,7 @@
         /// The work.
         item: work::WorkItem,
         /// Where its tasks are.
-        placement: Vec<work::TaskSlot>,
+        placement: Vec<work::TaskAssignment>,
         /// When it started.
         started_at: time::WallTime,
     },
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -112,7 +112,7 @@
     fn adopt(
         &mut self,
         work: work::WorkItem,
-        placement: &[work::TaskSlot],
+        placement: &[work::TaskAssignment],
         started_at: time::WallTime,
     ) {
         if let Some(known) = self.items.find(&work.id) {
@@ -135,7 +135,7 @@
         self.homes_dirty = true;
     }
 
-    fn adopted_task(&mut self, slot: &work::TaskSlot) -> PlacedTask {
+    fn adopted_task(&mut self, slot: &work::TaskAssignment) -> PlacedTask {
         let most = slot.accelerators.iter().max().map_or(0, |it| it + 1);
         let known = self.topology.find_worker(&slot.worker);
         let worker = match known {
--- a/crates/policy/src/expectations.rs
+++ b/crates/policy/src/expectations.rs
@@ -30,10 +30,10 @@
     /// When a held item is expected to end.
     pub(crate) fn expected_end(&self, item: &QueueItem) -> time::WallTime {
         if item.state == ItemState::Stopping {
-            return self.now + self.parameters.margin;
+            return self.now + self.parameters.stop_margin;
         }
         if item.state == ItemState::Checkpointing {
-            return self.now + self.parameters.grace + self.parameters.margin;
+            return self.now + self.parameters.checkpoint_grace + self.parameters.stop_margin;
         }
         let whole = self.estimate(item).median.saturating_sub(item.work.saved_run);
         let end = item.saved_at + whole;
@@ -48,7 +48,7 @@
         if rule.request {
             return item.started_at + rule.max_run;
         }
-        let bound = self.parameters.run_bound(rule.max_run);
+        let bound = self.parameters.max_run_time(rule.max_run);
         item.saved_at + bound.saturating_sub(item.work.saved_run)
     }
 
@@ -57,7 +57,7 @@
         let rule = &self.catalog.classes[item.class as usize];
         let stopping = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
         let stoppable = !rule.request && (rule.repeatable || stopping);
-        stoppable || self.certain_end(item) <= self.now + self.parameters.reclaim
+        stoppable || self.certain_end(item) <= self.now + self.parameters.reclaim_bound
     }
 
     /// How an item that claims nothing is booked when it starts.
@@ -70,10 +70,10 @@
     pub(crate) fn is_hard(&self, rule: &ClassRule) -> bool {
         let stoppable = !rule.request && rule.repeatable;
         let bound = if rule.request {
-            rule.max_run + self.parameters.margin
+            rule.max_run + self.parameters.stop_margin
         } else {
-            self.parameters.run_bound(rule.max_run)
+            self.parameters.max_run_time(rule.max_run)
         };
-        !stoppable && self.parameters.reclaim < bound
+        !stoppable && self.parameters.reclaim_bound < bound
     }
 }
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -122,12 +122,13 @@
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.parameters.clearing_after();
+            let due = entry.submitted_at + self.parameters.clearing_delay();
             if self.now < due {
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.parameters.clearings() <= n_clearing && !self.is_overdue(entry.item);
+            let full =
+                self.parameters.max_clearings() <= n_clearing && !self.is_overdue(entry.item);
             if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
@@ -191,7 +192,8 @@
                 return self.now;
             }
             if holder != last.0 {
-                let away = self.now + self.parameters.grace + self.parameters.margin;
+                let away =
+                    self.now + self.parameters.checkpoint_grace + self.parameters.stop_margin;
                 let yields_to_gang = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
                 last = (holder, if yields_to_gang { end.min(away) } else { end });
@@ -392,7 +394,12 @@
             if running && self.yields_to_gang(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.checkpoint_and_stop(it, self.parameters.grace, AfterStop::Requeue, reason);
+                self.checkpoint_and_stop(
+                    it,
+                    self.parameters.checkpoint_grace,
+                    AfterStop::Requeue,
+                    reason,
+                );
             }
         }
     }
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -88,7 +88,7 @@
             }
         }
         let (urgent_waits, hard_waits) = self.waiting_needs();
-        let deviations = MOST_DEVIATIONS * (1.0 - self.parameters.fragmentation);
+        let deviations = MOST_DEVIATIONS * (1.0 - self.parameters.fragmentation_weight);
         let most = MOST_KEPT * f64::from(self.capacity.accelerators);
         let book = &mut self.headroom;
         let urgent_need = book.urgent_held.saturating_add(urgent_waits).min(outside);
@@ -155,7 +155,7 @@
     fn ends_soon(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        rule.request && self.estimate(item).median <= self.parameters.urgent_start * SHORT_RUN
+        rule.request && self.estimate(item).median <= self.parameters.urgent_start_bound * SHORT_RUN
     }
 
     /// Whether work that can be reclaimed would crowd out work that can't, if a block beside the
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -360,7 +360,11 @@
         let cost = |it: &u32| {
             let item = self.items.at(*it);
             let own = item.account == shape.account;
-            if own && own_free { 0.0 } else { self.victim_cost(item, self.parameters.grace) }
+            if own && own_free {
+                0.0
+            } else {
+                self.victim_cost(item, self.parameters.checkpoint_grace)
+            }
         };
         HomeCost {
             lost_work: holders.iter().map(cost).sum(),
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -181,7 +181,7 @@
                 let rule = &self.catalog.classes[item.class as usize];
                 let claims = item.claimed_home == Some(home as u32);
                 let stops = !rule.request && (rule.repeatable || item.cancelled || item.overran);
-                let ends = self.certain_end(item) <= now + self.parameters.reclaim;
+                let ends = self.certain_end(item) <= now + self.parameters.reclaim_bound;
                 if !(claims || stops || ends) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -116,7 +116,7 @@
             None => self.booking_of(index),
         };
         self.spend(index, &tasks);
-        let placement = self.task_slots(&tasks);
+        let placement = self.task_assignments(&tasks);
         self.hold(index, tasks, booking, claim);
         let now = self.now;
         let item = self.items.at_mut(index);
@@ -132,10 +132,10 @@
     }
 
     /// Tasks as the scheduler knows them.
-    pub(crate) fn task_slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
+    pub(crate) fn task_assignments(&self, tasks: &[PlacedTask]) -> Vec<work::TaskAssignment> {
         let slot = |(rank, it): (usize, &PlacedTask)| {
             let spec = &self.topology.workers[it.worker as usize];
-            work::TaskSlot {
+            work::TaskAssignment {
                 rank: rank as u32,
                 worker: spec.name.clone(),
                 accelerators: it
--- a/crates/policy/src/parameters.rs
+++ b/crates/policy/src/parameters.rs
@@ -13,16 +13,16 @@
 /// Bounds and weights in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PolicyParameters {
-    pub(crate) reclaim: Duration,
+    pub(crate) reclaim_bound: Duration,
     /// Time for a checkpoint that still leaves time for the stop.
-    pub(crate) grace: Duration,
-    pub(crate) margin: Duration,
-    pub(crate) urgent_start: Duration,
+    pub(crate) checkpoint_grace: Duration,
+    pub(crate) stop_margin: Duration,
+    pub(crate) urgent_start_bound: Duration,
     pub(crate) ageing_step: Duration,
     pub(crate) gang_wait: Duration,
-    pub(crate) overrun: f64,
+    pub(crate) overrun_factor: f64,
     /// Weight of fragmentation against completion time, 0 to 1.
-    pub(crate) fragmentation: f64,
+    pub(crate) fragmentation_weight: f64,
 }
 
 impl PolicyParameters {
@@ -33,35 +33,35 @@
         let sum = weights.completion_time + weights.fragmentation;
         let fragmentation = if 0.0 < sum { weights.fragmentation / sum } else { 0.5 };
         PolicyParameters {
-            reclaim: bounds.reclaim.0,
-            grace: bounds.checkpoint_grace.0.min(bounds.reclaim.0 - margin),
-            margin,
-            urgent_start: bounds.urgent_start.0,
+            reclaim_bound: bounds.reclaim.0,
+            checkpoint_grace: bounds.checkpoint_grace.0.min(bounds.reclaim.0 - margin),
+            stop_margin: margin,
+            urgent_start_bound: bounds.urgent_start.0,
             ageing_step: bounds.ageing_step.0.max(Duration::from_millis(1)),
             gang_wait: bounds.gang_wait.0,
-            overrun: bounds.overrun.max(1.0),
-            fragmentation: fragmentation.clamp(0.0, 1.0),
+            overrun_factor: bounds.overrun.max(1.0),
+            fragmentation_weight: fragmentation.clamp(0.0, 1.0),
         }
     }
 
     /// How long a gang waits before a block is cleared for it: at once where fragmentation counts
     /// most, since a block takes the longer to open the later it is begun.
-    pub(crate) fn clearing_after(&self) -> Duration {
-        self.gang_wait.mul_f64((1.0 - self.fragmentation) / 2.0)
+    pub(crate) fn clearing_delay(&self) -> Duration {
+        self.gang_wait.mul_f64((1.0 - self.fragmentation_weight) / 2.0)
     }
 
     /// Blocks cleared at a time. Each holds accelerators back, which costs completion time.
-    pub(crate) fn clearings(&self) -> usize {
-        1 + ((MOST_CLEARINGS - 1.0) * self.fragmentation) as usize
+    pub(crate) fn max_clearings(&self) -> usize {
+        1 + ((MOST_CLEARINGS - 1.0) * self.fragmentation_weight) as usize
     }
 
     /// A run that is never exceeded: longer ones are stopped.
-    pub(crate) fn run_bound(&self, longest: Duration) -> Duration {
-        longest.mul_f64(self.overrun) + self.grace + self.margin
+    pub(crate) fn max_run_time(&self, longest: Duration) -> Duration {
+        longest.mul_f64(self.overrun_factor) + self.checkpoint_grace + self.stop_margin
     }
 
     /// What a stop for urgent work may take of its start bound.
     pub(crate) fn urgent_grace(&self) -> Duration {
-        self.grace.min(self.urgent_start / 2)
+        self.checkpoint_grace.min(self.urgent_start_bound / 2)
     }
 }
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -33,7 +33,7 @@
             ItemState::Checkpointing => reasons::until(
                 model::WaitCode::Reclaiming,
                 "makes a checkpoint, and is stopped then",
-                item.state_since + self.parameters.grace,
+                item.state_since + self.parameters.checkpoint_grace,
             ),
             ItemState::Stopping => reasons::plain(model::WaitCode::Reclaiming, "is being stopped"),
         }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -137,7 +137,7 @@
         }
         let rule = &self.catalog.classes[item.class as usize];
         // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.parameters.grace <= grace;
+        let saves = rule.checkpoint && self.parameters.checkpoint_grace <= grace;
         let lost =
             if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
         let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
@@ -150,7 +150,7 @@
     pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
         let grace = match kind {
             ReserveKind::Urgent => self.parameters.urgent_grace(),
-            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.grace,
+            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.checkpoint_grace,
         };
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
@@ -214,7 +214,8 @@
             })
             .collect();
         others.sort_by(|a, b| {
-            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.grace);
+            let cost =
+                |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.checkpoint_grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
         others.dedup();
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -102,7 +102,7 @@
                 return at;
             }
         }
-        self.now + self.parameters.run_bound(self.parameters.gang_wait)
+        self.now + self.parameters.max_run_time(self.parameters.gang_wait)
     }
 
     /// Starts what has its whole place free, and sees to it that the rest goes on.
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -42,10 +42,13 @@
         let estimate = core.estimate(item);
         let left = |whole: Duration| whole.saturating_sub(item.work.saved_run);
         let bound =
-            if rule.request { rule.max_run } else { core.parameters.run_bound(rule.max_run) };
+            if rule.request { rule.max_run } else { core.parameters.max_run_time(rule.max_run) };
         // Where fragmentation counts more, only what is nearly sure to be gone in time goes in.
-        let likely =
-            if 0.5 <= core.parameters.fragmentation { estimate.high } else { estimate.median };
+        let likely = if 0.5 <= core.parameters.fragmentation_weight {
+            estimate.high
+        } else {
+            estimate.median
+        };
         OpenRule {
             core,
             index,
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -56,7 +56,7 @@
 
 /// One task of a gang on its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskSlot {
+pub struct TaskAssignment {
     /// Number of the task.
     pub rank: u32,
     /// The worker.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -191,7 +191,7 @@
     pub now: time::WallTime,
     /// Every decision so far with its time.
     pub log: Vec<(time::WallTime, Decision)>,
-    pub running: BTreeMap<work::WorkId, Vec<work::TaskSlot>>,
+    pub running: BTreeMap<work::WorkId, Vec<work::TaskAssignment>>,
     /// Whether starts and stops succeed by themselves.
     pub obeys: bool,
     next: u64,
--- a/crates/policy/tests/fuzz/oracle.rs
+++ b/crates/policy/tests/fuzz/oracle.rs
@@ -29,7 +29,7 @@
     pub(crate) run: Duration,
     pub(crate) faulty: bool,
     pub(crate) phase: Phase,
-    pub(crate) placement: Vec<work::TaskSlot>,
+    pub(crate) placement: Vec<work::TaskAssignment>,
     /// Number of the latest start, so that late reports of an earlier one are told apart.
     pub(crate) start: u32,
     pub(crate) ever_ran: bool,
@@ -87,7 +87,7 @@
     }
 
     /// Judges a start and books it.
-    pub(crate) fn start(&mut self, id: work::WorkId, placement: &[work::TaskSlot]) {
+    pub(crate) fn start(&mut self, id: work::WorkId, placement: &[work::TaskAssignment]) {
         let case = self.works.get(&id).unwrap_or_else(|| panic!("start of unknown {id}"));
         assert_eq!(case.phase, Phase::Waiting, "{id} started while it does not wait");
         assert!(!case.cancelled, "{id} started after it was cancelled");
@@ -115,7 +115,7 @@
     }
 
     /// Every rank once, each with its own count of accelerators in a row.
-    fn check_whole(&self, item: &work::WorkItem, placement: &[work::TaskSlot]) {
+    fn check_whole(&self, item: &work::WorkItem, placement: &[work::TaskAssignment]) {
         let ranks: BTreeSet<u32> = placement.iter().map(|it| it.rank).collect();
         let all: BTreeSet<u32> = (0..item.tasks).collect();
         assert_eq!(ranks, all, "{} is not whole: {placement:?}", item.id);
@@ -131,7 +131,7 @@
     }
 
     /// All on neighbours, with no room for another task in between.
-    fn check_near(&self, item: &work::WorkItem, placement: &[work::TaskSlot]) {
+    fn check_near(&self, item: &work::WorkItem, placement: &[work::TaskAssignment]) {
         if item.demand.accelerators == 0 || item.adjacency == model::Adjacency::Any {
             return;
         }
@@ -165,7 +165,7 @@
     }
 
     /// No worker gives more cores, memory or slots than it has.
-    fn check_room(&self, placement: &[work::TaskSlot]) {
+    fn check_room(&self, placement: &[work::TaskAssignment]) {
         for slot in placement {
             let mut cores = 0;
             let mut memory_mb = 0;
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -171,8 +171,11 @@
 #[test]
 fn home_goes_where_adopted_work_leaves_it_room() {
     let mut hall = TestHall::unborn(config(1));
-    let slot =
-        work::TaskSlot { rank: 0, worker: "vadodara-r1-01".to_owned(), accelerators: vec![0, 1] };
+    let slot = work::TaskAssignment {
+        rank: 0,
+        worker: "vadodara-r1-01".to_owned(),
+        accelerators: vec![0, 1],
+    };
     let item = work::WorkItem { id: common::id(77), ..job("large", "certificate", 1, 2) };
     let placement = vec![slot.clone()];
     hall.running.insert(item.id, placement.clone());
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -55,8 +55,8 @@
     }
 }
 
-fn places(placement: &[work::TaskSlot]) -> String {
-    let place = |it: &work::TaskSlot| {
+fn places(placement: &[work::TaskAssignment]) -> String {
+    let place = |it: &work::TaskAssignment| {
         let worker = it.worker.trim_start_matches("vadodara-");
         match it.accelerators.as_slice() {
             [] => worker.to_owned(),
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -68,7 +68,7 @@
 struct LiveWork {
     stage: Stage,
     attempt: u32,
-    placement: Vec<work::TaskSlot>,
+    placement: Vec<work::TaskAssignment>,
     since: Duration,
     saved: Duration,
     saved_at_start: Duration,
@@ -500,7 +500,7 @@
         }
     }
 
-    fn start(&mut self, work: work::WorkId, placement: Vec<work::TaskSlot>, now: Duration) {
+    fn start(&mut self, work: work::WorkId, placement: Vec<work::TaskAssignment>, now: Duration) {
         let index = self.index[&work];
         assert_eq!(self.works[index].stage, Stage::Waiting, "{work} started twice");
         self.floor.hold(work, &placement);
--- a/crates/replay/src/floor.rs
+++ b/crates/replay/src/floor.rs
@@ -129,7 +129,7 @@
 
     /// Holds accelerators for work. A second holder would mean that the policy broke its first
     /// promise, so the replay ends there.
-    pub fn hold(&mut self, work: work::WorkId, placement: &[work::TaskSlot]) {
+    pub fn hold(&mut self, work: work::WorkId, placement: &[work::TaskAssignment]) {
         for slot in placement {
             let worker = &mut self.workers[self.index[&slot.worker]];
             for accelerator in &slot.accelerators {
@@ -141,7 +141,7 @@
     }
 
     /// Frees what `hold` took.
-    pub fn free(&mut self, placement: &[work::TaskSlot]) {
+    pub fn free(&mut self, placement: &[work::TaskAssignment]) {
         for slot in placement {
             let worker = &mut self.workers[self.index[&slot.worker]];
             for accelerator in &slot.accelerators {
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -63,7 +63,7 @@
     let document = site::SiteName::Laboratories.document();
     let mut hall = floor::HallFloor::new(&document);
     for (index, worker) in site::worker_names(&document.halls[0])[0].iter().enumerate() {
-        let slot = work::TaskSlot { rank: 0, worker: worker.clone(), accelerators: vec![4] };
+        let slot = work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators: vec![4] };
         hall.hold(Uuid::from_u128(index as u128 + 1), &[slot]);
     }
     let count = hall.count();
