--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/account_usage.rs
@@ -4,7 +4,7 @@
 
 /// Use of one account.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AccountUse {
+pub(crate) struct AccountUsage {
     pub(crate) accelerators: u32,
     /// Accelerators that it holds as claims of its guarantees.
     pub(crate) claimed: u32,
@@ -19,10 +19,10 @@
     pub(crate) usage: Usage,
 }
 
-impl AccountUse {
+impl AccountUsage {
     /// The largest of its shares of the hall above what it claims, in thousandths. Claims are its
     /// own and cost it nothing in the order of the others.
-    pub(crate) fn dominant(&self, capacity: &HallCapacity) -> u32 {
+    pub(crate) fn dominant_share(&self, capacity: &HallCapacity) -> u32 {
         let above = self.accelerators.saturating_sub(self.claimed);
         let claimed = f64::from(self.claimed) / f64::from(capacity.accelerators.max(1));
         let share = |used: i64, whole: i64| used as f64 / whole.max(1) as f64 - claimed;
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -6,8 +6,8 @@
 use crate::core::HallCore;
 use crate::ledger::Usage;
 use crate::placement::{self, EmptyHallRule, PlacementRequest, PlacementRule};
+use crate::placement_rules::EmptyBlockRule;
 use crate::reasons;
-use crate::rules::BlockRule;
 use crate::topology::NONE;
 use crate::work;
 
@@ -53,7 +53,7 @@
             let text = format!("expected a configured client account, found {}", item.account);
             return Err(reasons::plain(model::WaitCode::UnknownAccount, text));
         };
-        if !rule.served {
+        if !rule.upstream_in_hall {
             let text =
                 format!("upstream {} of {} is not in {}", rule.upstream, rule.name, self.hall);
             return Err(reasons::plain(model::WaitCode::UpstreamUnavailable, text));
@@ -75,7 +75,7 @@
 
     fn check_limit(&self, item: &work::WorkItem, account: u32) -> Result<(), model::WaitReason> {
         let width = u64::from(item.tasks) * u64::from(item.demand.accelerators);
-        match self.catalog.accounts[account as usize].accelerators {
+        match self.catalog.accounts[account as usize].max_accelerators {
             Some(limit) if u64::from(limit) < width => Err(never(format!(
                 "needs {width} accelerators, and the limit of {} is {limit}",
                 item.account
@@ -128,7 +128,7 @@
             let named = item.guarantee.as_ref().is_none_or(|name| *name == it.guarantee);
             let block = &it.canonical;
             let rule =
-                BlockRule { topology: &self.topology, block, request: &request, exclude: &[] };
+                EmptyBlockRule { topology: &self.topology, block, request: &request, exclude: &[] };
             it.account == account
                 && named
                 && 0 < request.total_accelerators()
@@ -145,7 +145,7 @@
         account: u32,
         request: &PlacementRequest,
     ) -> Result<(), model::WaitReason> {
-        if !self.is_hard(rule) || self.fits_some_home(item, account) {
+        if !self.is_non_reclaimable(rule) || self.fits_some_home(item, account) {
             return Ok(());
         }
         let mut homes = vec![false; self.topology.n_accelerators() as usize];
--- a/crates/policy/src/catalog.rs
+++ b/crates/policy/src/catalog.rs
@@ -12,7 +12,7 @@
     pub(crate) name: ids::ClassName,
     /// Whether the configuration in force has it.
     pub(crate) known: bool,
-    pub(crate) request: bool,
+    pub(crate) is_request: bool,
     pub(crate) priority: u8,
     pub(crate) urgent: bool,
     pub(crate) repeatable: bool,
@@ -21,25 +21,25 @@
     pub(crate) max_run: Duration,
     pub(crate) upstream: ids::UpstreamName,
     /// Whether its upstream is in this hall.
-    pub(crate) served: bool,
+    pub(crate) upstream_in_hall: bool,
     /// Whether its upstream is drained everywhere.
-    pub(crate) drained: bool,
+    pub(crate) upstream_drained: bool,
 }
 
 impl ClassRule {
     fn new(class: &model::JobClass, hall: &str, config: &model::ConfigDocument) -> ClassRule {
-        let served = config
+        let upstream_in_hall = config
             .upstreams
             .iter()
             .any(|it| it.name == class.upstream && it.halls.iter().any(|name| name == hall));
-        let drained = config
+        let upstream_drained = config
             .drains
             .iter()
             .any(|it| it.worker.is_none() && it.upstream.as_ref() == Some(&class.upstream));
         ClassRule {
             name: class.name.clone(),
             known: true,
-            request: class.kind == model::ClassKind::Request,
+            is_request: class.kind == model::ClassKind::Request,
             priority: class.priority,
             urgent: class.urgent,
             repeatable: class.repeatable,
@@ -47,8 +47,8 @@
             expected_run: class.expected_run.0,
             max_run: class.max_run.0,
             upstream: class.upstream.clone(),
-            served,
-            drained,
+            upstream_in_hall,
+            upstream_drained,
         }
     }
 
@@ -57,7 +57,7 @@
         ClassRule {
             name: name.to_owned(),
             known: false,
-            request,
+            is_request: request,
             priority: 0,
             urgent: false,
             repeatable: false,
@@ -65,8 +65,8 @@
             expected_run: Duration::from_secs(3600),
             max_run: Duration::from_secs(24 * 3600),
             upstream: String::new(),
-            served: false,
-            drained: false,
+            upstream_in_hall: false,
+            upstream_drained: false,
         }
     }
 }
@@ -76,8 +76,8 @@
 pub(crate) struct AccountRule {
     pub(crate) id: ids::AccountId,
     pub(crate) known: bool,
-    pub(crate) running_requests: u32,
-    pub(crate) accelerators: Option<u32>,
+    pub(crate) max_running_requests: u32,
+    pub(crate) max_accelerators: Option<u32>,
 }
 
 /// Classes and accounts of the configuration in force.
@@ -103,8 +103,8 @@
             self.accounts[index as usize] = AccountRule {
                 id: it.id.clone(),
                 known: true,
-                running_requests: it.limits.running_requests,
-                accelerators: it.limits.accelerators,
+                max_running_requests: it.limits.running_requests,
+                max_accelerators: it.limits.accelerators,
             };
         }
     }
@@ -129,8 +129,8 @@
         self.accounts.push(AccountRule {
             id: id.to_owned(),
             known: false,
-            running_requests: u32::MAX,
-            accelerators: None,
+            max_running_requests: u32::MAX,
+            max_accelerators: None,
         });
         self.account_index.insert(id.to_owned(), index);
         index
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -7,10 +7,10 @@
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::{Booking, PlacedTask};
 use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::ClaimRule;
 use crate::queue::GroupKey;
 use crate::reasons;
 use crate::reclaim;
-use crate::rules::ClaimRule;
 
 /// Claims looked at in one turn.
 const MAX_CLAIMS_PER_ROUND: usize = 64;
@@ -56,7 +56,7 @@
     fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, width: u32) -> bool {
         let rule = &self.catalog.classes[key.class as usize];
         let gangs = shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
-        self.is_hard(rule) && (shape.claimed_by_name || gangs)
+        self.is_non_reclaimable(rule) && (shape.claimed_by_name || gangs)
     }
 
     /// Accelerators of a home whose claims do not yield to work of this kind.
@@ -79,7 +79,7 @@
             && item.work.guarantee.is_none()
             && !rule.urgent
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && rule.priority <= other.priority
     }
 
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -5,20 +5,20 @@
 
 use almondpass_schema::{ids, model, time};
 
+use crate::account_usage::{AccountUsage, HallCapacity};
 use crate::catalog::RuleCatalog;
 use crate::decision;
 use crate::estimates::EstimateTable;
 use crate::event;
 use crate::guarantee::HomeBlock;
 use crate::hall_policy;
-use crate::headroom::HeadroomBook;
+use crate::headroom::HeadroomBudget;
 use crate::health::WorkerHealth;
 use crate::homes;
 use crate::item_table::ItemTable;
 use crate::ledger::{Booking, HallLedger, Usage};
 use crate::parameters::PolicyParameters;
 use crate::queue::WaitQueue;
-use crate::share::{AccountUse, HallCapacity};
 use crate::timers::{TimerEntry, TimerKind, TimerQueue};
 use crate::topology::{HallTopology, NONE, WorkerSpec};
 use crate::work;
@@ -57,8 +57,8 @@
     pub(crate) reported_states: Vec<model::WorkerState>,
     pub(crate) failures: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
-    pub(crate) account_usage: Vec<AccountUse>,
-    pub(crate) headroom: HeadroomBook,
+    pub(crate) account_usage: Vec<AccountUsage>,
+    pub(crate) headroom: HeadroomBudget,
     pub(crate) timers: TimerQueue,
     pub(crate) outbox: Vec<decision::Decision>,
     /// Grows with everything by which work may fit that did not before.
@@ -104,7 +104,7 @@
             failures: crate::probing::FailureRates::default(),
             estimates: EstimateTable::default(),
             account_usage: Vec::new(),
-            headroom: HeadroomBook::default(),
+            headroom: HeadroomBudget::default(),
             timers: TimerQueue::default(),
             outbox: Vec::new(),
             capacity_version: 1,
@@ -154,10 +154,10 @@
         self.budget_exhausted = false;
         self.changed_since_round = false;
         self.fire_timers();
-        self.tell_workers();
+        self.report_worker_states();
         self.repair_homes();
         self.check_reservations();
-        self.measure_headroom();
+        self.update_headroom();
         self.serve_claims();
         self.probe_workers();
         self.dispatch();
@@ -182,7 +182,7 @@
     }
 
     fn picture(&self, now: time::WallTime) -> model::HallPicture {
-        self.draw(now)
+        self.build_picture(now)
     }
 }
 
@@ -190,7 +190,7 @@
     /// Takes classes, accounts, drains and guarantees from a configuration.
     fn adopt_rules(&mut self, config: &model::ConfigDocument) {
         self.catalog.configure(&self.hall, config);
-        self.account_usage.resize(self.catalog.accounts.len(), AccountUse::default());
+        self.account_usage.resize(self.catalog.accounts.len(), AccountUsage::default());
         for (worker, health) in self.health.iter_mut().enumerate() {
             let spec = &self.topology.workers[worker];
             let named = |it: &model::DrainOrder| {
@@ -198,7 +198,7 @@
             };
             // A worker that the configuration no longer has runs its work to the end. Without this
             // it looks as live as before, and new work starts on a machine that is being taken away.
-            health.drained = spec.rack == NONE || config.drains.iter().any(named);
+            health.drained_by_config = spec.rack == NONE || config.drains.iter().any(named);
         }
         self.capacity = HallCapacity::default();
         for spec in self.topology.workers.iter().filter(|it| it.rack != NONE) {
@@ -216,7 +216,7 @@
         let reserving: Vec<u32> = self.reserving.iter().copied().collect();
         self.topology = old.clone();
         for it in reserving {
-            self.withdraw(it);
+            self.unreserve_and_enqueue(it);
         }
         self.remove_all_blocks();
         self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -24,7 +24,7 @@
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let deadline = item.work.deadline;
-        if !rule.request {
+        if !rule.is_request {
             let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
             let throttle = item.saved_at + left(rule.max_run);
             let overrun =
@@ -75,7 +75,8 @@
     /// worker dies.
     fn save(&mut self, index: u32) {
         let item = self.items.at(index);
-        let interval = if self.urgent_about() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
+        let interval =
+            if self.has_recent_urgent_demand() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
         let due = item.saved_at.max(item.checkpoint_requested_at) + interval;
         if self.now < due {
             // Urgent work may come before the long interval is over.
@@ -139,7 +140,7 @@
                     self.set_timer(at, TimerKind::Deadline, index);
                 }
             }
-            ItemState::Running if rule.repeatable && !rule.request && deadline <= self.now => {
+            ItemState::Running if rule.repeatable && !rule.is_request && deadline <= self.now => {
                 self.stop(index, AfterStop::End, reasons::deadline(deadline, Duration::ZERO));
             }
             _ => {}
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -12,10 +12,10 @@
 use crate::item::{QueueItem, ReserveKind};
 use crate::ledger::{Booking, PlacedTask};
 use crate::placement::{self, PlacementRequest};
+use crate::placement_rules::FreeCapacityRule;
 use crate::queue::{GroupKey, QueueEntry, QueueGroup};
 use crate::reasons;
 use crate::reclaim;
-use crate::rules::OpenRule;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -55,7 +55,7 @@
         Some(GroupRank {
             not_urgent: !rule.urgent,
             aged_priority: Reverse(self.aged_priority(item, rule.priority)),
-            share: self.account_usage[group.key.account as usize].dominant(&self.capacity),
+            share: self.account_usage[group.key.account as usize].dominant_share(&self.capacity),
             eldest,
         })
     }
@@ -125,8 +125,8 @@
                 None => {
                     code = self.blocked_by(entry.item);
                     let hard = self.booking_of(entry.item) == Booking::NonReclaimable;
-                    if hard && !self.homes.is_empty() || self.kept_for_others(entry.item) {
-                        self.look_again();
+                    if hard && !self.homes.is_empty() || self.limited_to_home_blocks(entry.item) {
+                        self.retry_soon();
                     }
                 }
             }
@@ -181,19 +181,20 @@
         if !account.known {
             return Some(model::WaitCode::UnknownAccount);
         }
-        if rule.drained || !rule.served {
+        if rule.upstream_drained || !rule.upstream_in_hall {
             return Some(model::WaitCode::UpstreamUnavailable);
         }
-        let above =
-            account.accelerators.is_some_and(|it| it < uses.accelerators + item.n_accelerators());
-        let many = rule.request && account.running_requests <= uses.requests;
+        let above = account
+            .max_accelerators
+            .is_some_and(|it| it < uses.accelerators + item.n_accelerators());
+        let many = rule.is_request && account.max_running_requests <= uses.requests;
         (above || many).then_some(model::WaitCode::AccountLimit)
     }
 
     /// Starts work in free capacity above the guarantee.
     pub(crate) fn start_unguaranteed(&mut self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
-        let rule = OpenRule::new(self, index);
+        let rule = FreeCapacityRule::new(self, index);
         let Some(tasks) = placement::best(&self.topology, &request, &rule) else { return false };
         let reason = self.start_reason(&tasks);
         self.dequeue(index);
@@ -218,7 +219,7 @@
         if self.booking_of(index) == Booking::NonReclaimable && self.fits_in_homes(index) {
             return model::WaitCode::GuaranteeKept;
         }
-        let kept = self.kept_for_others(index) || !self.reserving.is_empty();
+        let kept = self.limited_to_home_blocks(index) || !self.reserving.is_empty();
         if kept && self.fits_in_blocks(index) {
             return model::WaitCode::ClearingBlock;
         }
@@ -231,14 +232,22 @@
     /// Whether work that can't be reclaimed would fit if home blocks were open to it.
     fn fits_in_homes(&self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
-        let rule = OpenRule { hard: false, homes_only: false, ..OpenRule::new(self, index) };
+        let rule = FreeCapacityRule {
+            non_reclaimable: false,
+            home_blocks_only: false,
+            ..FreeCapacityRule::new(self, index)
+        };
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
     /// Whether work would fit if reserved places were open to it.
     fn fits_in_blocks(&self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
-        let rule = OpenRule { keeps: false, homes_only: false, ..OpenRule::new(self, index) };
+        let rule = FreeCapacityRule {
+            respects_reservations: false,
+            home_blocks_only: false,
+            ..FreeCapacityRule::new(self, index)
+        };
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
@@ -280,7 +289,7 @@
         if request.accelerators_per_task == 0 {
             return false;
         }
-        let rule = crate::urgent::UrgentRule::new(self, index);
+        let rule = crate::urgent_placement::UrgentRule::new(self, index);
         let starts: Vec<u32> = (0..self.topology.n_accelerators()).collect();
         let grace = self.parameters.urgent_grace();
         let Some(tasks) = reclaim::cheapest_placement(self, &request, &rule, &starts, grace) else {
--- a/crates/policy/src/expectations.rs
+++ b/crates/policy/src/end_times.rs
@@ -43,9 +43,9 @@
     }
 
     /// The time by which a held item is over in any case.
-    pub(crate) fn certain_end(&self, item: &QueueItem) -> time::WallTime {
+    pub(crate) fn latest_end(&self, item: &QueueItem) -> time::WallTime {
         let rule = &self.catalog.classes[item.class as usize];
-        if rule.request {
+        if rule.is_request {
             return item.started_at + rule.max_run;
         }
         let bound = self.parameters.max_run_time(rule.max_run);
@@ -53,23 +53,23 @@
     }
 
     /// Whether held work is off its accelerators within the reclaim bound whenever that is asked.
-    pub(crate) fn freeable(&self, item: &QueueItem) -> bool {
+    pub(crate) fn frees_within_reclaim_bound(&self, item: &QueueItem) -> bool {
         let rule = &self.catalog.classes[item.class as usize];
         let stopping = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
-        let stoppable = !rule.request && (rule.repeatable || stopping);
-        stoppable || self.certain_end(item) <= self.now + self.parameters.reclaim_bound
+        let stoppable = !rule.is_request && (rule.repeatable || stopping);
+        stoppable || self.latest_end(item) <= self.now + self.parameters.reclaim_bound
     }
 
     /// How an item that claims nothing is booked when it starts.
     pub(crate) fn booking_of(&self, index: u32) -> Booking {
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if self.is_hard(rule) { Booking::NonReclaimable } else { Booking::Reclaimable }
+        if self.is_non_reclaimable(rule) { Booking::NonReclaimable } else { Booking::Reclaimable }
     }
 
     /// Whether work of a class can be neither stopped nor awaited within the reclaim bound.
-    pub(crate) fn is_hard(&self, rule: &ClassRule) -> bool {
-        let stoppable = !rule.request && rule.repeatable;
-        let bound = if rule.request {
+    pub(crate) fn is_non_reclaimable(&self, rule: &ClassRule) -> bool {
+        let stoppable = !rule.is_request && rule.repeatable;
+        let bound = if rule.is_request {
             rule.max_run + self.parameters.stop_margin
         } else {
             self.parameters.max_run_time(rule.max_run)
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -34,9 +34,11 @@
             }
             HallEvent::WorkerLost(name) => self.worker_changed(&name, |it| it.present = false),
             HallEvent::WorkerBack(name) => self.worker_changed(&name, |it| it.present = true),
-            HallEvent::WorkerDraining(name) => self.worker_changed(&name, |it| it.draining = true),
+            HallEvent::WorkerDraining(name) => {
+                self.worker_changed(&name, |it| it.drained_by_event = true)
+            }
             HallEvent::WorkerUndrained(name) => {
-                self.worker_changed(&name, |it| it.draining = false);
+                self.worker_changed(&name, |it| it.drained_by_event = false);
             }
         }
     }
@@ -209,14 +211,14 @@
             return;
         }
         let work = self.items.at(index).work.id;
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         if let Some(worker) = worker {
             match fault {
                 StartFault::Refused => self.pause_worker(worker),
                 StartFault::Unreachable | StartFault::Failed => {
                     self.pause_worker(worker);
-                    self.blame(index, worker, work);
+                    self.record_failure(index, worker, work);
                 }
                 StartFault::Withdrawn => {}
             }
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -15,10 +15,10 @@
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::FreeCapacityRule;
 use crate::queue::GroupKey;
 use crate::reasons;
-use crate::reserve;
-use crate::rules::OpenRule;
+use crate::reservations;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -157,7 +157,7 @@
             index,
             usage: request.usage,
             hard: self.booking_of(index) == Booking::NonReclaimable,
-            homes_only: self.crowds(index) && !self.is_overdue(index),
+            homes_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
             overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
@@ -261,7 +261,7 @@
                 0
             };
             let steps = if together { request.tasks..=most } else { 1..=most };
-            let at = |n: u32| (self.usage_opening(worker, request.usage.times(n)), worker);
+            let at = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
             places.extend(steps.map(at));
         }
         places.sort_unstable();
@@ -340,23 +340,24 @@
     pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
-        let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
+        let rule =
+            FreeCapacityRule { home_blocks_only: false, ..FreeCapacityRule::new(self, index) };
         if let Some(tasks) = placement::best(&self.topology, &request, &rule) {
             let reason = self.start_reason(&tasks);
             self.unreserve(index);
             self.start(index, tasks, None, reason);
             return;
         }
-        let opening = self.opening(index, &item.tasks);
+        let opening = self.expected_free_at(index, &item.tasks);
         if self.is_overdue(index) && !item.chosen_overdue {
             // Chosen anew, it counts on younger work to make way.
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
             return;
         }
         let planned = item.expected_free_at.since(item.state_since);
         let slipped = opening.since(item.expected_free_at);
         if planned.mul_f64(SLIP) < slipped && !self.is_overdue(index) {
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
         } else {
             self.items.at_mut(index).expected_free_at = opening;
         }
@@ -371,7 +372,7 @@
         self.is_overdue(index)
             && rule.checkpoint
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && !rule.urgent
             && rule.priority <= other.priority
             && item.claimed_home.is_none()
@@ -414,8 +415,10 @@
             here.iter().flat_map(|it| &it.accelerators).any(held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
         };
-        let workers: Vec<u32> =
-            reserve::by_worker(&item.tasks).filter(missing).map(|(worker, _)| worker).collect();
+        let workers: Vec<u32> = reservations::tasks_by_worker(&item.tasks)
+            .filter(missing)
+            .map(|(worker, _)| worker)
+            .collect();
         let first = workers.first().or(item.tasks.first().map(|it| &it.worker)).copied();
         let rack = first.map_or("", |it| self.topology.rack_name(it));
         let n = reasons::count(workers.len(), "more adjacent worker");
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -56,7 +56,7 @@
 
 /// What may still be used beside the home blocks in a turn.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct HeadroomBook {
+pub(crate) struct HeadroomBudget {
     urgent: NeedAverage,
     hard: NeedAverage,
     /// Accelerators held by urgent work.
@@ -71,7 +71,7 @@
 
 impl HallCore {
     /// Finds out how much may be used in this turn.
-    pub(crate) fn measure_headroom(&mut self) {
+    pub(crate) fn update_headroom(&mut self) {
         let mut free = 0;
         let mut outside = 0;
         let mut hard_held = 0;
@@ -82,7 +82,7 @@
             outside += 1;
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
-                free += i64::from(self.is_open(at));
+                free += i64::from(self.is_available(at));
             } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 hard_held += 1;
             }
@@ -102,7 +102,7 @@
     }
 
     /// Whether urgent work, which may stop gangs, was about lately.
-    pub(crate) fn urgent_about(&self) -> bool {
+    pub(crate) fn has_recent_urgent_demand(&self) -> bool {
         URGENT_ABOUT <= self.headroom.urgent.mean
     }
 
@@ -117,7 +117,7 @@
             if rule.urgent {
                 urgent = urgent.saturating_add(width);
             }
-            if self.is_hard(rule) {
+            if self.is_non_reclaimable(rule) {
                 hard = hard.saturating_add(width);
             }
         }
@@ -125,11 +125,11 @@
     }
 
     /// Counts accelerators beside home blocks that a start takes.
-    pub(crate) fn spend(&mut self, index: u32, tasks: &[PlacedTask]) {
+    pub(crate) fn spend_headroom(&mut self, index: u32, tasks: &[PlacedTask]) {
         let outside = |it: &&u32| self.ledger.home[**it as usize] == NONE;
         let n = tasks.iter().flat_map(|it| &it.accelerators).filter(outside).count() as i64;
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        let (urgent, hard) = (rule.urgent, self.is_hard(rule));
+        let (urgent, hard) = (rule.urgent, self.is_non_reclaimable(rule));
         if !urgent {
             self.headroom.spare -= n;
         }
@@ -139,11 +139,11 @@
     }
 
     /// Whether what is free beside home blocks is kept for other work.
-    pub(crate) fn kept_for_others(&self, index: u32) -> bool {
+    pub(crate) fn limited_to_home_blocks(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let width = i64::from(item.n_accelerators());
-        let spare = match self.is_hard(rule) {
+        let spare = match self.is_non_reclaimable(rule) {
             true => self.headroom.spare,
             false => self.headroom.spare.min(self.headroom.soft_spare),
         };
@@ -155,20 +155,21 @@
     fn ends_soon(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        rule.request && self.estimate(item).median <= self.parameters.urgent_start_bound * SHORT_RUN
+        rule.is_request
+            && self.estimate(item).median <= self.parameters.urgent_start_bound * SHORT_RUN
     }
 
     /// Whether work that can be reclaimed would crowd out work that can't, if a block beside the
     /// homes were cleared for it.
-    pub(crate) fn crowds(&self, index: u32) -> bool {
+    pub(crate) fn crowds_out_non_reclaimable(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let left = f64::from(self.headroom.outside) - self.headroom.hard.mean;
-        !self.is_hard(rule) && left < f64::from(item.n_accelerators())
+        !self.is_non_reclaimable(rule) && left < f64::from(item.n_accelerators())
     }
 
     /// Has work that was held back looked at again soon.
-    pub(crate) fn look_again(&mut self) {
+    pub(crate) fn retry_soon(&mut self) {
         self.set_timer(self.now + LOOK_AGAIN, TimerKind::WaitOver, NONE);
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -33,9 +33,9 @@
 pub(crate) struct WorkerHealth {
     pub(crate) present: bool,
     /// Drained by an event.
-    pub(crate) draining: bool,
+    pub(crate) drained_by_event: bool,
     /// Drained by the configuration.
-    pub(crate) drained: bool,
+    pub(crate) drained_by_config: bool,
     /// Out until this time after a refusal.
     pub(crate) paused_until: time::WallTime,
     /// Weight of the failures since the last success.
@@ -53,8 +53,8 @@
     pub(crate) fn new() -> WorkerHealth {
         WorkerHealth {
             present: false,
-            draining: false,
-            drained: false,
+            drained_by_event: false,
+            drained_by_config: false,
             paused_until: time::WallTime::default(),
             streak: 0.0,
             blamed: Vec::new(),
@@ -68,7 +68,7 @@
     pub(crate) fn state(&self, now: time::WallTime) -> model::WorkerState {
         if !self.present {
             model::WorkerState::Lost
-        } else if self.draining || self.drained {
+        } else if self.drained_by_event || self.drained_by_config {
             model::WorkerState::Draining
         } else {
             match self.quarantined_until {
@@ -81,26 +81,29 @@
 
     /// Whether it takes any work, homes included.
     pub(crate) fn usable(&self) -> bool {
-        self.present && !self.draining && !self.drained && self.quarantined_until.is_none()
+        self.present
+            && !self.drained_by_event
+            && !self.drained_by_config
+            && self.quarantined_until.is_none()
     }
 
     /// Whether it takes new work now.
-    pub(crate) fn open(&self, now: time::WallTime) -> bool {
+    pub(crate) fn accepts_new_work(&self, now: time::WallTime) -> bool {
         self.usable() && self.paused_until <= now
     }
 
     /// Whether a piece of work may probe it.
-    pub(crate) fn probes(&self, now: time::WallTime) -> bool {
+    pub(crate) fn awaits_probe(&self, now: time::WallTime) -> bool {
         self.state(now) == model::WorkerState::Probing && self.probe.is_none()
     }
 
     /// Whether it failed something since its last success.
-    pub(crate) fn suspect(&self) -> bool {
+    pub(crate) fn has_failure_streak(&self) -> bool {
         0.0 < self.streak
     }
 
     /// Learns that something ended well here.
-    pub(crate) fn succeeded(&mut self, work: work::WorkId) {
+    pub(crate) fn record_success(&mut self, work: work::WorkId) {
         self.streak = 0.0;
         self.blamed.clear();
         if self.probe == Some(work) {
@@ -111,7 +114,12 @@
     }
 
     /// Learns of a failure; true where it takes the worker out.
-    pub(crate) fn failed(&mut self, work: work::WorkId, weight: f64, now: time::WallTime) -> bool {
+    pub(crate) fn record_failure(
+        &mut self,
+        work: work::WorkId,
+        weight: f64,
+        now: time::WallTime,
+    ) -> bool {
         if self.probe == Some(work) {
             self.probe = None;
             self.quarantine = (self.quarantine * 2).min(LONGEST_QUARANTINE);
@@ -133,13 +141,13 @@
     }
 
     /// Takes work again without a probe. The next quarantine is longer, as after a failed probe.
-    pub(crate) fn release(&mut self) {
+    pub(crate) fn end_quarantine(&mut self) {
         self.quarantined_until = None;
         self.quarantine = (self.quarantine * 2).min(LONGEST_QUARANTINE);
     }
 
     /// Takes back the blame for work that failed elsewhere as well.
-    pub(crate) fn forgive(&mut self, work: work::WorkId) {
+    pub(crate) fn withdraw_failure(&mut self, work: work::WorkId) {
         if let Some(at) = self.blamed.iter().position(|it| it.work == work) {
             let blame = self.blamed.remove(at);
             self.streak = (self.streak - blame.weight).max(0.0);
@@ -147,7 +155,7 @@
     }
 
     /// Forgets a probe that ended without saying anything.
-    pub(crate) fn unprobe(&mut self, work: work::WorkId) {
+    pub(crate) fn abandon_probe(&mut self, work: work::WorkId) {
         if self.probe == Some(work) {
             self.probe = None;
         }
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -10,7 +10,7 @@
 use crate::guarantee::HomeBlock;
 use crate::ledger::{Booking, Usage};
 use crate::placement::{self, PlacementRequest};
-use crate::rules::BlockRule;
+use crate::placement_rules::EmptyBlockRule;
 use crate::topology::NONE;
 
 /// A home moves where a claim costs less than this part of what it costs in its present block.
@@ -80,7 +80,7 @@
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
                 } else {
-                    self.withdraw(*claim);
+                    self.unreserve_and_enqueue(*claim);
                 }
             }
             self.ledger.remove_home_block(&it.block, &self.topology);
@@ -264,7 +264,7 @@
             return true;
         }
         let item = self.items.at(holder);
-        self.freeable(item) || item.account == self.homes[home as usize].account
+        self.frees_within_reclaim_bound(item) || item.account == self.homes[home as usize].account
     }
 
     /// Whether work that can't be reclaimed leaves each worker the cores, memory and slots that go
@@ -295,7 +295,7 @@
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
         let exclude = &item.exclude;
-        let rule = BlockRule { topology: &self.topology, block, request: &request, exclude };
+        let rule = EmptyBlockRule { topology: &self.topology, block, request: &request, exclude };
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
@@ -323,7 +323,7 @@
             }
             last = holder;
             let item = self.items.at(holder);
-            if self.freeable(item) || item.claimed_home == Some(home) {
+            if self.frees_within_reclaim_bound(item) || item.claimed_home == Some(home) {
                 return true;
             }
             let inside = |it: &u32| block.binary_search(it).is_ok();
@@ -409,7 +409,7 @@
             self.ledger.holder[at] == NONE
                 && self.ledger.home[at] == NONE
                 && self.ledger.reserved_for[at] == NONE
-                && self.health[self.topology.worker_of[at] as usize].open(self.now)
+                && self.health[self.topology.worker_of[at] as usize].accepts_new_work(self.now)
         };
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, free);
         let choice = choices
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -180,8 +180,8 @@
                 let item = self.items.at(holder);
                 let rule = &self.catalog.classes[item.class as usize];
                 let claims = item.claimed_home == Some(home as u32);
-                let stops = !rule.request && (rule.repeatable || item.cancelled || item.overran);
-                let ends = self.certain_end(item) <= now + self.parameters.reclaim_bound;
+                let stops = !rule.is_request && (rule.repeatable || item.cancelled || item.overran);
+                let ends = self.latest_end(item) <= now + self.parameters.reclaim_bound;
                 if !(claims || stops || ends) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,6 +3,7 @@
 //! Pure, synchronous and deterministic; time is passed in. A scheduler feeds it [`event::HallEvent`]s
 //! and carries out the [`decision::Decision`]s of each turn. Baselines implement the same trait.
 
+mod account_usage;
 mod admission;
 pub mod baseline_best_fit;
 mod baseline_board;
@@ -15,10 +16,10 @@
 mod deadlines;
 pub mod decision;
 mod dispatch;
+mod end_times;
 mod estimates;
 pub mod event;
 mod event_handlers;
-mod expectations;
 mod gang_reservations;
 mod guarantee;
 pub mod hall_policy;
@@ -36,14 +37,13 @@
 mod parameters;
 mod picture;
 mod placement;
+mod placement_rules;
 mod probing;
 mod queue;
 mod reasons;
 mod reclaim;
-mod reserve;
-mod rules;
-mod share;
+mod reservations;
 mod timers;
 mod topology;
-mod urgent;
+mod urgent_placement;
 pub mod work;
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -66,7 +66,7 @@
     ) {
         let usage = self.usage_of(index);
         self.ledger.hold(index, &tasks, usage, booking);
-        let request = self.catalog.classes[self.items.at(index).class as usize].request;
+        let request = self.catalog.classes[self.items.at(index).class as usize].is_request;
         let item = self.items.at_mut(index);
         let width = item.n_accelerators();
         let account = &mut self.account_usage[item.account as usize];
@@ -88,7 +88,7 @@
     pub(crate) fn release(&mut self, index: u32) {
         self.detach_claim(index);
         let usage = self.usage_of(index);
-        let request = self.catalog.classes[self.items.at(index).class as usize].request;
+        let request = self.catalog.classes[self.items.at(index).class as usize].is_request;
         let item = self.items.at_mut(index);
         let tasks = std::mem::take(&mut item.tasks);
         let width = item.n_accelerators();
@@ -115,7 +115,7 @@
             Some(_) => Booking::Claim,
             None => self.booking_of(index),
         };
-        self.spend(index, &tasks);
+        self.spend_headroom(index, &tasks);
         let placement = self.task_assignments(&tasks);
         self.hold(index, tasks, booking, claim);
         let now = self.now;
@@ -248,13 +248,13 @@
         let run = item.work.saved_run + self.now.since(item.saved_at);
         let (account, class, declared) = (item.account, item.class, item.work.declared_run);
         self.estimates.record(account, class, run, declared);
-        self.credit(index);
+        self.record_success(index);
         self.release(index);
         self.finish(index, model::RequestOutcome::Done, reasons::done());
     }
 
     pub(crate) fn stopped(&mut self, index: u32) {
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let item = self.items.at(index);
         let asked = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
@@ -273,15 +273,15 @@
     /// body, under the entry's budget.
     fn retries(&self, index: u32) -> bool {
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        rule.repeatable && !rule.request
+        rule.repeatable && !rule.is_request
     }
 
     pub(crate) fn failed(&mut self, index: u32, worker: Option<u32>) {
         let work = self.items.at(index).work.id;
         if let Some(worker) = worker {
-            self.blame(index, worker, work);
+            self.record_failure(index, worker, work);
         }
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let healthy = |it: &&u32| self.health[**it as usize].usable();
         let item = self.items.at(index);
@@ -291,7 +291,7 @@
             self.finish(index, model::RequestOutcome::Failed, reasons::failed());
         } else if faulty {
             let reason = reasons::faulty(n_workers, item.failures);
-            self.forgive_all(index);
+            self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
             let doubled = FIRST_PAUSE * (1 << (item.failures.min(6)));
@@ -300,7 +300,7 @@
     }
 
     pub(crate) fn lost(&mut self, index: u32, worker: &str) {
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let reason = reasons::worker_lost(worker);
         if self.items.at(index).cancelled {
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -122,7 +122,8 @@
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
         let need = item.n_accelerators();
-        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
+        let runs =
+            placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_available(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -178,7 +179,7 @@
     }
 
     /// Whether an accelerator is free on a worker that takes work.
-    pub(crate) fn is_open(&self, accelerator: u32) -> bool {
+    pub(crate) fn is_available(&self, accelerator: u32) -> bool {
         let worker = self.topology.worker_of[accelerator as usize];
         self.ledger.holder[accelerator as usize] == NONE && self.health[worker as usize].usable()
     }
@@ -200,14 +201,14 @@
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_open(it));
+        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_available(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
     }
 
     /// The picture for operators.
-    pub(crate) fn draw(&self, now: time::WallTime) -> model::HallPicture {
+    pub(crate) fn build_picture(&self, now: time::WallTime) -> model::HallPicture {
         model::HallPicture {
             epoch: 0,
             fragmentation: self.fragmentation(),
@@ -274,7 +275,7 @@
             holder => holder,
         };
         let item = (holder != NONE).then(|| self.items.at(holder));
-        let request = item.is_some_and(|it| self.catalog.classes[it.class as usize].request);
+        let request = item.is_some_and(|it| self.catalog.classes[it.class as usize].is_request);
         let state = match item {
             _ if !self.health[worker].present => model::AcceleratorState::Lost,
             None => model::AcceleratorState::Free,
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/placement_rules.rs
@@ -15,58 +15,58 @@
 const SUSPECT_PENALTY: u32 = 4;
 
 /// Free capacity above the guarantee.
-pub(crate) struct OpenRule<'a> {
+pub(crate) struct FreeCapacityRule<'a> {
     pub(crate) core: &'a HallCore,
     pub(crate) index: u32,
     pub(crate) usage: Usage,
     /// Can't be reclaimed, so that home blocks are closed to it.
-    pub(crate) hard: bool,
+    pub(crate) non_reclaimable: bool,
     /// Whether all that is free beside home blocks is kept for other work.
-    pub(crate) homes_only: bool,
+    pub(crate) home_blocks_only: bool,
     /// By when it is expected to be gone, for backfill.
     pub(crate) expected_end: time::WallTime,
     /// By when it is gone in any case.
-    pub(crate) certain_end: time::WallTime,
+    pub(crate) latest_end: time::WallTime,
     pub(crate) exclude: &'a [u32],
     /// Whether places reserved for others are closed to it.
-    pub(crate) keeps: bool,
+    pub(crate) respects_reservations: bool,
     /// Workers on which it failed.
-    pub(crate) avoid: &'a [u32],
+    pub(crate) failed_on: &'a [u32],
 }
 
-impl<'a> OpenRule<'a> {
+impl<'a> FreeCapacityRule<'a> {
     /// Rule for an item that claims nothing.
-    pub(crate) fn new(core: &'a HallCore, index: u32) -> OpenRule<'a> {
+    pub(crate) fn new(core: &'a HallCore, index: u32) -> FreeCapacityRule<'a> {
         let item = core.items.at(index);
         let rule = &core.catalog.classes[item.class as usize];
         let estimate = core.estimate(item);
         let left = |whole: Duration| whole.saturating_sub(item.work.saved_run);
         let bound =
-            if rule.request { rule.max_run } else { core.parameters.max_run_time(rule.max_run) };
+            if rule.is_request { rule.max_run } else { core.parameters.max_run_time(rule.max_run) };
         // Where fragmentation counts more, only what is nearly sure to be gone in time goes in.
         let likely = if 0.5 <= core.parameters.fragmentation_weight {
             estimate.high
         } else {
             estimate.median
         };
-        OpenRule {
+        FreeCapacityRule {
             core,
             index,
             usage: Usage::of(&item.work.demand),
-            hard: core.booking_of(index) == Booking::NonReclaimable,
-            homes_only: core.kept_for_others(index),
+            non_reclaimable: core.booking_of(index) == Booking::NonReclaimable,
+            home_blocks_only: core.limited_to_home_blocks(index),
             expected_end: core.now + left(likely),
-            certain_end: core.now + left(bound),
+            latest_end: core.now + left(bound),
             exclude: &item.exclude,
-            keeps: true,
+            respects_reservations: true,
 
-            avoid: &item.failed_on,
+            failed_on: &item.failed_on,
         }
     }
 
     /// Whether it may run in a block that is cleared for a gang.
     fn backfills(&self, reserved_for: u32) -> bool {
-        if reserved_for == self.index || !self.keeps {
+        if reserved_for == self.index || !self.respects_reservations {
             return true;
         }
         let gang = self.core.items.at(reserved_for);
@@ -75,13 +75,13 @@
         }
         // A gang past its bound is held up by no run that might outlast the opening.
         let end =
-            if self.core.is_overdue(reserved_for) { self.certain_end } else { self.expected_end };
+            if self.core.is_overdue(reserved_for) { self.latest_end } else { self.expected_end };
         end <= gang.expected_free_at
     }
 
     /// Whether something failed on the worker lately, or this very work did.
     fn avoids(&self, worker: u32) -> bool {
-        self.core.health[worker as usize].suspect() || self.avoid.contains(&worker)
+        self.core.health[worker as usize].has_failure_streak() || self.failed_on.contains(&worker)
     }
 
     /// What reservations keep from this work on a worker.
@@ -96,11 +96,12 @@
     }
 
     fn open(&self, worker: u32) -> bool {
-        self.core.health[worker as usize].open(self.core.now) && !self.exclude.contains(&worker)
+        self.core.health[worker as usize].accepts_new_work(self.core.now)
+            && !self.exclude.contains(&worker)
     }
 }
 
-impl PlacementRule for OpenRule<'_> {
+impl PlacementRule for FreeCapacityRule<'_> {
     fn allows_worker(&self, worker: u32) -> bool {
         0 < self.core.ledger.workers[worker as usize].free_accelerators && self.open(worker)
     }
@@ -109,8 +110,8 @@
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         ledger.holder[at] == NONE
-            && (!self.hard || ledger.home[at] == NONE)
-            && (!self.homes_only || ledger.home[at] != NONE)
+            && (!self.non_reclaimable || ledger.home[at] == NONE)
+            && (!self.home_blocks_only || ledger.home[at] != NONE)
             && (ledger.reserved_for[at] == NONE || self.backfills(ledger.reserved_for[at]))
     }
 
@@ -120,7 +121,7 @@
         }
         let book = &self.core.ledger.workers[worker as usize];
         let room = book.free.minus(self.kept(worker)).max_tasks(self.usage);
-        if !self.hard {
+        if !self.non_reclaimable {
             return room;
         }
         let free_for_non_reclaimable =
@@ -132,7 +133,7 @@
         let at = accelerator as usize;
         // What can't be reclaimed has only the accelerators beside home blocks, so other work
         // leaves these to it.
-        let unfit = !self.hard && self.core.ledger.home[at] == NONE;
+        let unfit = !self.non_reclaimable && self.core.ledger.home[at] == NONE;
         let worker = self.core.topology.worker_of[at];
         u32::from(unfit) + SUSPECT_PENALTY * u32::from(self.avoids(worker))
     }
@@ -150,7 +151,7 @@
 }
 
 /// A block as if it were empty, to see whether work could ever claim it.
-pub(crate) struct BlockRule<'a> {
+pub(crate) struct EmptyBlockRule<'a> {
     pub(crate) topology: &'a HallTopology,
     /// Its accelerators, ascending.
     pub(crate) block: &'a [u32],
@@ -158,7 +159,7 @@
     pub(crate) exclude: &'a [u32],
 }
 
-impl PlacementRule for BlockRule<'_> {
+impl PlacementRule for EmptyBlockRule<'_> {
     fn allows_accelerator(&self, accelerator: u32) -> bool {
         self.block.binary_search(&accelerator).is_ok()
     }
@@ -202,7 +203,7 @@
     fn takes(&self, holder: u32) -> bool {
         let item = self.core.items.at(holder);
         let own = item.claimed_home.is_some() && self.core.claim_yields(holder, self.key);
-        (item.claimed_home.is_none() || own) && self.core.freeable(item)
+        (item.claimed_home.is_none() || own) && self.core.frees_within_reclaim_bound(item)
     }
 }
 
@@ -211,7 +212,9 @@
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         let worker = self.core.topology.worker_of[at];
-        if ledger.home[at] != self.home || !self.core.health[worker as usize].open(self.core.now) {
+        if ledger.home[at] != self.home
+            || !self.core.health[worker as usize].accepts_new_work(self.core.now)
+        {
             return false;
         }
         let holder = ledger.holder[at];
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -74,7 +74,7 @@
 
 impl HallCore {
     /// Counts a failure against the worker, as far as it is not the work's own.
-    pub(crate) fn blame(&mut self, index: u32, worker: u32, work: work::WorkId) {
+    pub(crate) fn record_failure(&mut self, index: u32, worker: u32, work: work::WorkId) {
         let item = self.items.at_mut(index);
         item.failures += 1;
         if !item.failed_on.contains(&worker) {
@@ -82,7 +82,7 @@
         }
         let (account, class) = (item.account, item.class);
         let elsewhere = 1 < item.failed_on.len();
-        let first = !self.health[worker as usize].suspect();
+        let first = !self.health[worker as usize].has_failure_streak();
         // Only the first failure of a streak counts for the class: a failing worker would otherwise
         // make every class that it touches look faulty, and so be excused.
         let rate = self.failures.rate(account, class);
@@ -90,11 +90,11 @@
             self.failures.record(account, class, true);
         }
         if elsewhere && self.health[worker as usize].probe != Some(work) {
-            self.forgive_all(index);
+            self.withdraw_failures(index);
             return;
         }
         let weight = (1.0 - rate).max(LEAST_WEIGHT);
-        if self.health[worker as usize].failed(work, weight, self.now) {
+        if self.health[worker as usize].record_failure(work, weight, self.now) {
             self.homes_dirty = true;
             if let Some(at) = self.health[worker as usize].quarantined_until {
                 self.set_timer(at, TimerKind::CapacityCheck, NONE);
@@ -104,23 +104,23 @@
     }
 
     /// Takes back what was counted against workers for this work.
-    pub(crate) fn forgive_all(&mut self, index: u32) {
+    pub(crate) fn withdraw_failures(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
         for it in item.failed_on.clone() {
-            self.health[it as usize].forgive(work);
+            self.health[it as usize].withdraw_failure(work);
         }
     }
 
     /// Counts a success for the workers.
-    pub(crate) fn credit(&mut self, index: u32) {
+    pub(crate) fn record_success(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
         self.failures.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
             let out = !health.usable();
-            health.succeeded(work);
+            health.record_success(work);
             if out && health.usable() {
                 self.homes_dirty = true;
                 self.capacity_version += 1;
@@ -129,10 +129,10 @@
     }
 
     /// Forgets that work is a probe.
-    pub(crate) fn unprobe(&mut self, index: u32) {
+    pub(crate) fn abandon_probe(&mut self, index: u32) {
         let item = self.items.at(index);
         for it in &item.tasks {
-            self.health[it.worker as usize].unprobe(item.work.id);
+            self.health[it.worker as usize].abandon_probe(item.work.id);
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Reports workers whose state changed.
-    pub(crate) fn tell_workers(&mut self) {
+    pub(crate) fn report_worker_states(&mut self) {
         for worker in 0..self.health.len() {
             let state = self.health[worker].state(self.now);
             if state == self.reported_states[worker] {
@@ -184,7 +184,7 @@
     /// its quarantine out.
     pub(crate) fn probe_workers(&mut self) {
         let due: Vec<u32> = (0..self.health.len() as u32)
-            .filter(|it| self.health[*it as usize].probes(self.now))
+            .filter(|it| self.health[*it as usize].awaits_probe(self.now))
             .take(PROBES_A_TURN)
             .collect();
         if due.is_empty() {
@@ -212,7 +212,7 @@
     fn release_unprobed(&mut self, worker: u32) {
         let health = &mut self.health[worker as usize];
         if health.quarantined_until.is_some_and(|it| it + PROBE_PATIENCE <= self.now) {
-            health.release();
+            health.end_quarantine();
             self.homes_dirty = true;
             self.note_capacity_change();
         }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -10,7 +10,7 @@
 use crate::ledger::PlacedTask;
 use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
-use crate::reserve;
+use crate::reservations;
 use crate::topology::NONE;
 
 /// Added to the lost work of each victim, in accelerator seconds.
@@ -163,7 +163,7 @@
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
         // Requests and what is not repeatable end by themselves, within the bound.
-        let stoppable = !rule.request && rule.repeatable;
+        let stoppable = !rule.is_request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
             if item.claimed_home.is_some() {
                 self.detach_claim(victim);
@@ -188,7 +188,7 @@
             .collect();
         victims.sort_unstable();
         victims.dedup();
-        for (worker, here) in reserve::by_worker(&item.tasks) {
+        for (worker, here) in reservations::tasks_by_worker(&item.tasks) {
             self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
         }
         victims
@@ -210,7 +210,7 @@
             .filter(|it| !victims.contains(it) && !self.is_ending(*it))
             .filter(|it| {
                 let item = self.items.at(*it);
-                item.claimed_home.is_none() && self.freeable(item)
+                item.claimed_home.is_none() && self.frees_within_reclaim_bound(item)
             })
             .collect();
         others.sort_by(|a, b| {
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reservations.rs
@@ -34,11 +34,11 @@
         others.sort_unstable();
         others.dedup();
         for it in others {
-            self.withdraw(it);
+            self.unreserve_and_enqueue(it);
         }
         let usage = self.usage_of(index);
         self.ledger.reserve(index, &tasks, usage);
-        let opening = self.opening(index, &tasks);
+        let opening = self.expected_free_at(index, &tasks);
         let now = self.now;
         let item = self.items.at_mut(index);
         item.tasks = tasks;
@@ -63,13 +63,13 @@
     }
 
     /// Gives the place up and queues the item again.
-    pub(crate) fn withdraw(&mut self, index: u32) {
+    pub(crate) fn unreserve_and_enqueue(&mut self, index: u32) {
         self.unreserve(index);
         self.enqueue(index);
     }
 
     /// When a place is expected to be free: when the last of its holders has gone.
-    pub(crate) fn opening(&self, index: u32, tasks: &[PlacedTask]) -> time::WallTime {
+    pub(crate) fn expected_free_at(&self, index: u32, tasks: &[PlacedTask]) -> time::WallTime {
         let holder = |it: &u32| self.ledger.holder[*it as usize];
         let mut latest = self.now;
         let mut last = NONE;
@@ -79,15 +79,15 @@
                 last = it;
             }
         }
-        for (worker, here) in by_worker(tasks) {
+        for (worker, here) in tasks_by_worker(tasks) {
             let needed = self.usage_of(index).times(here.len() as u32);
-            latest = latest.max(self.usage_opening(worker, needed));
+            latest = latest.max(self.worker_free_at(worker, needed));
         }
         latest
     }
 
     /// When a worker is expected to have cores, memory and slots free.
-    pub(crate) fn usage_opening(&self, worker: u32, needed: Usage) -> time::WallTime {
+    pub(crate) fn worker_free_at(&self, worker: u32, needed: Usage) -> time::WallTime {
         let book = &self.ledger.workers[worker as usize];
         let mut free = book.free;
         if free.covers(needed) {
@@ -124,7 +124,7 @@
         let tasks = self.items.at(index).tasks.clone();
         let open = |it: &PlacedTask| self.health[it.worker as usize].usable();
         if !tasks.iter().all(open) || !self.leaves_homes_alone(index, &tasks) {
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
             return;
         }
         let ItemState::Reserving(kind) = self.items.at(index).state else { return };
@@ -149,7 +149,7 @@
         let outside = |it: &u32| self.ledger.home[*it as usize] == NONE;
         let usage = self.usage_of(index);
         tasks.iter().flat_map(|it| &it.accelerators).all(outside)
-            && by_worker(tasks).all(|(worker, here)| {
+            && tasks_by_worker(tasks).all(|(worker, here)| {
                 // Who is there now will have gone: counted here, the place would be given up and
                 // reserved again in turn after turn.
                 let room = self.ledger.capacity_for_non_reclaimable(worker, &self.topology);
@@ -166,7 +166,7 @@
             return true;
         }
         let usage = self.usage_of(index);
-        by_worker(tasks).all(|(worker, here)| {
+        tasks_by_worker(tasks).all(|(worker, here)| {
             let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
             room.covers(usage.times(here.len() as u32))
         })
@@ -176,7 +176,7 @@
     fn is_free(&self, index: u32, tasks: &[PlacedTask]) -> bool {
         let usage = self.usage_of(index);
         let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
-        by_worker(tasks).all(|(worker, here)| {
+        tasks_by_worker(tasks).all(|(worker, here)| {
             let needed = usage.times(here.len() as u32);
             here.iter().flat_map(|it| &it.accelerators).all(free)
                 && self.ledger.workers[worker as usize].free.covers(needed)
@@ -199,6 +199,6 @@
 }
 
 /// Tasks of each worker; tasks of one worker stand together.
-pub(crate) fn by_worker(tasks: &[PlacedTask]) -> impl Iterator<Item = (u32, &[PlacedTask])> {
+pub(crate) fn tasks_by_worker(tasks: &[PlacedTask]) -> impl Iterator<Item = (u32, &[PlacedTask])> {
     tasks.chunk_by(|a, b| a.worker == b.worker).map(|it| (it[0].worker, it))
 }
--- a/crates/policy/src/urgent.rs
+++ b/crates/policy/src/urgent_placement.rs
@@ -4,12 +4,12 @@
 use crate::item::{ItemState, ReserveKind};
 use crate::ledger::Usage;
 use crate::placement::PlacementRule;
-use crate::rules::OpenRule;
+use crate::placement_rules::FreeCapacityRule;
 use crate::topology::NONE;
 
 /// Free accelerators, and those of repeatable jobs of lower priority above their guarantee.
 pub(crate) struct UrgentRule<'a> {
-    open: OpenRule<'a>,
+    open: FreeCapacityRule<'a>,
     priority: u8,
 }
 
@@ -17,7 +17,7 @@
     pub(crate) fn new(core: &'a HallCore, index: u32) -> UrgentRule<'a> {
         let class = core.items.at(index).class as usize;
         UrgentRule {
-            open: OpenRule::new(core, index),
+            open: FreeCapacityRule::new(core, index),
             priority: core.catalog.classes[class].priority,
         }
     }
@@ -29,7 +29,7 @@
         let running = matches!(item.state, ItemState::Starting | ItemState::Running);
         running
             && item.claimed_home.is_none()
-            && !rule.request
+            && !rule.is_request
             && rule.repeatable
             && !rule.urgent
             && rule.priority < self.priority
@@ -43,9 +43,9 @@
         let worker = core.topology.worker_of[at];
         let reserved = core.ledger.reserved_for[at];
         let clearing = ItemState::Reserving(ReserveKind::Clearing);
-        core.health[worker as usize].open(core.now)
+        core.health[worker as usize].accepts_new_work(core.now)
             && !self.open.exclude.contains(&worker)
-            && (!self.open.hard || core.ledger.home[at] == NONE)
+            && (!self.open.non_reclaimable || core.ledger.home[at] == NONE)
             && (reserved == NONE
                 || core.items.at(reserved).state == clearing && !core.is_overdue(reserved))
             && (core.ledger.holder[at] == NONE || self.takes(core.ledger.holder[at]))
@@ -53,7 +53,7 @@
 
     fn task_capacity(&self, worker: u32) -> u32 {
         let core = self.open.core;
-        if !core.health[worker as usize].open(core.now) {
+        if !core.health[worker as usize].accepts_new_work(core.now) {
             return 0;
         }
         let book = &core.ledger.workers[worker as usize];
@@ -64,7 +64,7 @@
             free.add(core.usage_of(it));
         }
         let room = free.max_tasks(self.open.usage);
-        if !self.open.hard {
+        if !self.open.non_reclaimable {
             return room;
         }
         room.min(
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -181,7 +181,7 @@
 }
 
 /// Id of the `n`th piece of work.
-pub fn id(n: u64) -> work::WorkId {
+pub fn work_id(n: u64) -> work::WorkId {
     Uuid::from_u128(u128::from(n))
 }
 
@@ -193,26 +193,26 @@
     pub log: Vec<(time::WallTime, Decision)>,
     pub running: BTreeMap<work::WorkId, Vec<work::TaskAssignment>>,
     /// Whether starts and stops succeed by themselves.
-    pub obeys: bool,
+    pub executes_decisions: bool,
     next: u64,
 }
 
 impl TestHall {
     /// Every worker is there.
     pub fn new(config: model::ConfigDocument) -> TestHall {
-        let mut hall = TestHall::unborn(config);
+        let mut hall = TestHall::without_workers(config);
         let names: Vec<String> =
             hall.core.picture(START).workers.into_iter().map(|it| it.worker).collect();
         for it in names {
             hall.core.apply(HallEvent::WorkerBack(it), START);
         }
-        hall.turn();
+        hall.run_rounds();
         hall.log.clear();
         hall
     }
 
     /// No worker has answered.
-    pub fn unborn(config: model::ConfigDocument) -> TestHall {
+    pub fn without_workers(config: model::ConfigDocument) -> TestHall {
         let hall = config.halls[0].name.clone();
         let core = HallCore::new(&hall, Arc::new(config), START).expect("a fit configuration");
         TestHall {
@@ -220,14 +220,14 @@
             now: START,
             log: Vec::new(),
             running: BTreeMap::new(),
-            obeys: true,
+            executes_decisions: true,
             next: 1,
         }
     }
 
     /// Submits work now and returns its id.
     pub fn submit(&mut self, item: work::WorkItem) -> work::WorkId {
-        let work = id(self.next);
+        let work = work_id(self.next);
         self.next += 1;
         let item = work::WorkItem { id: work, submitted_at: self.now, ..item };
         self.core.apply(HallEvent::Arrived(item), self.now);
@@ -235,34 +235,34 @@
     }
 
     /// Submits work and lets the hall decide.
-    pub fn run(&mut self, item: work::WorkItem) -> work::WorkId {
+    pub fn schedule(&mut self, item: work::WorkItem) -> work::WorkId {
         let work = self.submit(item);
-        self.turn();
+        self.run_rounds();
         work
     }
 
     /// Tells the core something and lets it decide.
-    pub fn tell(&mut self, event: HallEvent) {
+    pub fn apply_event(&mut self, event: HallEvent) {
         if let HallEvent::Ended { work, .. } = &event {
             self.running.remove(work);
         }
         self.core.apply(event, self.now);
-        self.turn();
+        self.run_rounds();
     }
 
     /// Ends work well.
-    pub fn end(&mut self, work: work::WorkId) {
-        self.tell(HallEvent::Ended { work, exit: WorkExit::Succeeded });
+    pub fn succeed(&mut self, work: work::WorkId) {
+        self.apply_event(HallEvent::Ended { work, exit: WorkExit::Succeeded });
     }
 
     /// Turns until nothing is left to do now.
-    pub fn turn(&mut self) -> Vec<Decision> {
+    pub fn run_rounds(&mut self) -> Vec<Decision> {
         let mut all = Vec::new();
         for _ in 0..1000 {
             let decisions = self.core.run_round(self.now);
             self.core.check_invariants(self.now).expect("the invariants hold");
             for it in &decisions {
-                self.obey(it);
+                self.execute_decision(it);
             }
             self.log.extend(decisions.iter().map(|it| (self.now, it.clone())));
             all.extend(decisions);
@@ -273,15 +273,15 @@
         panic!("the core has something to do for ever");
     }
 
-    fn obey(&mut self, decision: &Decision) {
+    fn execute_decision(&mut self, decision: &Decision) {
         match decision {
             Decision::Start { work, placement, .. } => {
                 self.running.insert(*work, placement.clone());
-                if self.obeys {
+                if self.executes_decisions {
                     self.core.apply(HallEvent::Started(*work), self.now);
                 }
             }
-            Decision::Stop { work, .. } if self.obeys => {
+            Decision::Stop { work, .. } if self.executes_decisions => {
                 self.running.remove(work);
                 let exit = WorkExit::Stopped;
                 self.core.apply(HallEvent::Ended { work: *work, exit }, self.now);
@@ -291,14 +291,14 @@
     }
 
     /// Lets time pass, with the turns that the core asks for.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(at) = self.core.next_wake(self.now).filter(|it| *it <= end) {
             self.now = self.now.max(at);
-            self.turn();
+            self.run_rounds();
         }
         self.now = end;
-        self.turn();
+        self.run_rounds();
     }
 
     /// Workers on which work runs, in order.
@@ -310,7 +310,7 @@
     }
 
     /// Whether work runs.
-    pub fn runs(&self, work: work::WorkId) -> bool {
+    pub fn is_running(&self, work: work::WorkId) -> bool {
         self.running.contains_key(&work)
     }
 
@@ -323,14 +323,14 @@
     }
 
     /// Whether a stop of this work was decided, to queue it again.
-    pub fn reclaimed(&self, work: work::WorkId) -> bool {
+    pub fn was_reclaimed(&self, work: work::WorkId) -> bool {
         self.log.iter().any(|(_, it)| {
             matches!(it, Decision::Stop { work: other, after_stop: AfterStop::Requeue, .. } if *other == work)
         })
     }
 
     /// Text of the reason why work waits.
-    pub fn why(&self, work: work::WorkId) -> String {
+    pub fn wait_text(&self, work: work::WorkId) -> String {
         self.core.reason(&work, self.now).map_or("unknown".to_owned(), |it| it.text)
     }
 }
--- a/crates/policy/tests/fuzz_findings.rs
+++ b/crates/policy/tests/fuzz_findings.rs
@@ -21,17 +21,17 @@
     small.accounts[1].guarantees.clear();
     small.halls[0].racks[0].workers = 2;
     let mut hall = TestHall::new(small.clone());
-    let first = hall.run(job("large", "batch", 1, 8));
-    let second = hall.run(job("large", "batch", 1, 4));
-    assert!(hall.runs(first) && hall.runs(second));
+    let first = hall.schedule(job("large", "batch", 1, 8));
+    let second = hall.schedule(job("large", "batch", 1, 4));
+    assert!(hall.is_running(first) && hall.is_running(second));
     let removed = "vadodara-r1-02".to_owned();
     assert!(
         hall.workers_of(first).contains(&removed) != hall.workers_of(second).contains(&removed)
     );
     small.halls[0].racks[0].workers = 1;
     hall.core.configure(Arc::new(small), hall.now).expect("a fit configuration");
-    hall.turn();
-    let later = hall.run(job("large", "batch", 1, 2));
+    hall.run_rounds();
+    let later = hall.schedule(job("large", "batch", 1, 2));
     let workers = hall.workers_of(later);
     assert!(!workers.contains(&removed), "{workers:?}");
 }
@@ -43,11 +43,11 @@
     lone.accounts[1].guarantees.clear();
     lone.halls[0].racks[0].workers = 2;
     let mut hall = TestHall::new(lone);
-    let keeper = hall.run(job("large", "certificate", 1, 8));
+    let keeper = hall.schedule(job("large", "certificate", 1, 8));
     for _ in 0..3 {
-        let work = hall.run(job("large", "certificate", 1, 8));
+        let work = hall.schedule(job("large", "certificate", 1, 8));
         let worker = hall.workers_of(work)[0].clone();
-        hall.tell(HallEvent::Ended { work, exit: WorkExit::Failed { worker } });
+        hall.apply_event(HallEvent::Ended { work, exit: WorkExit::Failed { worker } });
     }
     (hall, keeper)
 }
@@ -59,11 +59,11 @@
 #[test]
 fn gang_starts_where_nothing_probes() {
     let (mut hall, keeper) = with_a_worker_taken_out();
-    hall.end(keeper);
-    let gang = hall.run(gang("large", "batch", 2, 8, model::Adjacency::Rack));
-    assert!(!hall.runs(gang), "the worker is not taken out");
-    hall.pass(secs(600));
-    assert!(hall.runs(gang), "{}", hall.why(gang));
+    hall.succeed(keeper);
+    let gang = hall.schedule(gang("large", "batch", 2, 8, model::Adjacency::Rack));
+    assert!(!hall.is_running(gang), "the worker is not taken out");
+    hall.advance(secs(600));
+    assert!(hall.is_running(gang), "{}", hall.wait_text(gang));
 }
 
 /// Symptom: work that can't be reclaimed, admitted because it fits beside the home blocks of an
@@ -78,17 +78,17 @@
     small.accounts[0].guarantees.push(common::shape("own", 16, model::Adjacency::Rack));
     let mut hall = TestHall::new(small);
     let first = "vadodara-r1-01".to_owned();
-    hall.tell(HallEvent::WorkerDraining(first.clone()));
-    hall.tell(HallEvent::WorkerUndrained(first));
+    hall.apply_event(HallEvent::WorkerDraining(first.clone()));
+    hall.apply_event(HallEvent::WorkerUndrained(first));
     let picture = hall.core.picture(hall.now);
     let homes = |rack: &str| {
         let workers = picture.workers.iter().filter(|it| it.rack == rack);
         workers.flat_map(|it| &it.accelerators).filter(|it| it.home_of.is_some()).count()
     };
     assert!(0 < homes("r1") && 0 < homes("r2"), "the homes leave a rack to the gang");
-    let gang = hall.run(gang("large", "certificate", 3, 8, model::Adjacency::Rack));
-    hall.pass(secs(1_200));
-    assert!(hall.runs(gang), "{}", hall.why(gang));
+    let gang = hall.schedule(gang("large", "certificate", 3, 8, model::Adjacency::Rack));
+    hall.advance(secs(1_200));
+    assert!(hall.is_running(gang), "{}", hall.wait_text(gang));
 }
 
 /// Symptom: a gang that needs every worker waited for more than half an hour in a hall where
@@ -100,20 +100,20 @@
 #[test]
 fn failing_work_does_not_probe() {
     let (mut hall, keeper) = with_a_worker_taken_out();
-    let sound = hall.run(gang("large", "batch", 2, 8, model::Adjacency::Rack));
-    let faulty = hall.run(job("small", "batch", 1, 1));
+    let sound = hall.schedule(gang("large", "batch", 2, 8, model::Adjacency::Rack));
+    let faulty = hall.schedule(job("small", "batch", 1, 1));
     for step in 0..90 {
         if step == 30 {
-            hall.end(keeper);
+            hall.succeed(keeper);
         }
-        if hall.runs(faulty) {
+        if hall.is_running(faulty) {
             let worker = hall.workers_of(faulty)[0].clone();
-            hall.tell(HallEvent::Ended { work: faulty, exit: WorkExit::Failed { worker } });
+            hall.apply_event(HallEvent::Ended { work: faulty, exit: WorkExit::Failed { worker } });
         }
-        if hall.runs(sound) {
+        if hall.is_running(sound) {
             return;
         }
-        hall.pass(secs(10));
+        hall.advance(secs(10));
     }
-    panic!("{}", hall.why(sound));
+    panic!("{}", hall.wait_text(sound));
 }
--- a/crates/policy/tests/guarantee.rs
+++ b/crates/policy/tests/guarantee.rs
@@ -13,7 +13,7 @@
     for _ in 0..64 {
         hall.submit(job("large", class, 1, 1));
     }
-    hall.turn();
+    hall.run_rounds();
     assert_eq!(hall.running.len(), 64);
     hall
 }
@@ -21,37 +21,37 @@
 #[test]
 fn claim_is_met_while_the_large_account_fills_the_hall() {
     let mut hall = full_hall("batch");
-    let claim = hall.run(gang("small", "batch", 1, 8, model::Adjacency::Worker));
-    assert!(hall.runs(claim));
+    let claim = hall.schedule(gang("small", "batch", 1, 8, model::Adjacency::Worker));
+    assert!(hall.is_running(claim));
     assert_eq!(hall.running.len(), 64 - 8 + 1);
 }
 
 #[test]
 fn claim_waits_for_the_checkpoints_within_the_bound() {
     let mut hall = full_hall("ageing");
-    let claim = hall.run(gang("small", "batch", 1, 8, model::Adjacency::Worker));
-    assert!(!hall.runs(claim));
+    let claim = hall.schedule(gang("small", "batch", 1, 8, model::Adjacency::Worker));
+    assert!(!hall.is_running(claim));
     let n_asked =
         hall.log.iter().filter(|(_, it)| matches!(it, Decision::Checkpoint { .. })).count();
     assert_eq!(n_asked, 8);
-    hall.pass(secs(10));
-    assert!(hall.runs(claim));
+    hall.advance(secs(10));
+    assert!(hall.is_running(claim));
 }
 
 #[test]
 fn work_that_cannot_be_reclaimed_stays_out_of_the_home_block() {
     let mut hall = TestHall::new(config(1));
     let all: Vec<_> = (0..64).map(|_| hall.submit(job("large", "certificate", 1, 1))).collect();
-    hall.turn();
+    hall.run_rounds();
     assert_eq!(hall.running.len(), 56);
-    let waiting = all.iter().find(|it| !hall.runs(**it)).expect("some wait");
+    let waiting = all.iter().find(|it| !hall.is_running(**it)).expect("some wait");
     assert_eq!(
-        hall.why(*waiting),
+        hall.wait_text(*waiting),
         "what is free belongs to guarantees of others, and class certificate can't be reclaimed \
          in time"
     );
-    let claim = hall.run(gang("small", "certificate", 1, 8, model::Adjacency::Worker));
-    assert!(hall.runs(claim));
+    let claim = hall.schedule(gang("small", "certificate", 1, 8, model::Adjacency::Worker));
+    assert!(hall.is_running(claim));
 }
 
 #[test]
@@ -63,7 +63,7 @@
         picture.workers.into_iter().filter(at_home).map(|it| it.worker).collect()
     };
     let before = homes(&hall);
-    hall.tell(HallEvent::WorkerLost(before[0].clone()));
+    hall.apply_event(HallEvent::WorkerLost(before[0].clone()));
     let after = homes(&hall);
     assert_eq!(after.len(), 1);
     assert_ne!(before, after);
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -88,7 +88,7 @@
 situations! {
     claim_takes_its_free_home_block => {
         let mut hall = TestHall::new(config(1));
-        hall.run(gang("small", "batch", 1, 8, model::Adjacency::Worker));
+        hall.schedule(gang("small", "batch", 1, 8, model::Adjacency::Worker));
         hall
     };
     claim_waits_for_checkpoints => {
@@ -96,18 +96,18 @@
         for _ in 0..16 {
             hall.submit(job("large", "ageing", 1, 4));
         }
-        hall.turn();
-        hall.run(gang("small", "diagnosis", 1, 8, model::Adjacency::Worker));
-        hall.pass(secs(10));
+        hall.run_rounds();
+        hall.schedule(gang("small", "diagnosis", 1, 8, model::Adjacency::Worker));
+        hall.advance(secs(10));
         hall
     };
     claim_moves_its_home_rather_than_stop_work => {
         let mut hall = TestHall::new(config(2));
-        hall.run(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
-        let second = hall.run(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
-        hall.end(second);
+        hall.schedule(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
+        let second = hall.schedule(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
+        hall.succeed(second);
         let claim = gang("small", "batch", 1, 8, model::Adjacency::Worker);
-        hall.run(work::WorkItem { guarantee: Some("rig".to_owned()), ..claim });
+        hall.schedule(work::WorkItem { guarantee: Some("rig".to_owned()), ..claim });
         hall
     };
     home_block_is_closed_to_what_cannot_be_reclaimed => {
@@ -115,7 +115,7 @@
         for _ in 0..8 {
             hall.submit(job("large", "certificate", 1, 8));
         }
-        hall.turn();
+        hall.run_rounds();
         hall
     };
     gang_waits_for_a_block => {
@@ -123,63 +123,63 @@
         for _ in 0..32 {
             hall.submit(job("large", "batch", 1, 2));
         }
-        hall.turn();
+        hall.run_rounds();
         let gang = gang("large", "ageing", 3, 8, model::Adjacency::Rack);
-        hall.run(gang);
-        hall.pass(secs(160));
+        hall.schedule(gang);
+        hall.advance(secs(160));
         hall
     };
     small_work_backfills_a_block_that_opens_later => {
         let mut hall = TestHall::new(config(1));
-        hall.run(gang("large", "batch", 7, 8, model::Adjacency::Rack));
-        hall.run(gang("large", "batch", 8, 8, model::Adjacency::Rack));
-        hall.pass(secs(160));
-        hall.run(request("large", "check"));
-        hall.run(job("large", "ageing", 1, 2));
+        hall.schedule(gang("large", "batch", 7, 8, model::Adjacency::Rack));
+        hall.schedule(gang("large", "batch", 8, 8, model::Adjacency::Rack));
+        hall.advance(secs(160));
+        hall.schedule(request("large", "check"));
+        hall.schedule(job("large", "ageing", 1, 2));
         hall
     };
     urgent_work_reclaims_the_least_lost => {
         let mut hall = TestHall::new(config(1));
         hall.submit(gang("large", "batch", 7, 8, model::Adjacency::Rack));
         hall.submit(job("large", "batch", 1, 8));
-        hall.turn();
-        hall.pass(secs(60));
-        hall.run(job("large", "diagnosis", 1, 2));
+        hall.run_rounds();
+        hall.advance(secs(60));
+        hall.schedule(job("large", "diagnosis", 1, 2));
         hall
     };
     account_stays_within_its_limit => {
         let mut config = config(1);
         config.accounts[0].limits.accelerators = Some(12);
         let mut hall = TestHall::new(config);
-        hall.run(job("large", "batch", 1, 8));
-        hall.run(job("large", "batch", 1, 8));
+        hall.schedule(job("large", "batch", 1, 8));
+        hall.schedule(job("large", "batch", 1, 8));
         hall
     };
     impossible_work_is_refused => {
         let mut hall = TestHall::new(config(1));
-        hall.run(job("large", "batch", 1, 9));
-        hall.run(gang("large", "batch", 9, 8, model::Adjacency::Rack));
-        hall.run(gang("large", "certificate", 8, 8, model::Adjacency::Rack));
-        hall.run(work::WorkItem {
+        hall.schedule(job("large", "batch", 1, 9));
+        hall.schedule(gang("large", "batch", 9, 8, model::Adjacency::Rack));
+        hall.schedule(gang("large", "certificate", 8, 8, model::Adjacency::Rack));
+        hall.schedule(work::WorkItem {
             guarantee: Some("rig".to_owned()),
             ..gang("small", "batch", 2, 8, model::Adjacency::Rack)
         });
-        hall.run(job("large", "no-such-class", 1, 1));
+        hall.schedule(job("large", "no-such-class", 1, 1));
         hall
     };
     deadline_that_cannot_be_met_is_told_early => {
         let mut hall = TestHall::new(config(1));
         for _ in 0..10 {
-            let work = hall.run(job("large", "batch", 1, 1));
-            hall.pass(secs(100));
-            hall.end(work);
+            let work = hall.schedule(job("large", "batch", 1, 1));
+            hall.advance(secs(100));
+            hall.succeed(work);
         }
         hall.log.clear();
-        hall.run(gang("large", "certificate", 7, 8, model::Adjacency::Rack));
+        hall.schedule(gang("large", "certificate", 7, 8, model::Adjacency::Rack));
         let deadline = Some(hall.now + secs(150));
-        hall.run(work::WorkItem { deadline, ..job("large", "certificate", 1, 8) });
-        hall.run(work::WorkItem { deadline, ..gang("large", "batch", 2, 8, model::Adjacency::Rack) });
-        hall.pass(secs(150));
+        hall.schedule(work::WorkItem { deadline, ..job("large", "certificate", 1, 8) });
+        hall.schedule(work::WorkItem { deadline, ..gang("large", "batch", 2, 8, model::Adjacency::Rack) });
+        hall.advance(secs(150));
         hall
     };
     failing_worker_is_quarantined_and_probed => {
@@ -188,22 +188,22 @@
         let mut hall = TestHall::new(config);
         let mut worker = String::new();
         for _ in 0..3 {
-            let work = hall.run(job("large", "certificate", 1, 1));
+            let work = hall.schedule(job("large", "certificate", 1, 1));
             worker.clone_from(&hall.workers_of(work)[0]);
-            hall.tell(HallEvent::Ended { work, exit: WorkExit::Failed { worker: worker.clone() } });
+            hall.apply_event(HallEvent::Ended { work, exit: WorkExit::Failed { worker: worker.clone() } });
         }
-        hall.pass(secs(61));
-        let probe = hall.run(job("large", "batch", 1, 1));
-        hall.end(probe);
+        hall.advance(secs(61));
+        let probe = hall.schedule(job("large", "batch", 1, 1));
+        hall.succeed(probe);
         hall
     };
     failing_job_is_its_own_fault => {
         let mut hall = TestHall::new(config(1));
-        let work = hall.run(job("large", "batch", 1, 1));
+        let work = hall.schedule(job("large", "batch", 1, 1));
         for _ in 0..3 {
             let worker = hall.workers_of(work)[0].clone();
-            hall.tell(HallEvent::Ended { work, exit: WorkExit::Failed { worker } });
-            hall.pass(secs(10));
+            hall.apply_event(HallEvent::Ended { work, exit: WorkExit::Failed { worker } });
+            hall.advance(secs(10));
         }
         hall
     };
@@ -211,39 +211,39 @@
         let mut config = config(1);
         config.halls[0].racks[0].workers = 2;
         let mut hall = TestHall::new(config);
-        hall.pass(secs(5));
-        hall.tell(HallEvent::WorkerLost("vadodara-r1-01".to_owned()));
-        hall.tell(HallEvent::WorkerLost("vadodara-r1-02".to_owned()));
-        hall.pass(secs(5));
-        hall.tell(HallEvent::WorkerBack("vadodara-r1-02".to_owned()));
+        hall.advance(secs(5));
+        hall.apply_event(HallEvent::WorkerLost("vadodara-r1-01".to_owned()));
+        hall.apply_event(HallEvent::WorkerLost("vadodara-r1-02".to_owned()));
+        hall.advance(secs(5));
+        hall.apply_event(HallEvent::WorkerBack("vadodara-r1-02".to_owned()));
         hall
     };
     overrun_is_throttled_and_stopped => {
         let mut hall = TestHall::new(config(1));
-        hall.run(job("large", "batch", 1, 1));
-        hall.pass(secs(2 * 3600));
+        hall.schedule(job("large", "batch", 1, 1));
+        hall.advance(secs(2 * 3600));
         hall
     };
     long_run_is_saved_now_and_then => {
         let mut hall = TestHall::new(config(1));
-        hall.run(gang("large", "ageing", 2, 8, model::Adjacency::Rack));
-        hall.pass(secs(1300));
+        hall.schedule(gang("large", "ageing", 2, 8, model::Adjacency::Rack));
+        hall.advance(secs(1300));
         hall
     };
     run_is_saved_more_often_while_urgent_work_is_about => {
         let mut hall = TestHall::new(config(2));
-        hall.run(job("small", "diagnosis", 1, 8));
-        hall.run(gang("large", "ageing", 1, 8, model::Adjacency::Rack));
-        hall.pass(secs(700));
+        hall.schedule(job("small", "diagnosis", 1, 8));
+        hall.schedule(gang("large", "ageing", 1, 8, model::Adjacency::Rack));
+        hall.advance(secs(700));
         hall
     };
     gang_of_a_lost_worker_starts_again_whole => {
         let mut hall = TestHall::new(config(1));
-        let work = hall.run(gang("large", "ageing", 4, 8, model::Adjacency::Rack));
+        let work = hall.schedule(gang("large", "ageing", 4, 8, model::Adjacency::Rack));
         let worker = hall.workers_of(work)[1].clone();
-        hall.pass(secs(60));
-        hall.tell(HallEvent::WorkerLost(worker.clone()));
-        hall.tell(HallEvent::Ended { work, exit: WorkExit::Lost { worker } });
+        hall.advance(secs(60));
+        hall.apply_event(HallEvent::WorkerLost(worker.clone()));
+        hall.apply_event(HallEvent::Ended { work, exit: WorkExit::Lost { worker } });
         hall
     };
     two_guarantees_are_claimed_together => {
@@ -255,11 +255,11 @@
         for _ in 0..16 {
             hall.submit(job("large", "batch", 1, 8));
         }
-        hall.turn();
+        hall.run_rounds();
         hall.log.clear();
         hall.submit(gang("third", "ageing", 4, 8, model::Adjacency::Rack));
         hall.submit(gang("small", "batch", 1, 8, model::Adjacency::Worker));
-        hall.turn();
+        hall.run_rounds();
         hall
     };
 }
