--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask};
 use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::placement_rules::ClaimRule;
@@ -162,8 +162,8 @@
         let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
         let Some(tasks) = self.cheapest_place(request, &rule, home) else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Claim, Some(home));
-        self.preempt_holders(index, ReserveKind::Claim);
+        self.reserve(index, tasks, ReservationKind::Claim, Some(home));
+        self.preempt_holders(index, ReservationKind::Claim);
         true
     }
 
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -40,7 +40,7 @@
     pub(crate) items: ItemTable,
     pub(crate) queue: WaitQueue,
     /// Items whose place is reserved.
-    pub(crate) reserving: BTreeSet<u32>,
+    pub(crate) reserved_items: BTreeSet<u32>,
     pub(crate) homes: Vec<HomeBlock>,
     /// Every guarantee of the configuration, for refusals that name the right hall.
     pub(crate) all_homes: Vec<homes::Home>,
@@ -91,7 +91,7 @@
             ledger: HallLedger::new(&topology),
             items: ItemTable::default(),
             queue: WaitQueue::default(),
-            reserving: BTreeSet::new(),
+            reserved_items: BTreeSet::new(),
             homes: Vec::new(),
             all_homes,
             homes_dirty: true,
@@ -213,7 +213,7 @@
     fn rebuild(&mut self) {
         let old = std::mem::take(&mut self.topology);
         let old_health = std::mem::take(&mut self.health);
-        let reserving: Vec<u32> = self.reserving.iter().copied().collect();
+        let reserving: Vec<u32> = self.reserved_items.iter().copied().collect();
         self.topology = old.clone();
         for it in reserving {
             self.unreserve_and_enqueue(it);
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -129,7 +129,7 @@
         let Some(deadline) = item.work.deadline else { return };
         let rule = &self.catalog.classes[item.class as usize];
         match item.state {
-            ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
+            ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
                 let least = self.estimate(item).low.saturating_sub(item.work.saved_run);
                 let latest = deadline - least;
                 if latest < self.now || deadline <= self.now {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -9,7 +9,7 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::item::{QueueItem, ReserveKind};
+use crate::item::{QueueItem, ReservationKind};
 use crate::ledger::{Booking, PlacedTask};
 use crate::placement::{self, PlacementRequest};
 use crate::placement_rules::FreeCapacityRule;
@@ -219,7 +219,7 @@
         if self.booking_of(index) == Booking::NonReclaimable && self.fits_in_homes(index) {
             return model::WaitCode::GuaranteeKept;
         }
-        let kept = self.limited_to_home_blocks(index) || !self.reserving.is_empty();
+        let kept = self.limited_to_home_blocks(index) || !self.reserved_items.is_empty();
         if kept && self.fits_in_blocks(index) {
             return model::WaitCode::ClearingBlock;
         }
@@ -296,8 +296,8 @@
             return false;
         };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Urgent, None);
-        self.preempt_holders(index, ReserveKind::Urgent);
+        self.reserve(index, tasks, ReservationKind::Urgent, None);
+        self.preempt_holders(index, ReservationKind::Urgent);
         true
     }
 
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -92,7 +92,7 @@
             saved_at: started_at,
             expected_free_at: self.now,
             stop_by: self.now,
-            urgent_width: 0,
+            urgent_accelerators: 0,
             checkpoint_requested_at: started_at,
             after_stop: AfterStop::Requeue,
             start_reported: false,
@@ -177,7 +177,7 @@
         item.cancelled = true;
         item.after_stop = AfterStop::End;
         match item.state {
-            ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
+            ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
                 self.finish_unplaced(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -12,7 +12,7 @@
 
 use crate::core::HallCore;
 use crate::decision::AfterStop;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::placement_rules::FreeCapacityRule;
@@ -84,7 +84,7 @@
 
 impl GangBlockRule<'_> {
     fn goes_before(&self, other: u32) -> bool {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let core = self.core;
         core.items.at(other).state == clearing
             && core.submitted_at(self.index) < core.submitted_at(other)
@@ -107,9 +107,9 @@
 
     /// Reserves blocks for the gangs that waited long enough.
     pub(crate) fn reserve_gang_blocks(&mut self) {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let mut n_clearing =
-            self.reserving.iter().filter(|it| self.items.at(**it).state == clearing).count();
+            self.reserved_items.iter().filter(|it| self.items.at(**it).state == clearing).count();
         let wants = |core: &HallCore, key: &GroupKey| {
             let narrow = key.tasks == 1 && key.demand.accelerators == 1;
             !narrow && !core.catalog.classes[key.class as usize].urgent
@@ -122,13 +122,13 @@
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.parameters.clearing_delay();
+            let due = entry.submitted_at + self.parameters.gang_reservation_delay();
             if self.now < due {
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full =
-                self.parameters.max_clearings() <= n_clearing && !self.is_overdue(entry.item);
+            let full = self.parameters.max_gang_reservations() <= n_clearing
+                && !self.is_overdue(entry.item);
             if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
@@ -172,7 +172,7 @@
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Clearing, None);
+        self.reserve(index, tasks, ReservationKind::Gang, None);
         let presses = self.is_overdue(index);
         self.items.at_mut(index).chosen_overdue = presses;
         if presses {
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -10,13 +10,13 @@
 
 /// Why accelerators are reserved for work that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReserveKind {
+pub(crate) enum ReservationKind {
     /// It claims a guarantee; whoever is there is stopped.
     Claim,
     /// It is urgent; whoever is there is stopped.
     Urgent,
     /// A gang for which a block is cleared as work there ends.
-    Clearing,
+    Gang,
 }
 
 /// Where work stands.
@@ -27,7 +27,7 @@
     /// Out of the queue until a time, after a failure.
     Delayed,
     /// Its place is reserved and becomes free.
-    Reserving(ReserveKind),
+    Reserved(ReservationKind),
     /// `Start` was decided.
     Starting,
     /// It runs.
@@ -71,7 +71,7 @@
     /// When its place is expected to open, while reserving.
     pub(crate) expected_free_at: time::WallTime,
     /// Accelerators by which it counts as urgent use while held.
-    pub(crate) urgent_width: u32,
+    pub(crate) urgent_accelerators: u32,
     /// When a checkpoint of a run that goes on was last asked for.
     pub(crate) checkpoint_requested_at: time::WallTime,
     /// When the checkpoint under way is cut short.
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -74,7 +74,7 @@
         account.usage.add(usage.times(item.work.tasks));
         account.requests += u32::from(request);
         if self.catalog.classes[item.class as usize].urgent {
-            item.urgent_width = width;
+            item.urgent_accelerators = width;
             self.headroom.urgent_held += width;
         }
         item.tasks = tasks;
@@ -96,8 +96,8 @@
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
         account.requests -= u32::from(request);
-        self.headroom.urgent_held -= item.urgent_width;
-        item.urgent_width = 0;
+        self.headroom.urgent_held -= item.urgent_accelerators;
+        item.urgent_accelerators = 0;
         let booking = item.booking;
         self.ledger.release(index, &tasks, usage, booking);
         self.note_capacity_change();
@@ -226,7 +226,7 @@
         };
         match self.items.at(index).state {
             ItemState::Waiting => self.dequeue(index),
-            ItemState::Reserving(_) => self.unreserve(index),
+            ItemState::Reserved(_) => self.unreserve(index),
             _ => {}
         }
         self.finish(index, outcome, reason);
--- a/crates/policy/src/parameters.rs
+++ b/crates/policy/src/parameters.rs
@@ -46,12 +46,12 @@
 
     /// How long a gang waits before a block is cleared for it: at once where fragmentation counts
     /// most, since a block takes the longer to open the later it is begun.
-    pub(crate) fn clearing_delay(&self) -> Duration {
+    pub(crate) fn gang_reservation_delay(&self) -> Duration {
         self.gang_wait.mul_f64((1.0 - self.fragmentation_weight) / 2.0)
     }
 
     /// Blocks cleared at a time. Each holds accelerators back, which costs completion time.
-    pub(crate) fn max_clearings(&self) -> usize {
+    pub(crate) fn max_gang_reservations(&self) -> usize {
         1 + ((MOST_CLEARINGS - 1.0) * self.fragmentation_weight) as usize
     }
 
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
-use crate::item::{ItemState, QueueItem, ReserveKind};
+use crate::item::{ItemState, QueueItem, ReservationKind};
 use crate::placement;
 use crate::reasons;
 use crate::topology::NONE;
@@ -22,7 +22,7 @@
                 model::WaitCode::Queued,
                 format!("pauses after {}", reasons::count(item.failures as usize, "failure")),
             ),
-            ItemState::Reserving(kind) => self.explain_reserving(index, kind),
+            ItemState::Reserved(kind) => self.explain_reserving(index, kind),
             ItemState::Starting => reasons::plain(
                 model::WaitCode::Queued,
                 format!("starts on {}", self.where_is(item)),
@@ -53,17 +53,17 @@
         }
     }
 
-    fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
+    fn explain_reserving(&self, index: u32, kind: ReservationKind) -> model::WaitReason {
         let opening = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(opening);
         match kind {
-            ReserveKind::Clearing => reasons::until(
+            ReservationKind::Gang => reasons::until(
                 model::WaitCode::ClearingBlock,
                 format!("waiting for {missing}, cleared by {by}"),
                 opening,
             ),
-            ReserveKind::Claim | ReserveKind::Urgent => reasons::until(
+            ReservationKind::Claim | ReservationKind::Urgent => reasons::until(
                 model::WaitCode::Reclaiming,
                 format!("waiting for {missing}, being reclaimed by {by}"),
                 opening,
@@ -194,7 +194,7 @@
             .filter_map(|it| self.queue.group(it))
             .map(|it| (it.key.tasks * it.key.demand.accelerators, it.key.adjacency));
         let reserving = self
-            .reserving
+            .reserved_items
             .iter()
             .map(|it| self.items.at(*it))
             .map(|it| (it.n_accelerators(), it.work.adjacency));
@@ -246,7 +246,7 @@
                 since: item.work.submitted_at,
             }
         };
-        self.reserving.iter().copied().chain(waiting).take(QUEUE_PAGE).map(view).collect()
+        self.reserved_items.iter().copied().chain(waiting).take(QUEUE_PAGE).map(view).collect()
     }
 
     fn draw_worker(&self, worker: usize, now: time::WallTime) -> model::WorkerView {
--- a/crates/policy/src/placement_rules.rs
+++ b/crates/policy/src/placement_rules.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::time;
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, Usage};
 use crate::placement::{PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
@@ -70,7 +70,7 @@
             return true;
         }
         let gang = self.core.items.at(reserved_for);
-        if gang.state != ItemState::Reserving(ReserveKind::Clearing) {
+        if gang.state != ItemState::Reserved(ReservationKind::Gang) {
             return false;
         }
         // A gang past its bound is held up by no run that might outlast the opening.
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -6,7 +6,7 @@
 
 use crate::core::HallCore;
 use crate::decision::AfterStop;
-use crate::item::{ItemState, QueueItem, ReserveKind};
+use crate::item::{ItemState, QueueItem, ReservationKind};
 use crate::ledger::PlacedTask;
 use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
@@ -147,10 +147,10 @@
     }
 
     /// Sends away whoever is in the place reserved for an item.
-    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
+    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReservationKind) {
         let grace = match kind {
-            ReserveKind::Urgent => self.parameters.urgent_grace(),
-            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.checkpoint_grace,
+            ReservationKind::Urgent => self.parameters.urgent_grace(),
+            ReservationKind::Claim | ReservationKind::Gang => self.parameters.checkpoint_grace,
         };
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
--- a/crates/policy/src/reservations.rs
+++ b/crates/policy/src/reservations.rs
@@ -3,7 +3,7 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::NONE;
@@ -15,7 +15,7 @@
         &mut self,
         index: u32,
         tasks: Vec<PlacedTask>,
-        kind: ReserveKind,
+        kind: ReservationKind,
         claim: Option<u32>,
     ) {
         let mut others: Vec<u32> = tasks
@@ -24,7 +24,7 @@
             .map(|it| self.ledger.reserved_for[*it as usize])
             .filter(|it| *it != NONE)
             .collect();
-        if kind == ReserveKind::Clearing {
+        if kind == ReservationKind::Gang {
             // A gang of tasks without accelerators shares its workers with no other reservation.
             let books = tasks.iter().filter(|it| it.accelerators.is_empty());
             let there =
@@ -42,10 +42,10 @@
         let now = self.now;
         let item = self.items.at_mut(index);
         item.tasks = tasks;
-        item.state = ItemState::Reserving(kind);
+        item.state = ItemState::Reserved(kind);
         item.state_since = now;
         item.expected_free_at = opening;
-        self.reserving.insert(index);
+        self.reserved_items.insert(index);
         if let Some(home) = claim {
             self.attach_claim(index, home);
         }
@@ -58,7 +58,7 @@
         let usage = self.usage_of(index);
         let tasks = std::mem::take(&mut self.items.at_mut(index).tasks);
         self.ledger.unreserve(index, &tasks, usage);
-        self.reserving.remove(&index);
+        self.reserved_items.remove(&index);
         self.note_capacity_change();
     }
 
@@ -111,10 +111,10 @@
             return;
         }
         self.reservation_check_version = self.capacity_version;
-        let all: Vec<u32> = self.reserving.iter().copied().collect();
+        let all: Vec<u32> = self.reserved_items.iter().copied().collect();
         for index in all {
             // An earlier one of this round may have pushed it aside.
-            if self.reserving.contains(&index) {
+            if self.reserved_items.contains(&index) {
                 self.check_reservation(index);
             }
         }
@@ -127,10 +127,10 @@
             self.unreserve_and_enqueue(index);
             return;
         }
-        let ItemState::Reserving(kind) = self.items.at(index).state else { return };
+        let ItemState::Reserved(kind) = self.items.at(index).state else { return };
         if self.is_free(index, &tasks) && self.spares_homes(index, &tasks) {
             self.start_reserved(index, kind);
-        } else if kind == ReserveKind::Clearing {
+        } else if kind == ReservationKind::Gang {
             self.refresh_gang_reservation(index);
         } else {
             self.preempt_holders(index, kind);
@@ -183,13 +183,13 @@
         })
     }
 
-    fn start_reserved(&mut self, index: u32, kind: ReserveKind) {
+    fn start_reserved(&mut self, index: u32, kind: ReservationKind) {
         let claim = self.items.at(index).claimed_home;
         let tasks = self.items.at(index).tasks.clone();
         self.unreserve(index);
         let reason = match (kind, claim) {
-            (ReserveKind::Claim, Some(home)) => self.claim_reason(home, "was reclaimed"),
-            (ReserveKind::Urgent, _) => {
+            (ReservationKind::Claim, Some(home)) => self.claim_reason(home, "was reclaimed"),
+            (ReservationKind::Urgent, _) => {
                 reasons::plain(model::WaitCode::Reclaiming, "urgent: its place was reclaimed")
             }
             _ => reasons::plain(model::WaitCode::ClearingBlock, "the block cleared for it is free"),
--- a/crates/policy/src/urgent_placement.rs
+++ b/crates/policy/src/urgent_placement.rs
@@ -1,7 +1,7 @@
 //! What urgent work may take from others.
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::Usage;
 use crate::placement::PlacementRule;
 use crate::placement_rules::FreeCapacityRule;
@@ -42,7 +42,7 @@
         let at = accelerator as usize;
         let worker = core.topology.worker_of[at];
         let reserved = core.ledger.reserved_for[at];
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         core.health[worker as usize].accepts_new_work(core.now)
             && !self.open.exclude.contains(&worker)
             && (!self.open.non_reclaimable || core.ledger.home[at] == NONE)
