--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -5,20 +5,20 @@
 
 use almondpass_schema::{ids, model, time};
 
+use crate::account_usage::{AccountUsage, HallCapacity};
 use crate::catalog::RuleCatalog;
 use crate::decision;
 use crate::estimates::EstimateTable;
 use crate::event;
 use crate::guarantee::HomeBlock;
-use crate::headroom::HeadroomBook;
+use crate::hall_policy;
+use crate::headroom::HeadroomBudget;
 use crate::health::WorkerHealth;
 use crate::homes;
 use crate::item_table::ItemTable;
 use crate::ledger::{Booking, HallLedger, Usage};
+use crate::parameters::PolicyParameters;
 use crate::queue::WaitQueue;
-use crate::scheduler;
-use crate::share::{AccountUse, HallCapacity};
-use crate::terms::PolicyTerms;
 use crate::timers::{TimerEntry, TimerKind, TimerQueue};
 use crate::topology::{HallTopology, NONE, WorkerSpec};
 use crate::work;
@@ -31,8 +31,8 @@
 pub struct HallCore {
     pub(crate) hall: ids::HallName,
     pub(crate) layout: model::HallLayout,
-    pub(crate) kinds: Vec<model::WorkerKind>,
-    pub(crate) terms: PolicyTerms,
+    pub(crate) worker_kinds: Vec<model::WorkerKind>,
+    pub(crate) parameters: PolicyParameters,
     pub(crate) topology: HallTopology,
     pub(crate) capacity: HallCapacity,
     pub(crate) catalog: RuleCatalog,
@@ -40,7 +40,7 @@
     pub(crate) items: ItemTable,
     pub(crate) queue: WaitQueue,
     /// Items whose place is reserved.
-    pub(crate) reserving: BTreeSet<u32>,
+    pub(crate) reserved_items: BTreeSet<u32>,
     pub(crate) homes: Vec<HomeBlock>,
     /// Every guarantee of the configuration, for refusals that name the right hall.
     pub(crate) all_homes: Vec<homes::Home>,
@@ -49,74 +49,74 @@
     /// Counts configurations.
     pub(crate) config_number: u64,
     /// When homes were last brought back to where they are in an empty hall.
-    pub(crate) restored_at: time::WallTime,
+    pub(crate) homes_restored_at: time::WallTime,
     pub(crate) health: Vec<WorkerHealth>,
     /// What is known of workers that the configuration does not have.
-    pub(crate) strangers: BTreeMap<ids::WorkerId, WorkerHealth>,
+    pub(crate) unlisted_health: BTreeMap<ids::WorkerId, WorkerHealth>,
     /// State of each worker as last decided.
-    pub(crate) told: Vec<model::WorkerState>,
+    pub(crate) reported_states: Vec<model::WorkerState>,
     pub(crate) failures: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
-    pub(crate) uses: Vec<AccountUse>,
-    pub(crate) headroom: HeadroomBook,
+    pub(crate) account_usage: Vec<AccountUsage>,
+    pub(crate) headroom: HeadroomBudget,
     pub(crate) timers: TimerQueue,
     pub(crate) outbox: Vec<decision::Decision>,
     /// Grows with everything by which work may fit that did not before.
-    pub(crate) version: u64,
-    pub(crate) reserved_version: u64,
+    pub(crate) capacity_version: u64,
+    pub(crate) reservation_check_version: u64,
     /// Whether the last turn stopped at its bound.
-    pub(crate) leftover: bool,
+    pub(crate) budget_exhausted: bool,
     /// Whether something was learned since the last turn.
-    pub(crate) stirred: bool,
-    pub(crate) began: time::WallTime,
+    pub(crate) changed_since_round: bool,
+    pub(crate) created_at: time::WallTime,
     pub(crate) now: time::WallTime,
 }
 
-impl scheduler::HallPolicy for HallCore {
+impl hall_policy::HallPolicy for HallCore {
     fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
-    ) -> Result<HallCore, scheduler::PolicyFault> {
+    ) -> Result<HallCore, hall_policy::PolicyFault> {
         let layout = find_hall(&config, hall)?.clone();
         let all_homes = homes::assign(&config)?;
         let topology = HallTopology::new(&layout, &config.worker_kinds);
         let mut core = HallCore {
             hall: hall.clone(),
             layout,
-            kinds: config.worker_kinds.clone(),
-            terms: PolicyTerms::new(&config),
+            worker_kinds: config.worker_kinds.clone(),
+            parameters: PolicyParameters::new(&config),
             capacity: HallCapacity::default(),
             catalog: RuleCatalog::default(),
             ledger: HallLedger::new(&topology),
             items: ItemTable::default(),
             queue: WaitQueue::default(),
-            reserving: BTreeSet::new(),
+            reserved_items: BTreeSet::new(),
             homes: Vec::new(),
             all_homes,
             homes_dirty: true,
             homes_version: 0,
             config_number: 1,
-            restored_at: time::WallTime::default(),
+            homes_restored_at: time::WallTime::default(),
             health: topology.workers.iter().map(|_| WorkerHealth::new()).collect(),
-            strangers: BTreeMap::new(),
-            told: vec![model::WorkerState::Lost; topology.workers.len()],
+            unlisted_health: BTreeMap::new(),
+            reported_states: vec![model::WorkerState::Lost; topology.workers.len()],
             failures: crate::probing::FailureRates::default(),
             estimates: EstimateTable::default(),
-            uses: Vec::new(),
-            headroom: HeadroomBook::default(),
+            account_usage: Vec::new(),
+            headroom: HeadroomBudget::default(),
             timers: TimerQueue::default(),
             outbox: Vec::new(),
-            version: 1,
-            reserved_version: 0,
-            leftover: false,
-            stirred: true,
-            began: now,
+            capacity_version: 1,
+            reservation_check_version: 0,
+            budget_exhausted: false,
+            changed_since_round: true,
+            created_at: now,
             now,
             topology,
         };
         core.adopt_rules(&config);
-        core.set_timer(now + SETTLE_TIME, TimerKind::Capacity, NONE);
+        core.set_timer(now + SETTLE_TIME, TimerKind::CapacityCheck, NONE);
         Ok(core)
     }
 
@@ -124,52 +124,52 @@
         &mut self,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
-    ) -> Result<(), scheduler::PolicyFault> {
+    ) -> Result<(), hall_policy::PolicyFault> {
         let layout = find_hall(&config, &self.hall)?.clone();
         let all_homes = homes::assign(&config)?;
         self.now = now;
         self.all_homes = all_homes;
-        if layout != self.layout || config.worker_kinds != self.kinds {
+        if layout != self.layout || config.worker_kinds != self.worker_kinds {
             self.layout = layout;
-            self.kinds = config.worker_kinds.clone();
+            self.worker_kinds = config.worker_kinds.clone();
             self.rebuild();
         }
         self.config_number += 1;
-        self.terms = PolicyTerms::new(&config);
+        self.parameters = PolicyParameters::new(&config);
         self.adopt_rules(&config);
         self.rebook_all();
         self.queue.unblock();
-        self.bump();
+        self.note_capacity_change();
         Ok(())
     }
 
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime) {
         self.now = now;
-        self.stirred = true;
-        self.take_in(event);
+        self.changed_since_round = true;
+        self.handle_event(event);
     }
 
-    fn turn(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
+    fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         self.now = now;
-        self.leftover = false;
-        self.stirred = false;
+        self.budget_exhausted = false;
+        self.changed_since_round = false;
         self.fire_timers();
-        self.tell_workers();
-        self.keep_homes();
+        self.report_worker_states();
+        self.repair_homes();
         self.check_reservations();
-        self.measure_headroom();
+        self.update_headroom();
         self.serve_claims();
         self.probe_workers();
         self.dispatch();
-        self.clear_blocks();
+        self.reserve_gang_blocks();
         std::mem::take(&mut self.outbox)
     }
 
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
-        if self.leftover || self.stirred || !self.outbox.is_empty() {
+        if self.budget_exhausted || self.changed_since_round || !self.outbox.is_empty() {
             return Some(now);
         }
-        self.timers.next()
+        self.timers.next_due()
     }
 
     fn reason(&self, work: &work::WorkId, now: time::WallTime) -> Option<model::WaitReason> {
@@ -182,7 +182,7 @@
     }
 
     fn picture(&self, now: time::WallTime) -> model::HallPicture {
-        self.draw(now)
+        self.build_picture(now)
     }
 }
 
@@ -190,7 +190,7 @@
     /// Takes classes, accounts, drains and guarantees from a configuration.
     fn adopt_rules(&mut self, config: &model::ConfigDocument) {
         self.catalog.configure(&self.hall, config);
-        self.uses.resize(self.catalog.accounts.len(), AccountUse::default());
+        self.account_usage.resize(self.catalog.accounts.len(), AccountUsage::default());
         for (worker, health) in self.health.iter_mut().enumerate() {
             let spec = &self.topology.workers[worker];
             let named = |it: &model::DrainOrder| {
@@ -198,14 +198,14 @@
             };
             // A worker that the configuration no longer has runs its work to the end. Without this
             // it looks as live as before, and new work starts on a machine that is being taken away.
-            health.drained = spec.rack == NONE || config.drains.iter().any(named);
+            health.drained_by_config = spec.rack == NONE || config.drains.iter().any(named);
         }
         self.capacity = HallCapacity::default();
         for spec in self.topology.workers.iter().filter(|it| it.rack != NONE) {
             self.capacity.accelerators += spec.accelerators;
             self.capacity.usage.add(Usage::capacity(spec));
         }
-        self.adopt_homes();
+        self.configure_homes();
     }
 
     /// Lays the hall out anew and books running work again. Workers that the configuration no
@@ -213,16 +213,16 @@
     fn rebuild(&mut self) {
         let old = std::mem::take(&mut self.topology);
         let old_health = std::mem::take(&mut self.health);
-        let reserving: Vec<u32> = self.reserving.iter().copied().collect();
+        let reserving: Vec<u32> = self.reserved_items.iter().copied().collect();
         self.topology = old.clone();
         for it in reserving {
-            self.withdraw(it);
+            self.unreserve_and_enqueue(it);
         }
-        self.leave_homes();
-        self.topology = HallTopology::new(&self.layout, &self.kinds);
+        self.remove_all_blocks();
+        self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
         let mut moved: Vec<u32> = Vec::with_capacity(old.workers.len());
         for spec in &old.workers {
-            let index = self.topology.find(&spec.name);
+            let index = self.topology.find_worker(&spec.name);
             let busy = !self.ledger.workers[moved.len()].items.is_empty();
             let lacks = index.is_none_or(|it| {
                 self.topology.workers[it as usize].accelerators < spec.accelerators
@@ -234,16 +234,17 @@
             });
         }
         self.ledger = HallLedger::new(&self.topology);
-        let strangers = &mut self.strangers;
-        let known = |it: &WorkerSpec| strangers.remove(&it.name).unwrap_or_else(WorkerHealth::new);
+        let unlisted_health = &mut self.unlisted_health;
+        let known =
+            |it: &WorkerSpec| unlisted_health.remove(&it.name).unwrap_or_else(WorkerHealth::new);
         self.health = self.topology.workers.iter().map(known).collect();
-        self.told = vec![model::WorkerState::Lost; self.health.len()];
+        self.reported_states = vec![model::WorkerState::Lost; self.health.len()];
         for (index, health) in old_health.into_iter().enumerate() {
             if moved[index] != NONE {
-                self.told[moved[index] as usize] = health.state(self.now);
+                self.reported_states[moved[index] as usize] = health.state(self.now);
                 self.health[moved[index] as usize] = health;
             } else {
-                self.strangers.insert(old.workers[index].name.clone(), health);
+                self.unlisted_health.insert(old.workers[index].name.clone(), health);
             }
         }
         self.rebook_moved(&old, &moved);
@@ -258,13 +259,13 @@
             let there = |it: &u32| moved.get(*it as usize).copied().filter(|it| *it != NONE);
             item.exclude = item.exclude.iter().filter_map(there).collect();
             item.failed_on = item.failed_on.iter().filter_map(there).collect();
-            if !item.state.holds() {
+            if !item.state.holds_accelerators() {
                 continue;
             }
             for task in &mut item.tasks {
-                let from = old.workers[task.worker as usize].first;
+                let from = old.workers[task.worker as usize].first_accelerator;
                 task.worker = moved[task.worker as usize];
-                let to = topology.workers[task.worker as usize].first;
+                let to = topology.workers[task.worker as usize].first_accelerator;
                 for it in &mut task.accelerators {
                     *it = *it - from + to;
                 }
@@ -281,7 +282,7 @@
         let all: Vec<u32> = self
             .items
             .iter()
-            .filter(|(_, it)| it.state.holds() && it.booking != Booking::Claim)
+            .filter(|(_, it)| it.state.holds_accelerators() && it.booking != Booking::Claim)
             .map(|(index, _)| index)
             .collect();
         for index in all {
@@ -300,9 +301,9 @@
     }
 
     /// Notes that work may fit that did not before.
-    pub(crate) fn bump(&mut self) {
-        self.version += 1;
-        self.stirred = true;
+    pub(crate) fn note_capacity_change(&mut self) {
+        self.capacity_version += 1;
+        self.changed_since_round = true;
     }
 
     /// Looks at an item again at a time.
@@ -335,7 +336,7 @@
 fn find_hall<'a>(
     config: &'a model::ConfigDocument,
     hall: &ids::HallName,
-) -> Result<&'a model::HallLayout, scheduler::PolicyFault> {
+) -> Result<&'a model::HallLayout, hall_policy::PolicyFault> {
     let found = config.halls.iter().find(|it| it.name == *hall);
-    found.ok_or_else(|| scheduler::PolicyFault::NoHall(hall.clone()))
+    found.ok_or_else(|| hall_policy::PolicyFault::UnknownHall(hall.clone()))
 }
--- a/crates/policy/src/clearing.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -11,19 +11,19 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::decision::StopFate;
-use crate::item::{ItemState, ReserveKind};
-use crate::ledger::{Booking, HeldTask, Usage};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::decision::AfterStop;
+use crate::item::{ItemState, ReservationKind};
+use crate::ledger::{Booking, PlacedTask, Usage};
+use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::FreeCapacityRule;
 use crate::queue::GroupKey;
 use crate::reasons;
-use crate::reserve;
-use crate::rules::OpenRule;
+use crate::reservations;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
 /// Gangs for which a block is sought in one turn.
-const SEARCHES_A_TURN: usize = 4;
+const MAX_SEARCHES_PER_ROUND: usize = 4;
 /// A block that opens later by this for each accelerator is preferred if it lies in home blocks,
 /// which are closed to what can't be reclaimed.
 const OUTSIDE_DELAY: Duration = Duration::from_secs(60);
@@ -31,7 +31,7 @@
 const SLIP: f64 = 0.25;
 
 /// Everything that will be free some day.
-struct ClearRule<'a> {
+struct GangBlockRule<'a> {
     core: &'a HallCore,
     index: u32,
     usage: Usage,
@@ -43,55 +43,57 @@
     exclude: &'a [u32],
 }
 
-impl PlaceRule for ClearRule<'_> {
-    fn opens(&self, worker: u32) -> bool {
+impl PlacementRule for GangBlockRule<'_> {
+    fn allows_worker(&self, worker: u32) -> bool {
         let others = &self.core.ledger.workers[worker as usize].reservations;
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
             && others.iter().all(|it| self.overdue && self.goes_before(*it))
     }
 
-    fn allows(&self, accelerator: u32) -> bool {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         let ledger = &self.core.ledger;
         let worker = self.core.topology.worker_of[at];
-        let reserved = ledger.reserved[at];
+        let reserved = ledger.reserved_for[at];
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
             && (!self.hard || ledger.home[at] == NONE)
             && (!self.homes_only || ledger.home[at] != NONE)
             && (reserved == NONE || self.overdue && self.goes_before(reserved))
-            && (ledger.holder[at] == NONE || self.core.items.at(ledger.holder[at]).claim.is_none())
+            && (ledger.holder[at] == NONE
+                || self.core.items.at(ledger.holder[at]).claimed_home.is_none())
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         let spec = &self.core.topology.workers[worker as usize];
         let book = &self.core.ledger.workers[worker as usize];
         let whole = Usage::capacity(spec);
         let kept = if self.hard { book.home_accelerators } else { 0 };
-        whole.minus(Usage::share(spec, kept)).tasks(self.usage)
+        whole.minus(Usage::share(spec, kept)).max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
 
-impl ClearRule<'_> {
+impl GangBlockRule<'_> {
     fn goes_before(&self, other: u32) -> bool {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let core = self.core;
-        core.items.at(other).state == clearing && core.submitted(self.index) < core.submitted(other)
+        core.items.at(other).state == clearing
+            && core.submitted_at(self.index) < core.submitted_at(other)
     }
 }
 
 /// A block and when it opens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct ClearScore {
+struct GangBlockScore {
     opening: time::WallTime,
     n_held: usize,
     start: u32,
@@ -99,15 +101,15 @@
 
 impl HallCore {
     /// Whether a gang has waited its bound.
-    pub(crate) fn overdue(&self, index: u32) -> bool {
-        self.terms.gang_wait <= self.waited(index)
+    pub(crate) fn is_overdue(&self, index: u32) -> bool {
+        self.parameters.gang_wait <= self.wait_time(index)
     }
 
     /// Reserves blocks for the gangs that waited long enough.
-    pub(crate) fn clear_blocks(&mut self) {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+    pub(crate) fn reserve_gang_blocks(&mut self) {
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let mut n_clearing =
-            self.reserving.iter().filter(|it| self.items.at(**it).state == clearing).count();
+            self.reserved_items.iter().filter(|it| self.items.at(**it).state == clearing).count();
         let wants = |core: &HallCore, key: &GroupKey| {
             let narrow = key.tasks == 1 && key.demand.accelerators == 1;
             !narrow && !core.catalog.classes[key.class as usize].urgent
@@ -116,65 +118,68 @@
         let mut searches = 0;
         for group in self.ranked_groups(wants) {
             let Some(it) = self.queue.group(group) else { continue };
-            if it.blocked_at != Some(self.version) {
+            if it.blocked_at_version != Some(self.capacity_version) {
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.terms.clearing_after();
+            let due = entry.submitted_at + self.parameters.gang_reservation_delay();
             if self.now < due {
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.terms.clearings() <= n_clearing && !self.overdue(entry.item);
-            if full || self.held_back(entry.item).is_some() {
+            let full = self.parameters.max_gang_reservations() <= n_clearing
+                && !self.is_overdue(entry.item);
+            if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
-            if SEARCHES_A_TURN <= searches {
+            if MAX_SEARCHES_PER_ROUND <= searches {
                 break;
             }
             searches += 1;
-            if self.clear_block(entry.item) {
+            if self.reserve_gang_block(entry.item) {
                 n_clearing += 1;
-            } else if self.overdue(entry.item) && self.booking_of(entry.item) == Booking::Hard {
-                self.restore_homes();
+            } else if self.is_overdue(entry.item)
+                && self.booking_of(entry.item) == Booking::NonReclaimable
+            {
+                self.restore_canonical_blocks();
             }
         }
         if let Some(at) = wake {
-            self.set_timer(at, TimerKind::Patience, NONE);
+            self.set_timer(at, TimerKind::WaitOver, NONE);
         }
     }
 
-    fn clear_block(&mut self, index: u32) -> bool {
+    fn reserve_gang_block(&mut self, index: u32) -> bool {
         let item = self.items.at(index);
-        let ask = PlaceAsk::of(&item.work);
-        let rule = ClearRule {
+        let request = PlacementRequest::of(&item.work);
+        let rule = GangBlockRule {
             core: self,
             index,
-            usage: ask.usage,
-            hard: self.booking_of(index) == Booking::Hard,
-            homes_only: self.crowds(index) && !self.overdue(index),
-            overdue: self.overdue(index),
+            usage: request.usage,
+            hard: self.booking_of(index) == Booking::NonReclaimable,
+            homes_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
+            overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
-        let ends = if ask.width == 0 { Vec::new() } else { self.ends(index) };
-        let scattered = 1 < ask.tasks && ask.adjacency == model::Adjacency::Any;
-        let found = if ask.width == 0 {
-            self.earliest_bare(&ask, &rule)
+        let ends = if request.accelerators_per_task == 0 { Vec::new() } else { self.ends(index) };
+        let scattered = 1 < request.tasks && request.adjacency == model::Adjacency::Any;
+        let found = if request.accelerators_per_task == 0 {
+            self.earliest_bare(&request, &rule)
         } else if scattered {
-            self.earliest_scattered(&ask, &rule, &ends)
+            self.earliest_scattered(&request, &rule, &ends)
         } else {
-            self.earliest_run(&ask, &rule, &ends)
+            self.earliest_run(&request, &rule, &ends)
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Clearing, None);
-        let presses = self.overdue(index);
-        self.items.at_mut(index).presses = presses;
+        self.reserve(index, tasks, ReservationKind::Gang, None);
+        let presses = self.is_overdue(index);
+        self.items.at_mut(index).chosen_overdue = presses;
         if presses {
-            self.move_younger(index);
+            self.preempt_younger(index);
         } else {
-            let due = self.submitted(index) + self.terms.gang_wait;
-            self.set_timer(due, TimerKind::Patience, NONE);
+            let due = self.submitted_at(index) + self.parameters.gang_wait;
+            self.set_timer(due, TimerKind::WaitOver, NONE);
         }
         true
     }
@@ -187,10 +192,11 @@
                 return self.now;
             }
             if holder != last.0 {
-                let away = self.now + self.terms.grace + self.terms.margin;
-                let makes_way = self.makes_way(holder, index);
+                let away =
+                    self.now + self.parameters.checkpoint_grace + self.parameters.stop_margin;
+                let yields_to_gang = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
-                last = (holder, if makes_way { end.min(away) } else { end });
+                last = (holder, if yields_to_gang { end.min(away) } else { end });
             }
             last.1
         };
@@ -199,22 +205,27 @@
 
     fn earliest_run(
         &self,
-        ask: &PlaceAsk,
-        rule: &ClearRule<'_>,
+        request: &PlacementRequest,
+        rule: &GangBlockRule<'_>,
         ends: &[time::WallTime],
-    ) -> Option<Vec<HeldTask>> {
+    ) -> Option<Vec<PlacedTask>> {
         let mut starts = Vec::new();
-        let mut best: Option<ClearScore> = None;
+        let mut best: Option<GangBlockScore> = None;
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
-            let inner = if ask.total() < spec.accelerators { spec.end() } else { spec.first + 1 };
-            for start in spec.first..inner {
-                let Some(end) = placement::walk(&self.topology, ask, rule, start, &mut starts)
+            let inner = if request.total_accelerators() < spec.accelerators {
+                spec.accelerators_end()
+            } else {
+                spec.first_accelerator + 1
+            };
+            for start in spec.first_accelerator..inner {
+                let Some(end) =
+                    placement::place_run_at(&self.topology, request, rule, start, &mut starts)
                 else {
                     continue;
                 };
                 let all = start as usize..end as usize;
                 let held = &self.ledger.holder[all.clone()];
-                let score = ClearScore {
+                let score = GangBlockScore {
                     opening: ends[all].iter().copied().max().unwrap_or(self.now)
                         + OUTSIDE_DELAY * self.n_outside(start, end),
                     n_held: held.iter().filter(|it| **it != NONE).count(),
@@ -225,8 +236,8 @@
                 }
             }
         }
-        placement::walk(&self.topology, ask, rule, best?.start, &mut starts)?;
-        Some(placement::held(&self.topology, ask.width, &starts))
+        placement::place_run_at(&self.topology, request, rule, best?.start, &mut starts)?;
+        Some(placement::placed_tasks(&self.topology, request.accelerators_per_task, &starts))
     }
 
     /// Accelerators of a run that lie beside home blocks.
@@ -236,61 +247,75 @@
     }
 
     /// Workers whose cores, memory and slots are expected to be free first.
-    fn earliest_bare(&self, ask: &PlaceAsk, rule: &ClearRule<'_>) -> Option<Vec<HeldTask>> {
-        let together = ask.adjacency == model::Adjacency::Worker;
+    fn earliest_bare(
+        &self,
+        request: &PlacementRequest,
+        rule: &GangBlockRule<'_>,
+    ) -> Option<Vec<PlacedTask>> {
+        let together = request.adjacency == model::Adjacency::Worker;
         let mut places: Vec<(time::WallTime, u32)> = Vec::new();
         for worker in 0..self.topology.workers.len() as u32 {
-            let most = if rule.opens(worker) { rule.room(worker).min(ask.tasks) } else { 0 };
-            let steps = if together { ask.tasks..=most } else { 1..=most };
-            let at = |n: u32| (self.usage_opening(worker, ask.usage.times(n)), worker);
+            let most = if rule.allows_worker(worker) {
+                rule.task_capacity(worker).min(request.tasks)
+            } else {
+                0
+            };
+            let steps = if together { request.tasks..=most } else { 1..=most };
+            let at = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
             places.extend(steps.map(at));
         }
         places.sort_unstable();
-        let task = |worker: u32| HeldTask { worker, accelerators: Vec::new() };
+        let task = |worker: u32| PlacedTask { worker, accelerators: Vec::new() };
         if together {
             let (_, worker) = places.first()?;
-            return Some(vec![task(*worker); ask.tasks as usize]);
+            return Some(vec![task(*worker); request.tasks as usize]);
         }
-        if ask.adjacency == model::Adjacency::Rack {
-            let rack = self.first_full_rack(ask, &places)?;
+        if request.adjacency == model::Adjacency::Rack {
+            let rack = self.first_full_rack(request, &places)?;
             places.retain(|(_, worker)| self.topology.workers[*worker as usize].rack == rack);
         }
-        let mut tasks: Vec<HeldTask> =
-            places.into_iter().take(ask.tasks as usize).map(|(_, it)| task(it)).collect();
+        let mut tasks: Vec<PlacedTask> =
+            places.into_iter().take(request.tasks as usize).map(|(_, it)| task(it)).collect();
         tasks.sort_by_key(|it| it.worker);
-        (tasks.len() as u32 == ask.tasks).then_some(tasks)
+        (tasks.len() as u32 == request.tasks).then_some(tasks)
     }
 
     /// The rack that first has room for all tasks.
-    fn first_full_rack(&self, ask: &PlaceAsk, places: &[(time::WallTime, u32)]) -> Option<u32> {
+    fn first_full_rack(
+        &self,
+        request: &PlacementRequest,
+        places: &[(time::WallTime, u32)],
+    ) -> Option<u32> {
         let mut counts = vec![0; self.topology.racks.len()];
         places.iter().find_map(|(_, worker)| {
             let rack = self.topology.workers[*worker as usize].rack;
             let count = counts.get_mut(rack as usize)?;
             *count += 1;
-            (*count == ask.tasks).then_some(rack)
+            (*count == request.tasks).then_some(rack)
         })
     }
 
     fn earliest_scattered(
         &self,
-        ask: &PlaceAsk,
-        rule: &ClearRule<'_>,
+        request: &PlacementRequest,
+        rule: &GangBlockRule<'_>,
         ends: &[time::WallTime],
-    ) -> Option<Vec<HeldTask>> {
-        let single = PlaceAsk { tasks: 1, ..*ask };
+    ) -> Option<Vec<PlacedTask>> {
+        let single = PlacementRequest { tasks: 1, ..*request };
         let mut task = Vec::new();
         let mut places = Vec::new();
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
-            let mut start = spec.first;
-            while start + ask.width <= spec.end() {
-                if placement::walk(&self.topology, &single, rule, start, &mut task).is_none() {
+            let mut start = spec.first_accelerator;
+            while start + request.accelerators_per_task <= spec.accelerators_end() {
+                if placement::place_run_at(&self.topology, &single, rule, start, &mut task)
+                    .is_none()
+                {
                     start += 1;
                     continue;
                 }
-                let all = start as usize..(start + ask.width) as usize;
+                let all = start as usize..(start + request.accelerators_per_task) as usize;
                 places.push((ends[all].iter().copied().max().unwrap_or(self.now), start));
-                start += ask.width;
+                start += request.accelerators_per_task;
             }
         }
         places.sort_unstable();
@@ -298,62 +323,64 @@
         let mut chosen: Vec<u32> = Vec::new();
         for (_, start) in places {
             let worker = self.topology.worker_of[start as usize];
-            let full = ask.tasks <= chosen.len() as u32;
-            if !full && used[worker as usize] < rule.room(worker) {
+            let full = request.tasks <= chosen.len() as u32;
+            if !full && used[worker as usize] < rule.task_capacity(worker) {
                 used[worker as usize] += 1;
                 chosen.push(start);
             }
         }
         chosen.sort_unstable();
-        (chosen.len() as u32 == ask.tasks)
-            .then(|| placement::held(&self.topology, ask.width, &chosen))
+        (chosen.len() as u32 == request.tasks).then(|| {
+            placement::placed_tasks(&self.topology, request.accelerators_per_task, &chosen)
+        })
     }
 
     /// Looks again at a block that is being cleared: another place may be free, or its opening may
     /// have slipped.
-    pub(crate) fn refresh_clearing(&mut self, index: u32) {
+    pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
-        let ask = PlaceAsk::of(&item.work);
-        let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
-        if let Some(tasks) = placement::best(&self.topology, &ask, &rule) {
+        let request = PlacementRequest::of(&item.work);
+        let rule =
+            FreeCapacityRule { home_blocks_only: false, ..FreeCapacityRule::new(self, index) };
+        if let Some(tasks) = placement::best(&self.topology, &request, &rule) {
             let reason = self.start_reason(&tasks);
             self.unreserve(index);
             self.start(index, tasks, None, reason);
             return;
         }
-        let opening = self.opening(index, &item.tasks);
-        if self.overdue(index) && !item.presses {
+        let opening = self.expected_free_at(index, &item.tasks);
+        if self.is_overdue(index) && !item.chosen_overdue {
             // Chosen anew, it counts on younger work to make way.
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
             return;
         }
-        let planned = item.opening.since(item.since);
-        let slipped = opening.since(item.opening);
-        if planned.mul_f64(SLIP) < slipped && !self.overdue(index) {
-            self.withdraw(index);
+        let planned = item.expected_free_at.since(item.state_since);
+        let slipped = opening.since(item.expected_free_at);
+        if planned.mul_f64(SLIP) < slipped && !self.is_overdue(index) {
+            self.unreserve_and_enqueue(index);
         } else {
-            self.items.at_mut(index).opening = opening;
+            self.items.at_mut(index).expected_free_at = opening;
         }
     }
 
     /// Whether held work makes way for a gang that is overdue: it saves its run, is younger and of no
     /// higher priority, so that in order of age the gang would have had the place.
-    fn makes_way(&self, holder: u32, index: u32) -> bool {
+    fn yields_to_gang(&self, holder: u32, index: u32) -> bool {
         let (item, gang) = (self.items.at(holder), self.items.at(index));
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[gang.class as usize];
-        self.overdue(index)
+        self.is_overdue(index)
             && rule.checkpoint
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && !rule.urgent
             && rule.priority <= other.priority
-            && item.claim.is_none()
+            && item.claimed_home.is_none()
             && gang.work.submitted_at < item.work.submitted_at
     }
 
     /// Sends younger work that saves its run out of the block of an overdue gang.
-    fn move_younger(&mut self, index: u32) {
+    fn preempt_younger(&mut self, index: u32) {
         let holders: BTreeSet<u32> = self
             .items
             .at(index)
@@ -365,10 +392,15 @@
             .collect();
         for it in holders {
             let running = self.items.at(it).state == ItemState::Running;
-            if running && self.makes_way(it, index) {
+            if running && self.yields_to_gang(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.wind_down(it, self.terms.grace, StopFate::Requeue, reason);
+                self.checkpoint_and_stop(
+                    it,
+                    self.parameters.checkpoint_grace,
+                    AfterStop::Requeue,
+                    reason,
+                );
             }
         }
     }
@@ -378,13 +410,15 @@
         let item = self.items.at(index);
         let held = |it: &u32| self.ledger.holder[*it as usize] != NONE;
         let usage = self.usage_of(index);
-        let missing = |(worker, here): &(u32, &[HeldTask])| {
+        let missing = |(worker, here): &(u32, &[PlacedTask])| {
             let needed = usage.times(here.len() as u32);
             here.iter().flat_map(|it| &it.accelerators).any(held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
         };
-        let workers: Vec<u32> =
-            reserve::by_worker(&item.tasks).filter(missing).map(|(worker, _)| worker).collect();
+        let workers: Vec<u32> = reservations::tasks_by_worker(&item.tasks)
+            .filter(missing)
+            .map(|(worker, _)| worker)
+            .collect();
         let first = workers.first().or(item.tasks.first().map(|it| &it.worker)).copied();
         let rack = first.map_or("", |it| self.topology.rack_name(it));
         let n = reasons::count(workers.len(), "more adjacent worker");
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -10,7 +10,7 @@
 use crate::health::WorkerHealth;
 use crate::item::ItemState;
 use crate::ledger::{Booking, Usage};
-use crate::placement::{self, PlaceAsk, PlaceRule};
+use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
@@ -50,31 +50,31 @@
     usage: Usage,
 }
 
-impl PlaceRule for ProbeRule<'_> {
-    fn allows(&self, accelerator: u32) -> bool {
+impl PlacementRule for ProbeRule<'_> {
+    fn allows_accelerator(&self, accelerator: u32) -> bool {
         let at = accelerator as usize;
         self.core.topology.worker_of[at] == self.worker && self.core.ledger.holder[at] == NONE
     }
 
-    fn room(&self, worker: u32) -> u32 {
+    fn task_capacity(&self, worker: u32) -> u32 {
         if worker != self.worker {
             return 0;
         }
-        self.core.ledger.workers[worker as usize].free.tasks(self.usage)
+        self.core.ledger.workers[worker as usize].free.max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
         0
     }
 
-    fn bare_rank(&self, _worker: u32) -> i64 {
+    fn cpu_only_rank(&self, _worker: u32) -> i64 {
         0
     }
 }
 
 impl HallCore {
     /// Counts a failure against the worker, as far as it is not the work's own.
-    pub(crate) fn blame(&mut self, index: u32, worker: u32, work: work::WorkId) {
+    pub(crate) fn record_failure(&mut self, index: u32, worker: u32, work: work::WorkId) {
         let item = self.items.at_mut(index);
         item.failures += 1;
         if !item.failed_on.contains(&worker) {
@@ -82,7 +82,7 @@
         }
         let (account, class) = (item.account, item.class);
         let elsewhere = 1 < item.failed_on.len();
-        let first = !self.health[worker as usize].suspect();
+        let first = !self.health[worker as usize].has_failure_streak();
         // Only the first failure of a streak counts for the class: a failing worker would otherwise
         // make every class that it touches look faulty, and so be excused.
         let rate = self.failures.rate(account, class);
@@ -90,69 +90,69 @@
             self.failures.record(account, class, true);
         }
         if elsewhere && self.health[worker as usize].probe != Some(work) {
-            self.forgive_all(index);
+            self.withdraw_failures(index);
             return;
         }
         let weight = (1.0 - rate).max(LEAST_WEIGHT);
-        if self.health[worker as usize].failed(work, weight, self.now) {
+        if self.health[worker as usize].record_failure(work, weight, self.now) {
             self.homes_dirty = true;
             if let Some(at) = self.health[worker as usize].quarantined_until {
-                self.set_timer(at, TimerKind::Capacity, NONE);
-                self.set_timer(at + PROBE_PATIENCE, TimerKind::Capacity, NONE);
+                self.set_timer(at, TimerKind::CapacityCheck, NONE);
+                self.set_timer(at + PROBE_PATIENCE, TimerKind::CapacityCheck, NONE);
             }
         }
     }
 
     /// Takes back what was counted against workers for this work.
-    pub(crate) fn forgive_all(&mut self, index: u32) {
+    pub(crate) fn withdraw_failures(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         for it in item.failed_on.clone() {
-            self.health[it as usize].forgive(work);
+            self.health[it as usize].withdraw_failure(work);
         }
     }
 
     /// Counts a success for the workers.
-    pub(crate) fn credit(&mut self, index: u32) {
+    pub(crate) fn record_success(&mut self, index: u32) {
         let item = self.items.at(index);
-        let work = item.work.work;
+        let work = item.work.id;
         self.failures.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
             let out = !health.usable();
-            health.succeeded(work);
+            health.record_success(work);
             if out && health.usable() {
                 self.homes_dirty = true;
-                self.version += 1;
+                self.capacity_version += 1;
             }
         }
     }
 
     /// Forgets that work is a probe.
-    pub(crate) fn unprobe(&mut self, index: u32) {
+    pub(crate) fn abandon_probe(&mut self, index: u32) {
         let item = self.items.at(index);
         for it in &item.tasks {
-            self.health[it.worker as usize].unprobe(item.work.work);
+            self.health[it.worker as usize].abandon_probe(item.work.id);
         }
     }
 
     /// Leaves a worker alone for a while.
     pub(crate) fn pause_worker(&mut self, worker: u32) {
         let at = self.health[worker as usize].pause(self.now);
-        self.set_timer(at, TimerKind::Capacity, NONE);
+        self.set_timer(at, TimerKind::CapacityCheck, NONE);
     }
 
     /// Reports workers whose state changed.
-    pub(crate) fn tell_workers(&mut self) {
+    pub(crate) fn report_worker_states(&mut self) {
         for worker in 0..self.health.len() {
             let state = self.health[worker].state(self.now);
-            if state == self.told[worker] {
+            if state == self.reported_states[worker] {
                 continue;
             }
-            self.told[worker] = state;
+            self.reported_states[worker] = state;
             let reason = self.worker_reason(worker as u32, state);
             let worker = self.topology.workers[worker].name.clone();
-            self.outbox.push(Decision::Worker { worker, state, reason });
+            self.outbox.push(Decision::WorkerChanged { worker, state, reason });
         }
     }
 
@@ -184,7 +184,7 @@
     /// its quarantine out.
     pub(crate) fn probe_workers(&mut self) {
         let due: Vec<u32> = (0..self.health.len() as u32)
-            .filter(|it| self.health[*it as usize].probes(self.now))
+            .filter(|it| self.health[*it as usize].awaits_probe(self.now))
             .take(PROBES_A_TURN)
             .collect();
         if due.is_empty() {
@@ -200,7 +200,7 @@
                 continue;
             };
             self.dequeue(index);
-            let work = self.items.at(index).work.work;
+            let work = self.items.at(index).work.id;
             self.health[worker as usize].probe = Some(work);
             let name = self.topology.workers[worker as usize].name.clone();
             let text = format!("probes {name}, which failed what it started");
@@ -212,28 +212,28 @@
     fn release_unprobed(&mut self, worker: u32) {
         let health = &mut self.health[worker as usize];
         if health.quarantined_until.is_some_and(|it| it + PROBE_PATIENCE <= self.now) {
-            health.release();
+            health.end_quarantine();
             self.homes_dirty = true;
-            self.bump();
+            self.note_capacity_change();
         }
     }
 
     /// Places the eldest of a group that has never failed on the worker. Work that has failed may be
     /// at fault itself: as a probe it would take a sound worker out again and again, for longer each
     /// time, and a gang that needs the worker would wait for it.
-    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::HeldTask>)> {
+    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
         let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
         let item = self.items.at(index);
         let able = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
-            && self.booking_of(index) == Booking::Soft
-            && self.held_back(index).is_none();
+            && self.booking_of(index) == Booking::Reclaimable
+            && self.ineligibility(index).is_none();
         if !able {
             return None;
         }
-        let ask = PlaceAsk::of(&item.work);
-        let rule = ProbeRule { core: self, worker, usage: ask.usage };
-        Some((index, placement::best(&self.topology, &ask, &rule)?))
+        let request = PlacementRequest::of(&item.work);
+        let rule = ProbeRule { core: self, worker, usage: request.usage };
+        Some((index, placement::best(&self.topology, &request, &rule)?))
     }
 }
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkItem {
     /// Its id.
-    pub work: WorkId,
+    pub id: WorkId,
     /// Who pays.
     pub account: ids::AccountId,
     /// What kind of work.
@@ -56,7 +56,7 @@
 
 /// One task of a gang on its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TaskSlot {
+pub struct TaskAssignment {
     /// Number of the task.
     pub rank: u32,
     /// The worker.
--- a/crates/policy/tests/fuzz/oracle.rs
+++ b/crates/policy/tests/fuzz/oracle.rs
@@ -29,7 +29,7 @@
     pub(crate) run: Duration,
     pub(crate) faulty: bool,
     pub(crate) phase: Phase,
-    pub(crate) placement: Vec<work::TaskSlot>,
+    pub(crate) placement: Vec<work::TaskAssignment>,
     /// Number of the latest start, so that late reports of an earlier one are told apart.
     pub(crate) start: u32,
     pub(crate) ever_ran: bool,
@@ -87,7 +87,7 @@
     }
 
     /// Judges a start and books it.
-    pub(crate) fn start(&mut self, id: work::WorkId, placement: &[work::TaskSlot]) {
+    pub(crate) fn start(&mut self, id: work::WorkId, placement: &[work::TaskAssignment]) {
         let case = self.works.get(&id).unwrap_or_else(|| panic!("start of unknown {id}"));
         assert_eq!(case.phase, Phase::Waiting, "{id} started while it does not wait");
         assert!(!case.cancelled, "{id} started after it was cancelled");
@@ -115,23 +115,23 @@
     }
 
     /// Every rank once, each with its own count of accelerators in a row.
-    fn check_whole(&self, item: &work::WorkItem, placement: &[work::TaskSlot]) {
+    fn check_whole(&self, item: &work::WorkItem, placement: &[work::TaskAssignment]) {
         let ranks: BTreeSet<u32> = placement.iter().map(|it| it.rank).collect();
         let all: BTreeSet<u32> = (0..item.tasks).collect();
-        assert_eq!(ranks, all, "{} is not whole: {placement:?}", item.work);
-        assert_eq!(placement.len(), item.tasks as usize, "{} repeats ranks", item.work);
+        assert_eq!(ranks, all, "{} is not whole: {placement:?}", item.id);
+        assert_eq!(placement.len(), item.tasks as usize, "{} repeats ranks", item.id);
         for slot in placement {
             let wanted = item.demand.accelerators as usize;
-            assert_eq!(slot.accelerators.len(), wanted, "{}: {slot:?}", item.work);
+            assert_eq!(slot.accelerators.len(), wanted, "{}: {slot:?}", item.id);
             let in_row = slot.accelerators.windows(2).all(|it| it[0] + 1 == it[1]);
-            assert!(in_row, "{}: accelerators not in a row: {slot:?}", item.work);
+            assert!(in_row, "{}: accelerators not in a row: {slot:?}", item.id);
             let there = slot.accelerators.iter().all(|it| *it < site::WORKER_ACCELERATORS);
-            assert!(there, "{}: no such accelerator: {slot:?}", item.work);
+            assert!(there, "{}: no such accelerator: {slot:?}", item.id);
         }
     }
 
     /// All on neighbours, with no room for another task in between.
-    fn check_near(&self, item: &work::WorkItem, placement: &[work::TaskSlot]) {
+    fn check_near(&self, item: &work::WorkItem, placement: &[work::TaskAssignment]) {
         if item.demand.accelerators == 0 || item.adjacency == model::Adjacency::Any {
             return;
         }
@@ -160,12 +160,12 @@
             let gap = linear(&pair[1]) - linear(&pair[0]) - 1;
             let same = pair[0].0 == pair[1].0;
             let near = if same { gap == 0 } else { gap < 2 * item.demand.accelerators };
-            assert!(near && pair[1].0 <= pair[0].0 + 1, "{} has gaps: {placement:?}", item.work);
+            assert!(near && pair[1].0 <= pair[0].0 + 1, "{} has gaps: {placement:?}", item.id);
         }
     }
 
     /// No worker gives more cores, memory or slots than it has.
-    fn check_room(&self, placement: &[work::TaskSlot]) {
+    fn check_room(&self, placement: &[work::TaskAssignment]) {
         for slot in placement {
             let mut cores = 0;
             let mut memory_mb = 0;
@@ -191,10 +191,10 @@
     }
 
     /// Judges a stop.
-    pub(crate) fn stop(&mut self, id: work::WorkId, fate: decision::StopFate) {
+    pub(crate) fn stop(&mut self, id: work::WorkId, after_stop: decision::AfterStop) {
         let class = self.class(&self.works[&id].item.class).clone();
         let case = self.works.get_mut(&id).expect("known work");
-        let keeps = fate == decision::StopFate::Requeue && !case.cancelled;
+        let keeps = after_stop == decision::AfterStop::Requeue && !case.cancelled;
         let lost = keeps && !class.repeatable && matches!(case.phase, Phase::Running(_));
         assert!(!lost, "{id} is not repeatable and was stopped to run again");
         case.stopping = true;
@@ -283,7 +283,7 @@
                 && holds(it)
         };
         let named: Vec<work::WorkId> =
-            self.works.values().filter(names).map(|it| it.item.work).collect();
+            self.works.values().filter(names).map(|it| it.item.id).collect();
         for it in &named {
             claims.insert(*it);
             if self.fit_some(rest, claims, wanted, now) {
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondpass_policy::{baseline_best_fit, baseline_first_fit, core, scheduler, work};
+use almondpass_policy::{baseline_best_fit, baseline_first_fit, core, hall_policy, work};
 use almondpass_replay::{engine, floor, site, trace};
 use uuid::Uuid;
 
@@ -15,7 +15,7 @@
 }
 
 /// Replays ten minutes and expects that all work that can end does.
-fn check<P: scheduler::HallPolicy>(site: site::SiteName) {
+fn check<P: hall_policy::HallPolicy>(site: site::SiteName) {
     let document = Arc::new(site.document());
     let trace = short_trace(site);
     let tally = engine::replay::<P>(&document, &trace, SEED).expect("a site that fits");
@@ -63,7 +63,7 @@
     let document = site::SiteName::Laboratories.document();
     let mut hall = floor::HallFloor::new(&document);
     for (index, worker) in site::worker_names(&document.halls[0])[0].iter().enumerate() {
-        let slot = work::TaskSlot { rank: 0, worker: worker.clone(), accelerators: vec![4] };
+        let slot = work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators: vec![4] };
         hall.hold(Uuid::from_u128(index as u128 + 1), &[slot]);
     }
     let count = hall.count();
