--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -12,13 +12,13 @@
 
 use crate::core::HallCore;
 use crate::decision::AfterStop;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::FreeCapacityRule;
 use crate::queue::GroupKey;
 use crate::reasons;
-use crate::reserve;
-use crate::rules::OpenRule;
+use crate::reservations;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -84,7 +84,7 @@
 
 impl GangBlockRule<'_> {
     fn goes_before(&self, other: u32) -> bool {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let core = self.core;
         core.items.at(other).state == clearing
             && core.submitted_at(self.index) < core.submitted_at(other)
@@ -107,9 +107,9 @@
 
     /// Reserves blocks for the gangs that waited long enough.
     pub(crate) fn reserve_gang_blocks(&mut self) {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+        let clearing = ItemState::Reserved(ReservationKind::Gang);
         let mut n_clearing =
-            self.reserving.iter().filter(|it| self.items.at(**it).state == clearing).count();
+            self.reserved_items.iter().filter(|it| self.items.at(**it).state == clearing).count();
         let wants = |core: &HallCore, key: &GroupKey| {
             let narrow = key.tasks == 1 && key.demand.accelerators == 1;
             !narrow && !core.catalog.classes[key.class as usize].urgent
@@ -122,12 +122,13 @@
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.parameters.clearing_after();
+            let due = entry.submitted_at + self.parameters.gang_reservation_delay();
             if self.now < due {
                 wake = Some(wake.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.parameters.clearings() <= n_clearing && !self.is_overdue(entry.item);
+            let full = self.parameters.max_gang_reservations() <= n_clearing
+                && !self.is_overdue(entry.item);
             if full || self.ineligibility(entry.item).is_some() {
                 continue;
             }
@@ -156,7 +157,7 @@
             index,
             usage: request.usage,
             hard: self.booking_of(index) == Booking::NonReclaimable,
-            homes_only: self.crowds(index) && !self.is_overdue(index),
+            homes_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
             overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
@@ -171,7 +172,7 @@
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Clearing, None);
+        self.reserve(index, tasks, ReservationKind::Gang, None);
         let presses = self.is_overdue(index);
         self.items.at_mut(index).chosen_overdue = presses;
         if presses {
@@ -191,7 +192,8 @@
                 return self.now;
             }
             if holder != last.0 {
-                let away = self.now + self.parameters.grace + self.parameters.margin;
+                let away =
+                    self.now + self.parameters.checkpoint_grace + self.parameters.stop_margin;
                 let yields_to_gang = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
                 last = (holder, if yields_to_gang { end.min(away) } else { end });
@@ -259,7 +261,7 @@
                 0
             };
             let steps = if together { request.tasks..=most } else { 1..=most };
-            let at = |n: u32| (self.usage_opening(worker, request.usage.times(n)), worker);
+            let at = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
             places.extend(steps.map(at));
         }
         places.sort_unstable();
@@ -338,23 +340,24 @@
     pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
-        let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
+        let rule =
+            FreeCapacityRule { home_blocks_only: false, ..FreeCapacityRule::new(self, index) };
         if let Some(tasks) = placement::best(&self.topology, &request, &rule) {
             let reason = self.start_reason(&tasks);
             self.unreserve(index);
             self.start(index, tasks, None, reason);
             return;
         }
-        let opening = self.opening(index, &item.tasks);
+        let opening = self.expected_free_at(index, &item.tasks);
         if self.is_overdue(index) && !item.chosen_overdue {
             // Chosen anew, it counts on younger work to make way.
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
             return;
         }
         let planned = item.expected_free_at.since(item.state_since);
         let slipped = opening.since(item.expected_free_at);
         if planned.mul_f64(SLIP) < slipped && !self.is_overdue(index) {
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
         } else {
             self.items.at_mut(index).expected_free_at = opening;
         }
@@ -369,7 +372,7 @@
         self.is_overdue(index)
             && rule.checkpoint
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && !rule.urgent
             && rule.priority <= other.priority
             && item.claimed_home.is_none()
@@ -392,7 +395,12 @@
             if running && self.yields_to_gang(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.checkpoint_and_stop(it, self.parameters.grace, AfterStop::Requeue, reason);
+                self.checkpoint_and_stop(
+                    it,
+                    self.parameters.checkpoint_grace,
+                    AfterStop::Requeue,
+                    reason,
+                );
             }
         }
     }
@@ -407,8 +415,10 @@
             here.iter().flat_map(|it| &it.accelerators).any(held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
         };
-        let workers: Vec<u32> =
-            reserve::by_worker(&item.tasks).filter(missing).map(|(worker, _)| worker).collect();
+        let workers: Vec<u32> = reservations::tasks_by_worker(&item.tasks)
+            .filter(missing)
+            .map(|(worker, _)| worker)
+            .collect();
         let first = workers.first().or(item.tasks.first().map(|it| &it.worker)).copied();
         let rack = first.map_or("", |it| self.topology.rack_name(it));
         let n = reasons::count(workers.len(), "more adjacent worker");
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -6,11 +6,11 @@
 
 use crate::core::HallCore;
 use crate::decision::AfterStop;
-use crate::item::{ItemState, QueueItem, ReserveKind};
+use crate::item::{ItemState, QueueItem, ReservationKind};
 use crate::ledger::PlacedTask;
 use crate::placement::{self, PlacementRequest, PlacementRule};
 use crate::reasons;
-use crate::reserve;
+use crate::reservations;
 use crate::topology::NONE;
 
 /// Added to the lost work of each victim, in accelerator seconds.
@@ -137,7 +137,7 @@
         }
         let rule = &self.catalog.classes[item.class as usize];
         // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.parameters.grace <= grace;
+        let saves = rule.checkpoint && self.parameters.checkpoint_grace <= grace;
         let lost =
             if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
         let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
@@ -147,10 +147,10 @@
     }
 
     /// Sends away whoever is in the place reserved for an item.
-    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
+    pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReservationKind) {
         let grace = match kind {
-            ReserveKind::Urgent => self.parameters.urgent_grace(),
-            ReserveKind::Claim | ReserveKind::Clearing => self.parameters.grace,
+            ReservationKind::Urgent => self.parameters.urgent_grace(),
+            ReservationKind::Claim | ReservationKind::Gang => self.parameters.checkpoint_grace,
         };
         let text = self.reclaim_text(index);
         for it in self.victims(index) {
@@ -163,7 +163,7 @@
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
         // Requests and what is not repeatable end by themselves, within the bound.
-        let stoppable = !rule.request && rule.repeatable;
+        let stoppable = !rule.is_request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
             if item.claimed_home.is_some() {
                 self.detach_claim(victim);
@@ -188,7 +188,7 @@
             .collect();
         victims.sort_unstable();
         victims.dedup();
-        for (worker, here) in reserve::by_worker(&item.tasks) {
+        for (worker, here) in reservations::tasks_by_worker(&item.tasks) {
             self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
         }
         victims
@@ -210,11 +210,12 @@
             .filter(|it| !victims.contains(it) && !self.is_ending(*it))
             .filter(|it| {
                 let item = self.items.at(*it);
-                item.claimed_home.is_none() && self.freeable(item)
+                item.claimed_home.is_none() && self.frees_within_reclaim_bound(item)
             })
             .collect();
         others.sort_by(|a, b| {
-            let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.grace);
+            let cost =
+                |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.checkpoint_grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
         others.dedup();
