--- a/crates/policy/src/baseline_best_fit.rs
+++ b/crates/policy/src/baseline_best_fit.rs
@@ -5,8 +5,8 @@
 
 use almondpass_schema::{ids, model, time};
 
-use crate::baseline_board;
-use crate::baseline_room;
+use crate::baseline_capacity;
+use crate::baseline_state;
 use crate::decision;
 use crate::event;
 use crate::hall_policy;
@@ -18,16 +18,16 @@
 /// Best fit with backfill: the first work that does not fit has its place and time reserved, and
 /// later work starts only where it does not delay that. No guarantees and no priorities.
 pub struct BestFit {
-    board: baseline_board::BaselineBoard,
+    state: baseline_state::BaselineState,
 }
 
 /// Where and when the first waiting work that does not fit is expected to start.
-struct HeadPlan {
+struct HeadReservation {
     at: time::WallTime,
     placement: Vec<work::TaskAssignment>,
 }
 
-impl HeadPlan {
+impl HeadReservation {
     fn is_clear_of(&self, placement: &[work::TaskAssignment]) -> bool {
         !placement.iter().any(|slot| {
             self.placement.iter().any(|planned| {
@@ -41,37 +41,37 @@
 
 impl BestFit {
     fn expected_run(&self, item: &work::WorkItem) -> Duration {
-        let class = self.board.config.classes.iter().find(|it| it.name == item.class);
+        let class = self.state.config.classes.iter().find(|it| it.name == item.class);
         let prior = class.map_or(UNKNOWN_RUN, |it| it.expected_run.0);
         item.declared_run.unwrap_or(prior).saturating_sub(item.saved_run)
     }
 
-    fn plan(&self, item: &work::WorkItem, now: time::WallTime) -> Option<HeadPlan> {
+    fn plan(&self, item: &work::WorkItem, now: time::WallTime) -> Option<HeadReservation> {
         let mut ends = self.expected_ends(now);
         ends.sort_unstable();
         let steps: Vec<usize> = (1..=ends.len()).collect();
         let fits_after = |n_ends: usize| {
-            let mut room = self.board.room.clone();
+            let mut room = self.state.free_capacity.clone();
             for (_, work) in &ends[..n_ends] {
-                let entry = &self.board.works[work];
+                let entry = &self.state.works[work];
                 room.give_back(&entry.item.demand, &entry.placement);
             }
-            room.place(item, baseline_room::PlaceChoice::Tightest)
+            room.place(item, baseline_capacity::PlacementChoice::Tightest)
         };
         let index = steps.partition_point(|it| fits_after(*it).is_none());
         let n_ends = *steps.get(index)?;
-        Some(HeadPlan { at: ends[n_ends - 1].0, placement: fits_after(n_ends)? })
+        Some(HeadReservation { at: ends[n_ends - 1].0, placement: fits_after(n_ends)? })
     }
 
     fn expected_ends(&self, now: time::WallTime) -> Vec<(time::WallTime, work::WorkId)> {
-        let end = |entry: &baseline_board::WorkEntry| match entry.stage {
-            baseline_board::WorkStage::Waiting(_) => None,
-            baseline_board::WorkStage::Starting => Some(now + self.expected_run(&entry.item)),
-            baseline_board::WorkStage::Running(since) => {
+        let end = |entry: &baseline_state::WorkEntry| match entry.stage {
+            baseline_state::WorkStage::Waiting(_) => None,
+            baseline_state::WorkStage::Starting => Some(now + self.expected_run(&entry.item)),
+            baseline_state::WorkStage::Running(since) => {
                 Some((since + self.expected_run(&entry.item)).max(now))
             }
         };
-        self.board.works.values().filter_map(|it| end(it).map(|at| (at, it.item.id))).collect()
+        self.state.works.values().filter_map(|it| end(it).map(|at| (at, it.item.id))).collect()
     }
 }
 
@@ -81,7 +81,7 @@
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
     ) -> Result<BestFit, hall_policy::PolicyFault> {
-        Ok(BestFit { board: baseline_board::BaselineBoard::new(hall, config)? })
+        Ok(BestFit { state: baseline_state::BaselineState::new(hall, config)? })
     }
 
     fn configure(
@@ -89,24 +89,25 @@
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
     ) -> Result<(), hall_policy::PolicyFault> {
-        self.board.configure(config)
+        self.state.configure(config)
     }
 
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime) {
-        self.board.apply(event, now);
+        self.state.apply(event, now);
     }
 
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         let mut unfit = Vec::new();
         let mut head: Option<work::WorkId> = None;
-        let mut plan: Option<HeadPlan> = None;
-        for work in self.board.ready(now) {
-            let item = &self.board.works[&work].item;
-            let key = baseline_room::ShapeKey::of(item);
+        let mut plan: Option<HeadReservation> = None;
+        for work in self.state.ready(now) {
+            let item = &self.state.works[&work].item;
+            let key = baseline_capacity::ShapeKey::of(item);
             if key.as_ref().is_some_and(|it| unfit.contains(it)) {
                 continue;
             }
-            let Some(placement) = self.board.room.place(item, baseline_room::PlaceChoice::Tightest)
+            let Some(placement) =
+                self.state.free_capacity.place(item, baseline_capacity::PlacementChoice::Tightest)
             else {
                 unfit.extend(key);
                 head = head.or(Some(work));
@@ -115,29 +116,29 @@
             if plan.is_none()
                 && let Some(head) = &head
             {
-                plan = self.plan(&self.board.works[head].item, now);
+                plan = self.plan(&self.state.works[head].item, now);
             }
             let end = now + self.expected_run(item);
             if plan.as_ref().is_none_or(|it| end <= it.at || it.is_clear_of(&placement)) {
-                self.board.start(work, placement);
+                self.state.start(work, placement);
             }
         }
-        std::mem::take(&mut self.board.out)
+        std::mem::take(&mut self.state.out)
     }
 
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
-        self.board.next_wake(now)
+        self.state.next_wake(now)
     }
 
     fn reason(&self, work: &work::WorkId, _now: time::WallTime) -> Option<model::WaitReason> {
-        self.board.reason(work)
+        self.state.reason(work)
     }
 
     fn admits(&self, item: &work::WorkItem) -> Result<(), model::WaitReason> {
-        self.board.admits(item)
+        self.state.admits(item)
     }
 
     fn picture(&self, _now: time::WallTime) -> model::HallPicture {
-        self.board.picture()
+        self.state.picture()
     }
 }
--- a/crates/policy/src/baseline_room.rs
+++ b/crates/policy/src/baseline_capacity.rs
@@ -9,7 +9,7 @@
 
 /// Which of several fitting places a baseline takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PlaceChoice {
+pub(crate) enum PlacementChoice {
     /// The first one in the order of the hall.
     First,
     /// The one that leaves the fewest free accelerators beside it.
@@ -18,7 +18,7 @@
 
 /// Free capacity of one worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WorkerRoom {
+pub(crate) struct WorkerCapacity {
     rack: usize,
     /// A bit for each free accelerator.
     free: u64,
@@ -30,7 +30,7 @@
     pub(crate) draining: bool,
 }
 
-impl WorkerRoom {
+impl WorkerCapacity {
     fn spare_tasks(&self, demand: &work::TaskDemand) -> u32 {
         let cores = self.cores.checked_div(demand.cores).unwrap_or(u32::MAX);
         let memory = self.memory_mb.checked_div(demand.memory_mb).unwrap_or(u64::MAX);
@@ -61,8 +61,8 @@
 
 /// Free capacity of a hall; copied to look ahead.
 #[derive(Clone, Debug)]
-pub(crate) struct HallRoom {
-    workers: Vec<WorkerRoom>,
+pub(crate) struct HallCapacity {
+    workers: Vec<WorkerCapacity>,
     names: Arc<WorkerNames>,
 }
 
@@ -72,8 +72,8 @@
     index: HashMap<ids::WorkerId, usize>,
 }
 
-impl HallRoom {
-    pub(crate) fn of(hall: &model::HallLayout, config: &model::ConfigDocument) -> HallRoom {
+impl HallCapacity {
+    pub(crate) fn of(hall: &model::HallLayout, config: &model::ConfigDocument) -> HallCapacity {
         let mut names = WorkerNames::default();
         let mut workers = Vec::new();
         for (rack, layout) in hall.racks.iter().enumerate() {
@@ -84,7 +84,7 @@
                 let name = format!("{}-{}-{number:02}", hall.name, layout.name);
                 names.index.insert(name.clone(), workers.len());
                 names.names.push(name);
-                workers.push(WorkerRoom {
+                workers.push(WorkerCapacity {
                     rack,
                     free: run_mask(0, kind.accelerators),
                     accelerators: kind.accelerators,
@@ -96,10 +96,10 @@
                 });
             }
         }
-        HallRoom { workers, names: Arc::new(names) }
+        HallCapacity { workers, names: Arc::new(names) }
     }
 
-    pub(crate) fn worker_mut(&mut self, worker: &ids::WorkerId) -> Option<&mut WorkerRoom> {
+    pub(crate) fn worker_mut(&mut self, worker: &ids::WorkerId) -> Option<&mut WorkerCapacity> {
         let index = *self.names.index.get(worker)?;
         self.workers.get_mut(index)
     }
@@ -142,7 +142,7 @@
     pub(crate) fn place(
         &self,
         item: &work::WorkItem,
-        choice: PlaceChoice,
+        choice: PlacementChoice,
     ) -> Option<Vec<work::TaskAssignment>> {
         let adjacency =
             if item.demand.accelerators == 0 { model::Adjacency::Any } else { item.adjacency };
@@ -157,7 +157,7 @@
     fn place_apart(
         &self,
         item: &work::WorkItem,
-        choice: PlaceChoice,
+        choice: PlacementChoice,
     ) -> Option<Vec<work::TaskAssignment>> {
         let mut room = self.clone();
         let mut placement = Vec::with_capacity(item.tasks as usize);
@@ -173,7 +173,7 @@
         &self,
         item: &work::WorkItem,
         rank: u32,
-        choice: PlaceChoice,
+        choice: PlacementChoice,
     ) -> Option<work::TaskAssignment> {
         let len = item.demand.accelerators;
         let mut best: Option<(u32, usize, u32)> = None;
@@ -190,7 +190,7 @@
                 if best.is_none_or(|(least, _, _)| beside < least) {
                     best = Some((beside, index, start));
                 }
-                if choice == PlaceChoice::First {
+                if choice == PlacementChoice::First {
                     return best.map(|(_, index, start)| self.task_slot(rank, index, start, len));
                 }
             }
@@ -202,7 +202,7 @@
         &self,
         item: &work::WorkItem,
         adjacency: model::Adjacency,
-        choice: PlaceChoice,
+        choice: PlacementChoice,
     ) -> Option<Vec<work::TaskAssignment>> {
         let mut best: Option<(u32, usize, u32)> = None;
         for first in 0..self.workers.len() {
@@ -210,7 +210,7 @@
                 let Some(beside) = self.room_from(item, adjacency, first, offset) else {
                     continue;
                 };
-                if choice == PlaceChoice::First {
+                if choice == PlacementChoice::First {
                     return Some(self.fill_from(item, first, offset));
                 }
                 if best.is_none_or(|(least, _, _)| beside < least) {
@@ -287,8 +287,11 @@
     }
 
     /// The same hall with nothing running and every worker live.
-    pub(crate) fn emptied(hall: &model::HallLayout, config: &model::ConfigDocument) -> HallRoom {
-        let mut room = HallRoom::of(hall, config);
+    pub(crate) fn emptied(
+        hall: &model::HallLayout,
+        config: &model::ConfigDocument,
+    ) -> HallCapacity {
+        let mut room = HallCapacity::of(hall, config);
         room.workers.iter_mut().for_each(|it| it.lost = false);
         room
     }
--- a/crates/policy/src/baseline_first_fit.rs
+++ b/crates/policy/src/baseline_first_fit.rs
@@ -4,8 +4,8 @@
 
 use almondpass_schema::{ids, model, time};
 
-use crate::baseline_board;
-use crate::baseline_room;
+use crate::baseline_capacity;
+use crate::baseline_state;
 use crate::decision;
 use crate::event;
 use crate::hall_policy;
@@ -13,7 +13,7 @@
 
 /// First fit in arrival order: whole gangs and adjacency, but no guarantees and no priorities.
 pub struct FirstFit {
-    board: baseline_board::BaselineBoard,
+    state: baseline_state::BaselineState,
 }
 
 impl hall_policy::HallPolicy for FirstFit {
@@ -22,7 +22,7 @@
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
     ) -> Result<FirstFit, hall_policy::PolicyFault> {
-        Ok(FirstFit { board: baseline_board::BaselineBoard::new(hall, config)? })
+        Ok(FirstFit { state: baseline_state::BaselineState::new(hall, config)? })
     }
 
     fn configure(
@@ -30,42 +30,42 @@
         config: Arc<model::ConfigDocument>,
         _now: time::WallTime,
     ) -> Result<(), hall_policy::PolicyFault> {
-        self.board.configure(config)
+        self.state.configure(config)
     }
 
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime) {
-        self.board.apply(event, now);
+        self.state.apply(event, now);
     }
 
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
         let mut unfit = Vec::new();
-        for work in self.board.ready(now) {
-            let item = &self.board.works[&work].item;
-            let key = baseline_room::ShapeKey::of(item);
+        for work in self.state.ready(now) {
+            let item = &self.state.works[&work].item;
+            let key = baseline_capacity::ShapeKey::of(item);
             if key.as_ref().is_some_and(|it| unfit.contains(it)) {
                 continue;
             }
-            match self.board.room.place(item, baseline_room::PlaceChoice::First) {
-                Some(placement) => self.board.start(work, placement),
+            match self.state.free_capacity.place(item, baseline_capacity::PlacementChoice::First) {
+                Some(placement) => self.state.start(work, placement),
                 None => unfit.extend(key),
             }
         }
-        std::mem::take(&mut self.board.out)
+        std::mem::take(&mut self.state.out)
     }
 
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
-        self.board.next_wake(now)
+        self.state.next_wake(now)
     }
 
     fn reason(&self, work: &work::WorkId, _now: time::WallTime) -> Option<model::WaitReason> {
-        self.board.reason(work)
+        self.state.reason(work)
     }
 
     fn admits(&self, item: &work::WorkItem) -> Result<(), model::WaitReason> {
-        self.board.admits(item)
+        self.state.admits(item)
     }
 
     fn picture(&self, _now: time::WallTime) -> model::HallPicture {
-        self.board.picture()
+        self.state.picture()
     }
 }
--- a/crates/policy/src/baseline_board.rs
+++ b/crates/policy/src/baseline_state.rs
@@ -6,7 +6,7 @@
 
 use almondpass_schema::{ids, model, time};
 
-use crate::baseline_room;
+use crate::baseline_capacity;
 use crate::decision;
 use crate::event;
 use crate::hall_policy;
@@ -45,11 +45,11 @@
 }
 
 /// Everything a baseline knows.
-pub(crate) struct BaselineBoard {
+pub(crate) struct BaselineState {
     pub(crate) config: Arc<model::ConfigDocument>,
     hall: model::HallLayout,
-    pub(crate) room: baseline_room::HallRoom,
-    empty: baseline_room::HallRoom,
+    pub(crate) free_capacity: baseline_capacity::HallCapacity,
+    empty: baseline_capacity::HallCapacity,
     pub(crate) works: HashMap<work::WorkId, WorkEntry>,
     pub(crate) queue: BTreeMap<(time::WallTime, u64), work::WorkId>,
     pub(crate) out: Vec<decision::Decision>,
@@ -58,15 +58,15 @@
     next_retry: Option<time::WallTime>,
 }
 
-impl BaselineBoard {
+impl BaselineState {
     pub(crate) fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
-    ) -> Result<BaselineBoard, hall_policy::PolicyFault> {
+    ) -> Result<BaselineState, hall_policy::PolicyFault> {
         let layout = find_hall(hall, &config)?.clone();
-        Ok(BaselineBoard {
-            room: baseline_room::HallRoom::of(&layout, &config),
-            empty: baseline_room::HallRoom::emptied(&layout, &config),
+        Ok(BaselineState {
+            free_capacity: baseline_capacity::HallCapacity::of(&layout, &config),
+            empty: baseline_capacity::HallCapacity::emptied(&layout, &config),
             hall: layout,
             config,
             works: HashMap::new(),
@@ -135,7 +135,7 @@
         let Some(entry) = self.works.get_mut(&work) else { return };
         entry.stage = WorkStage::Starting;
         entry.placement.clone_from(&placement);
-        self.room.take(&entry.item.demand, &placement);
+        self.free_capacity.take(&entry.item.demand, &placement);
         self.queue.remove(&(entry.item.submitted_at, entry.position));
         let reason = wait_reason(model::WaitCode::Queued, "it fits here");
         self.out.push(decision::Decision::Start { work, placement, reason });
@@ -163,7 +163,7 @@
     }
 
     pub(crate) fn admits(&self, item: &work::WorkItem) -> Result<(), model::WaitReason> {
-        match self.empty.place(item, baseline_room::PlaceChoice::First) {
+        match self.empty.place(item, baseline_capacity::PlacementChoice::First) {
             Some(_) => Ok(()),
             None => Err(wait_reason(model::WaitCode::NeverFits, "the empty hall has no room")),
         }
@@ -227,7 +227,7 @@
             return;
         }
         self.queue.remove(&(entry.item.submitted_at, entry.position));
-        self.room.take(&entry.item.demand, &placement);
+        self.free_capacity.take(&entry.item.demand, &placement);
         entry.stage = WorkStage::Running(started_at);
         entry.placement = placement;
         entry.ran = true;
@@ -263,7 +263,7 @@
             return;
         }
         let placement = std::mem::take(&mut entry.placement);
-        self.room.give_back(&entry.item.demand, &placement);
+        self.free_capacity.give_back(&entry.item.demand, &placement);
         if entry.cancelled {
             self.finish(work, untouched_outcome);
             return;
@@ -281,7 +281,7 @@
         }
         entry.ran = true;
         let placement = std::mem::take(&mut entry.placement);
-        self.room.give_back(&entry.item.demand, &placement);
+        self.free_capacity.give_back(&entry.item.demand, &placement);
         let class = self.config.classes.iter().find(|it| it.name == entry.item.class);
         let repeatable = class.is_some_and(|it| it.repeatable);
         match exit {
@@ -308,8 +308,8 @@
         self.out.push(decision::Decision::Finish { work, outcome, reason });
     }
 
-    fn mark(&mut self, worker: &ids::WorkerId, change: fn(&mut baseline_room::WorkerRoom)) {
-        if let Some(worker) = self.room.worker_mut(worker) {
+    fn mark(&mut self, worker: &ids::WorkerId, change: fn(&mut baseline_capacity::WorkerCapacity)) {
+        if let Some(worker) = self.free_capacity.worker_mut(worker) {
             change(worker);
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,9 +6,9 @@
 mod account_usage;
 mod admission;
 pub mod baseline_best_fit;
-mod baseline_board;
+mod baseline_capacity;
 pub mod baseline_first_fit;
-mod baseline_room;
+mod baseline_state;
 mod blocks;
 mod catalog;
 mod claims;
--- a/crates/policy/tests/fuzz/main.rs
+++ b/crates/policy/tests/fuzz/main.rs
@@ -4,10 +4,10 @@
 //! `ALMONDPASS_FUZZ_SECONDS=900 cargo test --release -p almondpass-policy --test fuzz -- --nocapture long_run`
 //! `ALMONDPASS_FUZZ_SEED` chooses its first seed, so that a finding can be repeated.
 
+mod config_variants;
 mod oracle;
-mod site;
+mod simulated_hall;
 mod step;
-mod world;
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use std::{env, thread};
@@ -17,7 +17,7 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-use crate::world::{FuzzWorld, Promises};
+use crate::simulated_hall::{FuzzedPolicy, SimulatedHall};
 
 /// Seed of the run in CI.
 const FIXED_SEED: u64 = 20_261_202;
@@ -32,7 +32,7 @@
 /// Simplifications tried once something is found.
 const SHRINKS: u32 = 4_000;
 
-impl Promises for core::HallCore {
+impl FuzzedPolicy for core::HallCore {
     const FULL: bool = true;
 
     fn check(&self, now: time::WallTime) {
@@ -42,13 +42,13 @@
     }
 }
 
-impl Promises for baseline_first_fit::FirstFit {
+impl FuzzedPolicy for baseline_first_fit::FirstFit {
     const FULL: bool = false;
 
     fn check(&self, _now: time::WallTime) {}
 }
 
-impl Promises for baseline_best_fit::BestFit {
+impl FuzzedPolicy for baseline_best_fit::BestFit {
     const FULL: bool = false;
 
     fn check(&self, _now: time::WallTime) {}
@@ -56,26 +56,26 @@
 
 struct HallFuzz<P>(std::marker::PhantomData<P>);
 
-impl<P: Promises> StateMachineTest for HallFuzz<P> {
-    type SystemUnderTest = FuzzWorld<P>;
+impl<P: FuzzedPolicy> StateMachineTest for HallFuzz<P> {
+    type SystemUnderTest = SimulatedHall<P>;
     type Reference = step::StepMachine;
 
-    fn init_test(_state: &()) -> FuzzWorld<P> {
-        FuzzWorld::new()
+    fn init_test(_state: &()) -> SimulatedHall<P> {
+        SimulatedHall::new()
     }
 
-    fn apply(mut world: FuzzWorld<P>, _state: &(), step: step::FuzzStep) -> FuzzWorld<P> {
+    fn apply(mut world: SimulatedHall<P>, _state: &(), step: step::FuzzStep) -> SimulatedHall<P> {
         world.step(&step);
         world
     }
 
-    fn teardown(mut world: FuzzWorld<P>, _state: ()) {
+    fn teardown(mut world: SimulatedHall<P>, _state: ()) {
         world.settle();
     }
 }
 
 /// Runs cases of one seed and fails with the shortest sequence of steps that shows a breach.
-fn check<P: Promises>(seed: u64, cases: u32) {
+fn check<P: FuzzedPolicy>(seed: u64, cases: u32) {
     let config = Config {
         cases,
         rng_seed: RngSeed::Fixed(seed),
--- a/crates/policy/tests/fuzz/oracle.rs
+++ b/crates/policy/tests/fuzz/oracle.rs
@@ -7,7 +7,7 @@
 use almondpass_policy::{decision, work};
 use almondpass_schema::{ids, model, time};
 
-use crate::site;
+use crate::config_variants;
 
 /// Where work stands, by what was decided and reported.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 
 /// One piece of work.
 #[derive(Clone, Debug)]
-pub(crate) struct WorkCase {
+pub(crate) struct TrackedWork {
     pub(crate) item: work::WorkItem,
     pub(crate) run: Duration,
     pub(crate) faulty: bool,
@@ -41,7 +41,7 @@
 
 /// One worker as the policy was told of it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WorkerCase {
+pub(crate) struct TrackedWorker {
     pub(crate) dead: bool,
     pub(crate) told_lost: bool,
     pub(crate) drained: bool,
@@ -53,8 +53,8 @@
 /// The naive model.
 pub(crate) struct HallOracle {
     pub(crate) document: Arc<model::ConfigDocument>,
-    pub(crate) works: BTreeMap<work::WorkId, WorkCase>,
-    pub(crate) workers: BTreeMap<ids::WorkerId, WorkerCase>,
+    pub(crate) works: BTreeMap<work::WorkId, TrackedWork>,
+    pub(crate) workers: BTreeMap<ids::WorkerId, TrackedWorker>,
     pub(crate) holders: BTreeMap<(ids::WorkerId, u32), work::WorkId>,
     pub(crate) lost_guarantees: BTreeSet<(ids::AccountId, ids::GuaranteeName)>,
     /// No claim is judged by what began before this.
@@ -65,7 +65,9 @@
     /// Names of the workers of the configuration in order, by rack.
     pub(crate) fn racks(&self) -> Vec<Vec<ids::WorkerId>> {
         let names = |rack: &model::RackLayout| {
-            (1..=rack.workers).map(|it| format!("{}-{}-{it:02}", site::HALL, rack.name)).collect()
+            (1..=rack.workers)
+                .map(|it| format!("{}-{}-{it:02}", config_variants::HALL, rack.name))
+                .collect()
         };
         self.document.halls[0].racks.iter().map(names).collect()
     }
@@ -125,7 +127,8 @@
             assert_eq!(slot.accelerators.len(), wanted, "{}: {slot:?}", item.id);
             let in_row = slot.accelerators.windows(2).all(|it| it[0] + 1 == it[1]);
             assert!(in_row, "{}: accelerators not in a row: {slot:?}", item.id);
-            let there = slot.accelerators.iter().all(|it| *it < site::WORKER_ACCELERATORS);
+            let there =
+                slot.accelerators.iter().all(|it| *it < config_variants::WORKER_ACCELERATORS);
             assert!(there, "{}: no such accelerator: {slot:?}", item.id);
         }
     }
@@ -155,7 +158,7 @@
             model::Adjacency::Rack => assert!(one_rack, "{placement:?}"),
             model::Adjacency::Hall | model::Adjacency::Any => {}
         }
-        let linear = |it: &(usize, u32)| it.0 as u32 * site::WORKER_ACCELERATORS + it.1;
+        let linear = |it: &(usize, u32)| it.0 as u32 * config_variants::WORKER_ACCELERATORS + it.1;
         for pair in used.windows(2) {
             let gap = linear(&pair[1]) - linear(&pair[0]) - 1;
             let same = pair[0].0 == pair[1].0;
@@ -176,8 +179,12 @@
                 memory_mb += case.item.demand.memory_mb * n_tasks as u64;
                 slots += case.item.demand.slots * n_tasks as u32;
             }
-            assert!(cores <= site::WORKER_CORES, "{} gives {cores} cores", slot.worker);
-            assert!(memory_mb <= site::WORKER_MEMORY_MB, "{} gives {memory_mb} MiB", slot.worker);
+            assert!(cores <= config_variants::WORKER_CORES, "{} gives {cores} cores", slot.worker);
+            assert!(
+                memory_mb <= config_variants::WORKER_MEMORY_MB,
+                "{} gives {memory_mb} MiB",
+                slot.worker
+            );
             assert!(slots <= 4, "{} gives {slots} slots", slot.worker);
         }
     }
@@ -234,7 +241,7 @@
 
     /// Whether nothing is wrong in the hall.
     pub(crate) fn is_calm(&self) -> bool {
-        let sound = |it: &WorkerCase| {
+        let sound = |it: &TrackedWorker| {
             !it.dead && !it.told_lost && !it.drained && !it.poisoned && !it.shunned
         };
         self.workers.values().all(sound)
@@ -277,7 +284,7 @@
         let Some(((account, shape), rest)) = shapes.split_first() else {
             return self.fit_all(wanted, claims, &mut BTreeSet::new(), now);
         };
-        let names = |it: &&WorkCase| {
+        let names = |it: &&TrackedWork| {
             it.item.account == **account
                 && it.item.guarantee.as_ref() == Some(&shape.name)
                 && holds(it)
@@ -325,7 +332,9 @@
     /// Every run of the shape's length.
     fn blocks(&self, shape: &model::GuaranteedShape) -> Vec<Vec<(ids::WorkerId, u32)>> {
         let accelerators = |worker: &ids::WorkerId| {
-            (0..site::WORKER_ACCELERATORS).map(|it| (worker.clone(), it)).collect::<Vec<_>>()
+            (0..config_variants::WORKER_ACCELERATORS)
+                .map(|it| (worker.clone(), it))
+                .collect::<Vec<_>>()
         };
         let racks = self.racks();
         let lines: Vec<Vec<(ids::WorkerId, u32)>> = match shape.adjacency {
@@ -371,7 +380,7 @@
     /// When work is over in any case: requests by their limit, jobs once they overran.
     fn certain_end(
         &self,
-        case: &WorkCase,
+        case: &TrackedWork,
         class: &model::JobClass,
         now: time::WallTime,
     ) -> time::WallTime {
@@ -388,6 +397,6 @@
 }
 
 /// Whether work holds accelerators.
-pub(crate) fn holds(case: &WorkCase) -> bool {
+pub(crate) fn holds(case: &TrackedWork) -> bool {
     matches!(case.phase, Phase::Starting | Phase::Running(_))
 }
--- a/crates/policy/tests/fuzz/world.rs
+++ b/crates/policy/tests/fuzz/simulated_hall.rs
@@ -10,8 +10,8 @@
 use almondpass_schema::{ids, model, time};
 use uuid::Uuid;
 
-use crate::oracle::{self, HallOracle, Phase, WorkCase};
-use crate::site;
+use crate::config_variants;
+use crate::oracle::{self, HallOracle, Phase, TrackedWork};
 use crate::step;
 
 const BEGIN: time::WallTime = time::WallTime(Duration::from_secs(1_800_000_000));
@@ -29,7 +29,7 @@
 const QUIET_TIME: Duration = Duration::from_secs(3 * 3_600);
 
 /// What a policy under test promises.
-pub(crate) trait Promises: hall_policy::HallPolicy {
+pub(crate) trait FuzzedPolicy: hall_policy::HallPolicy {
     /// Guarantees, bounds, limits and truth about work that never ran.
     const FULL: bool;
 
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
+enum PendingEvent {
     Start { id: work::WorkId, start: u32 },
     Checkpoint { id: work::WorkId, start: u32 },
     Stop { id: work::WorkId, start: u32 },
@@ -49,22 +49,22 @@
 }
 
 /// A hall under test.
-pub(crate) struct FuzzWorld<P> {
+pub(crate) struct SimulatedHall<P> {
     policy: P,
     oracle: HallOracle,
     now: time::WallTime,
-    due: BTreeMap<(time::WallTime, u64), Due>,
+    due: BTreeMap<(time::WallTime, u64), PendingEvent>,
     next: u64,
-    trouble: Option<step::StartTrouble>,
+    trouble: Option<step::StartFailure>,
     settled_at: time::WallTime,
     told: Vec<HallEvent>,
 }
 
-impl<P: Promises> FuzzWorld<P> {
-    pub(crate) fn new() -> FuzzWorld<P> {
-        let document = Arc::new(site::document(0));
+impl<P: FuzzedPolicy> SimulatedHall<P> {
+    pub(crate) fn new() -> SimulatedHall<P> {
+        let document = Arc::new(config_variants::document(0));
         let policy = new_policy::<P>(&document, BEGIN);
-        let mut world = FuzzWorld {
+        let mut world = SimulatedHall {
             policy,
             oracle: HallOracle {
                 document,
@@ -149,7 +149,7 @@
         self.policy.apply(event, self.now);
     }
 
-    fn plan(&mut self, after: Duration, due: Due) {
+    fn plan(&mut self, after: Duration, due: PendingEvent) {
         self.next += 1;
         self.due.insert((self.now + after, self.next), due);
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    fn pick(&self, pick: u16, filter: impl Fn(&WorkCase) -> bool) -> Option<work::WorkId> {
+    fn pick(&self, pick: u16, filter: impl Fn(&TrackedWork) -> bool) -> Option<work::WorkId> {
         let all: Vec<&work::WorkId> =
             self.oracle.works.iter().filter(|(_, it)| filter(it)).map(|(id, _)| id).collect();
         all.get(usize::from(pick) % all.len().max(1)).map(|it| **it)
@@ -191,7 +191,7 @@
     }
 
     fn arrive(&mut self, it: &step::ArriveStep) {
-        let class = self.oracle.class(site::CLASSES[usize::from(it.class)]).clone();
+        let class = self.oracle.class(config_variants::CLASSES[usize::from(it.class)]).clone();
         let is_request = class.kind == model::ClassKind::Request;
         let run = Duration::from_secs(u64::from(it.run));
         let item = work::WorkItem {
@@ -208,7 +208,7 @@
     }
 
     fn request(&mut self, account: u8, class: u8, run: u16) {
-        let class = self.oracle.class(site::CLASSES[usize::from(class)]).clone();
+        let class = self.oracle.class(config_variants::CLASSES[usize::from(class)]).clone();
         let item = work::WorkItem {
             demand: demand(1, true),
             adjacency: model::Adjacency::Worker,
@@ -219,10 +219,10 @@
     }
 
     fn claim(&mut self, account: u8, class: u8, tasks: u8, run: u16) {
-        let id = site::ACCOUNTS[usize::from(account)];
+        let id = config_variants::ACCOUNTS[usize::from(account)];
         let owner = self.oracle.document.accounts.iter().find(|it| it.id == id);
         let Some(shape) = owner.and_then(|it| it.guarantees.first()).cloned() else { return };
-        let most = shape.accelerators.min(site::WORKER_ACCELERATORS);
+        let most = shape.accelerators.min(config_variants::WORKER_ACCELERATORS);
         let each = (1..=most)
             .rev()
             .find(|it| shape.accelerators % it == 0 && u32::from(tasks) <= shape.accelerators / it)
@@ -234,7 +234,7 @@
             demand: demand(each, false),
             adjacency: shape.adjacency,
             guarantee: Some(shape.name),
-            ..self.item(account, site::CLASSES[usize::from(class)])
+            ..self.item(account, config_variants::CLASSES[usize::from(class)])
         };
         let judged = alone && self.oracle.is_calm() && self.oracle.calm_since <= self.now;
         let judged = judged && self.oracle.lost_guarantees.is_empty();
@@ -245,7 +245,7 @@
         self.next += 1;
         work::WorkItem {
             id: Uuid::from_u128(self.next.into()),
-            account: site::ACCOUNTS[usize::from(account)].to_owned(),
+            account: config_variants::ACCOUNTS[usize::from(account)].to_owned(),
             class: class.to_owned(),
             tasks: 1,
             demand: demand(1, false),
@@ -266,7 +266,7 @@
             return;
         }
         let due = judged.then(|| self.now + self.oracle.document.bounds.reclaim.0);
-        let case = WorkCase {
+        let case = TrackedWork {
             item: item.clone(),
             run,
             faulty,
@@ -288,21 +288,21 @@
     }
 
     fn cancel_wave(&mut self, account: u8) {
-        let account = site::ACCOUNTS[usize::from(account)];
-        let hit = |it: &&WorkCase| it.item.account == account && it.phase != Phase::Over;
+        let account = config_variants::ACCOUNTS[usize::from(account)];
+        let hit = |it: &&TrackedWork| it.item.account == account && it.phase != Phase::Over;
         let wave: Vec<work::WorkId> =
             self.oracle.works.values().filter(hit).map(|it| it.item.id).collect();
         wave.into_iter().for_each(|it| self.cancel(it));
     }
 
     fn fail_run(&mut self, pick: u16) {
-        let runs = |it: &WorkCase| matches!(it.phase, Phase::Running(_));
+        let runs = |it: &TrackedWork| matches!(it.phase, Phase::Running(_));
         let Some(id) = self.pick(pick, runs) else { return };
         let case = &self.oracle.works[&id];
         let worker = case.placement[0].worker.clone();
         let start = case.start;
         self.disturb();
-        self.plan(Duration::ZERO, Due::Fail { id, start, worker });
+        self.plan(Duration::ZERO, PendingEvent::Fail { id, start, worker });
     }
 
     fn kill(&mut self, number: u8) {
@@ -313,7 +313,7 @@
         }
         case.dead = true;
         self.disturb();
-        let hit = |it: &&WorkCase| {
+        let hit = |it: &&TrackedWork| {
             oracle::holds(it) && it.placement.iter().any(|slot| slot.worker == worker)
         };
         let gangs: Vec<(work::WorkId, u32)> =
@@ -321,9 +321,9 @@
         for (id, start) in gangs {
             // Whatever else was to come of this start is moot.
             self.due.retain(|_, due| !due.is_of(id, start));
-            self.plan(LEASE_TERM, Due::Lapse { id, start, worker: worker.clone() });
+            self.plan(LEASE_TERM, PendingEvent::Lapse { id, start, worker: worker.clone() });
         }
-        self.plan(LOSS_NOTICED, Due::NoticeLoss { worker });
+        self.plan(LOSS_NOTICED, PendingEvent::NoticeLoss { worker });
     }
 
     fn bring_back(&mut self, number: u8) {
@@ -362,10 +362,10 @@
 
     fn configure(&mut self, variant: u8) {
         // Baselines know one layout.
-        if !P::FULL && site::LAYOUT_VARIANTS.contains(&variant) {
+        if !P::FULL && config_variants::LAYOUT_VARIANTS.contains(&variant) {
             return;
         }
-        let document = Arc::new(site::document(variant));
+        let document = Arc::new(config_variants::document(variant));
         if self.policy.configure(document.clone(), self.now).is_err() {
             return;
         }
@@ -498,10 +498,10 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn happen(&mut self, due: PendingEvent) {
         match due {
-            Due::Start { id, start } if self.is_at(id, start) => self.started(id, start),
-            Due::Checkpoint { id, start } if self.is_at(id, start) => {
+            PendingEvent::Start { id, start } if self.is_at(id, start) => self.started(id, start),
+            PendingEvent::Checkpoint { id, start } if self.is_at(id, start) => {
                 let case = self.oracle.works.get_mut(&id).expect("current");
                 if let Phase::Running(since) = case.phase {
                     let progress = self.now.since(since).saturating_sub(CHECKPOINT_TAKES);
@@ -509,18 +509,20 @@
                     self.tell(HallEvent::Checkpointed(id));
                 }
             }
-            Due::Stop { id, start } if self.is_at(id, start) => self.ended(id, WorkExit::Stopped),
-            Due::End { id, start } if self.is_at(id, start) => {
+            PendingEvent::Stop { id, start } if self.is_at(id, start) => {
+                self.ended(id, WorkExit::Stopped)
+            }
+            PendingEvent::End { id, start } if self.is_at(id, start) => {
                 self.ended(id, WorkExit::Succeeded);
             }
-            Due::Fail { id, start, worker } if self.is_at(id, start) => {
+            PendingEvent::Fail { id, start, worker } if self.is_at(id, start) => {
                 self.disturb();
                 self.ended(id, WorkExit::Failed { worker });
             }
-            Due::Lapse { id, start, worker } if self.is_at(id, start) => {
+            PendingEvent::Lapse { id, start, worker } if self.is_at(id, start) => {
                 self.ended(id, WorkExit::Lost { worker });
             }
-            Due::NoticeLoss { worker } => {
+            PendingEvent::NoticeLoss { worker } => {
                 self.oracle.workers.get_mut(&worker).expect("named").told_lost = true;
                 self.tell(HallEvent::WorkerLost(worker));
             }
@@ -537,12 +539,12 @@
         let placement = self.oracle.works[&id].placement.clone();
         let dead = placement.iter().find(|it| self.oracle.workers[&it.worker].dead);
         let dead = dead.map(|it| it.worker.clone());
-        let trouble = dead.as_ref().map(|_| step::StartTrouble::Unreachable);
+        let trouble = dead.as_ref().map(|_| step::StartFailure::Unreachable);
         if let Some(trouble) = trouble.or(self.trouble.take()) {
             let fault = match trouble {
-                step::StartTrouble::Refused => StartFault::Refused,
-                step::StartTrouble::Unreachable => StartFault::Unreachable,
-                step::StartTrouble::Failed => StartFault::Failed,
+                step::StartFailure::Refused => StartFault::Refused,
+                step::StartFailure::Unreachable => StartFault::Unreachable,
+                step::StartFailure::Failed => StartFault::Failed,
             };
             self.disturb();
             self.oracle.free(id);
@@ -560,8 +562,8 @@
         let bad = placement.iter().find(|it| self.oracle.workers[&it.worker].poisoned);
         let bad = bad.or(placement.first().filter(|_| faulty)).map(|it| it.worker.clone());
         match bad {
-            Some(worker) => self.plan(POISON_TAKES, Due::Fail { id, start, worker }),
-            None => self.plan(left, Due::End { id, start }),
+            Some(worker) => self.plan(POISON_TAKES, PendingEvent::Fail { id, start, worker }),
+            None => self.plan(left, PendingEvent::End { id, start }),
         }
         self.tell(HallEvent::Started(id));
     }
@@ -581,7 +583,7 @@
             Decision::Start { work, placement, .. } => {
                 self.oracle.start(work, &placement);
                 let start = self.oracle.works[&work].start;
-                self.plan(START_TAKES, Due::Start { id: work, start });
+                self.plan(START_TAKES, PendingEvent::Start { id: work, start });
             }
             Decision::Checkpoint { work, stop_by, .. } => {
                 let case = &self.oracle.works[&work];
@@ -591,7 +593,7 @@
                 assert!(grace <= most, "{work} has {grace:?} for its checkpoint");
                 let start = case.start;
                 if self.oracle.class(&case.item.class).checkpoint {
-                    self.plan(CHECKPOINT_TAKES, Due::Checkpoint { id: work, start });
+                    self.plan(CHECKPOINT_TAKES, PendingEvent::Checkpoint { id: work, start });
                 }
             }
             Decision::Stop { work, after_stop, .. } => {
@@ -599,7 +601,7 @@
                 assert!(oracle::holds(&self.oracle.works[&work]), "stop of idle {work}");
                 self.oracle.stop(work, after_stop);
                 // A worker that died stops nothing; its lease lapses.
-                self.plan(STOP_TAKES, Due::Stop { id: work, start });
+                self.plan(STOP_TAKES, PendingEvent::Stop { id: work, start });
             }
             Decision::Requeue { work, .. } => self.oracle.requeue(work),
             Decision::Finish { work, outcome, .. } => self.oracle.finish(work, outcome),
@@ -623,16 +625,16 @@
     }
 }
 
-impl Due {
+impl PendingEvent {
     fn is_of(&self, work: work::WorkId, number: u32) -> bool {
         match self {
-            Due::Start { id, start }
-            | Due::Checkpoint { id, start }
-            | Due::Stop { id, start }
-            | Due::End { id, start }
-            | Due::Fail { id, start, .. }
-            | Due::Lapse { id, start, .. } => *id == work && *start == number,
-            Due::NoticeLoss { .. } => false,
+            PendingEvent::Start { id, start }
+            | PendingEvent::Checkpoint { id, start }
+            | PendingEvent::Stop { id, start }
+            | PendingEvent::End { id, start }
+            | PendingEvent::Fail { id, start, .. }
+            | PendingEvent::Lapse { id, start, .. } => *id == work && *start == number,
+            PendingEvent::NoticeLoss { .. } => false,
         }
     }
 }
@@ -641,7 +643,7 @@
     document: &Arc<model::ConfigDocument>,
     now: time::WallTime,
 ) -> P {
-    P::new(&site::HALL.to_owned(), document.clone(), now).expect("a site that fits")
+    P::new(&config_variants::HALL.to_owned(), document.clone(), now).expect("a site that fits")
 }
 
 fn demand(accelerators: u32, is_request: bool) -> work::TaskDemand {
--- a/crates/policy/tests/fuzz/step.rs
+++ b/crates/policy/tests/fuzz/step.rs
@@ -5,7 +5,7 @@
 use proptest::{option, sample};
 use proptest_state_machine::ReferenceStateMachine;
 
-use crate::site;
+use crate::config_variants;
 
 /// Work that arrives.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 
 /// What goes wrong with the next start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StartTrouble {
+pub(crate) enum StartFailure {
     Refused,
     Unreachable,
     Failed,
@@ -60,7 +60,7 @@
     CancelWave {
         account: u8,
     },
-    TroubleStart(StartTrouble),
+    TroubleStart(StartFailure),
     FailRun {
         pick: u16,
     },
@@ -107,7 +107,7 @@
 
     fn transitions(_state: &()) -> BoxedStrategy<FuzzStep> {
         let worker = || 0_u8..8;
-        let account = || 0_u8..site::ACCOUNTS.len() as u8;
+        let account = || 0_u8..config_variants::ACCOUNTS.len() as u8;
         prop_oneof![
             30 => arrive().prop_map(FuzzStep::Arrive),
             12 => claim(),
@@ -125,7 +125,7 @@
             2 => worker().prop_map(|worker| FuzzStep::Undrain { worker }),
             1 => worker().prop_map(|worker| FuzzStep::Poison { worker }),
             2 => worker().prop_map(|worker| FuzzStep::Heal { worker }),
-            2 => (0..site::N_VARIANTS).prop_map(|variant| FuzzStep::Configure { variant }),
+            2 => (0..config_variants::N_VARIANTS).prop_map(|variant| FuzzStep::Configure { variant }),
             1 => Just(FuzzStep::TakeOver),
             2 => any::<u16>().prop_map(|pick| FuzzStep::Repeat { pick }),
         ]
@@ -143,8 +143,8 @@
         model::Adjacency::Hall,
     ]);
     (
-        0..site::ACCOUNTS.len() as u8,
-        0..site::CLASSES.len() as u8,
+        0..config_variants::ACCOUNTS.len() as u8,
+        0..config_variants::CLASSES.len() as u8,
         1_u8..7,
         0_u8..5,
         adjacency,
@@ -185,6 +185,6 @@
         .prop_map(|millis| FuzzStep::Pass { millis })
 }
 
-fn trouble() -> impl Strategy<Value = StartTrouble> {
-    sample::select(vec![StartTrouble::Refused, StartTrouble::Unreachable, StartTrouble::Failed])
+fn trouble() -> impl Strategy<Value = StartFailure> {
+    sample::select(vec![StartFailure::Refused, StartFailure::Unreachable, StartFailure::Failed])
 }
