--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -55,7 +55,7 @@
     pub(crate) unlisted_health: BTreeMap<ids::WorkerId, WorkerHealth>,
     /// State of each worker as last decided.
     pub(crate) reported_states: Vec<model::WorkerState>,
-    pub(crate) failures: crate::probing::FailureRates,
+    pub(crate) failure_rates: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
     pub(crate) account_usage: Vec<AccountUsage>,
     pub(crate) headroom: HeadroomBudget,
@@ -101,7 +101,7 @@
             health: topology.workers.iter().map(|_| WorkerHealth::new()).collect(),
             unlisted_health: BTreeMap::new(),
             reported_states: vec![model::WorkerState::Lost; topology.workers.len()],
-            failures: crate::probing::FailureRates::default(),
+            failure_rates: crate::probing::FailureRates::default(),
             estimates: EstimateTable::default(),
             account_usage: Vec::new(),
             headroom: HeadroomBudget::default(),
@@ -138,7 +138,7 @@
         self.parameters = PolicyParameters::new(&config);
         self.adopt_rules(&config);
         self.rebook_all();
-        self.queue.unblock();
+        self.queue.unblock_all();
         self.note_capacity_change();
         Ok(())
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -64,7 +64,7 @@
     pub(crate) fn ranked_groups(&self, filter: impl Fn(&HallCore, &GroupKey) -> bool) -> Vec<u32> {
         let mut ranked: Vec<(GroupRank, u32)> = self
             .queue
-            .active()
+            .active_groups()
             .filter(|it| self.queue.group(*it).is_some_and(|group| filter(self, &group.key)))
             .filter_map(|it| Some((self.rank(it)?, it)))
             .collect();
@@ -81,7 +81,7 @@
         };
         let mut heap: BinaryHeap<Reverse<(GroupRank, u32)>> = self
             .queue
-            .active()
+            .active_groups()
             .filter(fresh)
             .filter_map(|it| Some(Reverse((self.rank(it)?, it))))
             .collect();
@@ -264,7 +264,7 @@
         let holders = self.ledger.holder.iter().filter(|it| **it != NONE);
         let n_opening = holders.filter(|it| ends(it)).count();
         let urgent = |it: &QueueGroup| self.catalog.classes[it.key.class as usize].urgent;
-        let groups = self.queue.active().filter_map(|it| self.queue.group(it));
+        let groups = self.queue.active_groups().filter_map(|it| self.queue.group(it));
         let n_waiting: usize = groups.filter(|it| urgent(it)).map(|it| it.entries.len()).sum();
         if n_opening < n_waiting {
             return false;
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -101,7 +101,7 @@
             throttled: false,
             overran: false,
             failed_on,
-            failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
+            n_failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
             exclude,
             chosen_overdue: false,
             end_reason: None,
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -110,7 +110,7 @@
     fn waiting_needs(&self) -> (u32, u32) {
         let mut urgent = 0_u32;
         let mut hard = 0_u32;
-        for it in self.queue.active().filter_map(|it| self.queue.group(it)) {
+        for it in self.queue.active_groups().filter_map(|it| self.queue.group(it)) {
             let rule = &self.catalog.classes[it.key.class as usize];
             let one = it.key.tasks.saturating_mul(it.key.demand.accelerators);
             let width = one.saturating_mul(it.entries.len() as u32);
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -88,7 +88,7 @@
     pub(crate) overran: bool,
     /// Workers on which it failed by itself; it goes back there only where nothing else is free.
     pub(crate) failed_on: Vec<u32>,
-    pub(crate) failures: u32,
+    pub(crate) n_failures: u32,
     /// Workers on which it must not start again.
     pub(crate) exclude: Vec<u32>,
     /// Whether its block was chosen when it was overdue already.
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -286,15 +286,15 @@
         let healthy = |it: &&u32| self.health[**it as usize].usable();
         let item = self.items.at(index);
         let n_workers = item.failed_on.iter().filter(healthy).count();
-        let faulty = FAULTY_AFTER <= n_workers || MOST_FAILURES <= item.failures;
+        let faulty = FAULTY_AFTER <= n_workers || MOST_FAILURES <= item.n_failures;
         if item.cancelled || !self.retries(index) {
             self.finish(index, model::RequestOutcome::Failed, reasons::failed());
         } else if faulty {
-            let reason = reasons::faulty(n_workers, item.failures);
+            let reason = reasons::faulty(n_workers, item.n_failures);
             self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
-            let doubled = FIRST_PAUSE * (1 << (item.failures.min(6)));
+            let doubled = FIRST_PAUSE * (1 << (item.n_failures.min(6)));
             self.requeue(index, doubled.min(LONGEST_PAUSE), reasons::failed_retry());
         }
     }
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -20,7 +20,7 @@
             ItemState::Waiting => self.explain_waiting(index, now),
             ItemState::Delayed => reasons::plain(
                 model::WaitCode::Queued,
-                format!("pauses after {}", reasons::count(item.failures as usize, "failure")),
+                format!("pauses after {}", reasons::count(item.n_failures as usize, "failure")),
             ),
             ItemState::Reserved(kind) => self.explain_reserving(index, kind),
             ItemState::Starting => reasons::plain(
@@ -190,7 +190,7 @@
         let guaranteed = self.homes.iter().map(|it| (it.size, it.adjacency));
         let waiting = self
             .queue
-            .active()
+            .active_groups()
             .filter_map(|it| self.queue.group(it))
             .map(|it| (it.key.tasks * it.key.demand.accelerators, it.key.adjacency));
         let reserving = self
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -76,7 +76,7 @@
     /// Counts a failure against the worker, as far as it is not the work's own.
     pub(crate) fn record_failure(&mut self, index: u32, worker: u32, work: work::WorkId) {
         let item = self.items.at_mut(index);
-        item.failures += 1;
+        item.n_failures += 1;
         if !item.failed_on.contains(&worker) {
             item.failed_on.push(worker);
         }
@@ -85,9 +85,9 @@
         let first = !self.health[worker as usize].has_failure_streak();
         // Only the first failure of a streak counts for the class: a failing worker would otherwise
         // make every class that it touches look faulty, and so be excused.
-        let rate = self.failures.rate(account, class);
+        let rate = self.failure_rates.rate(account, class);
         if first {
-            self.failures.record(account, class, true);
+            self.failure_rates.record(account, class, true);
         }
         if elsewhere && self.health[worker as usize].probe != Some(work) {
             self.withdraw_failures(index);
@@ -116,7 +116,7 @@
     pub(crate) fn record_success(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
-        self.failures.record(item.account, item.class, false);
+        self.failure_rates.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
             let out = !health.usable();
@@ -223,7 +223,8 @@
     /// time, and a gang that needs the worker would wait for it.
     fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
-        let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
+        let index =
+            entries.iter().map(|it| it.item).find(|it| self.items.at(*it).n_failures == 0)?;
         let item = self.items.at(index);
         let able = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -102,7 +102,7 @@
     }
 
     /// Indexes of groups that have work.
-    pub(crate) fn active(&self) -> impl Iterator<Item = u32> + '_ {
+    pub(crate) fn active_groups(&self) -> impl Iterator<Item = u32> + '_ {
         self.active.iter().copied()
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Lets every group be tried again, as after a new configuration.
-    pub(crate) fn unblock(&mut self) {
+    pub(crate) fn unblock_all(&mut self) {
         self.groups.iter_mut().flatten().for_each(|it| it.blocked_at_version = None);
     }
 
