--- a/crates/policy/src/account_usage.rs
+++ b/crates/policy/src/account_usage.rs
@@ -7,9 +7,9 @@
 pub(crate) struct AccountUsage {
     pub(crate) accelerators: u32,
     /// Accelerators that it holds as claims of its guarantees.
-    pub(crate) claimed: u32,
+    pub(crate) claimed_accelerators: u32,
     pub(crate) usage: Usage,
-    pub(crate) requests: u32,
+    pub(crate) running_requests: u32,
 }
 
 /// Capacity of a hall.
@@ -23,8 +23,9 @@
     /// The largest of its shares of the hall above what it claims, in thousandths. Claims are its
     /// own and cost it nothing in the order of the others.
     pub(crate) fn dominant_share(&self, capacity: &HallCapacity) -> u32 {
-        let above = self.accelerators.saturating_sub(self.claimed);
-        let claimed = f64::from(self.claimed) / f64::from(capacity.accelerators.max(1));
+        let above = self.accelerators.saturating_sub(self.claimed_accelerators);
+        let claimed =
+            f64::from(self.claimed_accelerators) / f64::from(capacity.accelerators.max(1));
         let share = |used: i64, whole: i64| used as f64 / whole.max(1) as f64 - claimed;
         let accelerators = f64::from(above) / f64::from(capacity.accelerators.max(1));
         let largest = accelerators
--- a/crates/policy/src/catalog.rs
+++ b/crates/policy/src/catalog.rs
@@ -95,11 +95,11 @@
         self.classes.iter_mut().for_each(|it| it.known = false);
         self.accounts.iter_mut().for_each(|it| it.known = false);
         for it in &config.classes {
-            let index = self.class(&it.name, false);
+            let index = self.intern_class(&it.name, false);
             self.classes[index as usize] = ClassRule::new(it, hall, config);
         }
         for it in &config.accounts {
-            let index = self.account(&it.id);
+            let index = self.intern_account(&it.id);
             self.accounts[index as usize] = AccountRule {
                 id: it.id.clone(),
                 known: true,
@@ -110,7 +110,7 @@
     }
 
     /// Index of a class, a new one where it is unknown.
-    pub(crate) fn class(&mut self, name: &str, request: bool) -> u32 {
+    pub(crate) fn intern_class(&mut self, name: &str, request: bool) -> u32 {
         if let Some(index) = self.class_index.get(name) {
             return *index;
         }
@@ -121,7 +121,7 @@
     }
 
     /// Index of an account, a new one where it is unknown.
-    pub(crate) fn account(&mut self, id: &str) -> u32 {
+    pub(crate) fn intern_account(&mut self, id: &str) -> u32 {
         if let Some(index) = self.account_index.get(id) {
             return *index;
         }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -187,7 +187,7 @@
         let above = account
             .max_accelerators
             .is_some_and(|it| it < uses.accelerators + item.n_accelerators());
-        let many = rule.is_request && account.max_running_requests <= uses.requests;
+        let many = rule.is_request && account.max_running_requests <= uses.running_requests;
         (above || many).then_some(model::WaitCode::AccountLimit)
     }
 
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -72,8 +72,8 @@
                 .find(|it| it.account_id == work.account && it.guarantee == *name);
             named.into_iter().for_each(|it| it.claimed_by_name = true);
         }
-        let class = self.catalog.class(&work.class, 0 < work.demand.slots);
-        let account = self.catalog.account(&work.account);
+        let class = self.catalog.intern_class(&work.class, 0 < work.demand.slots);
+        let account = self.catalog.intern_account(&work.account);
         self.account_usage.resize(self.catalog.accounts.len(), Default::default());
         let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find_worker(it));
         let mut failed_on = failed_on.collect::<Vec<_>>();
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -82,7 +82,7 @@
             outside += 1;
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
-                free += i64::from(self.is_available(at));
+                free += i64::from(self.is_accelerator_available(at));
             } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 hard_held += 1;
             }
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -75,7 +75,7 @@
                 let item = self.items.at_mut(*claim);
                 item.claimed_home = None;
                 let width = item.n_accelerators();
-                self.account_usage[item.account as usize].claimed -= width;
+                self.account_usage[item.account as usize].claimed_accelerators -= width;
                 if self.items.at(*claim).state.holds_accelerators() {
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
@@ -138,7 +138,7 @@
         claims.push(index);
         let item = self.items.at(index);
         let width = item.n_accelerators();
-        self.account_usage[item.account as usize].claimed += width;
+        self.account_usage[item.account as usize].claimed_accelerators += width;
     }
 
     /// Forgets a claim.
@@ -147,7 +147,7 @@
         let Some(home) = item.claimed_home.take() else { return };
         let width = item.n_accelerators();
         let account = item.account as usize;
-        self.account_usage[account].claimed -= width;
+        self.account_usage[account].claimed_accelerators -= width;
         self.homes[home as usize].claims.retain(|it| *it != index);
     }
 
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -72,7 +72,7 @@
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators += width;
         account.usage.add(usage.times(item.work.tasks));
-        account.requests += u32::from(request);
+        account.running_requests += u32::from(request);
         if self.catalog.classes[item.class as usize].urgent {
             item.urgent_accelerators = width;
             self.headroom.urgent_held += width;
@@ -95,7 +95,7 @@
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
-        account.requests -= u32::from(request);
+        account.running_requests -= u32::from(request);
         self.headroom.urgent_held -= item.urgent_accelerators;
         item.urgent_accelerators = 0;
         let booking = item.booking;
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -122,8 +122,9 @@
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
         let need = item.n_accelerators();
-        let runs =
-            placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_available(it));
+        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| {
+            self.is_accelerator_available(it)
+        });
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -150,7 +151,7 @@
                     "{} is at its limit, with {} accelerators and {} running",
                     item.work.account,
                     uses.accelerators,
-                    reasons::count(uses.requests as usize, "request")
+                    reasons::count(uses.running_requests as usize, "request")
                 )
             }
             model::WaitCode::GuaranteeKept => format!(
@@ -179,7 +180,7 @@
     }
 
     /// Whether an accelerator is free on a worker that takes work.
-    pub(crate) fn is_available(&self, accelerator: u32) -> bool {
+    pub(crate) fn is_accelerator_available(&self, accelerator: u32) -> bool {
         let worker = self.topology.worker_of[accelerator as usize];
         self.ledger.holder[accelerator as usize] == NONE && self.health[worker as usize].usable()
     }
@@ -201,7 +202,8 @@
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_available(it));
+        let runs =
+            placement::free_runs(&self.topology, adjacency, |it| self.is_accelerator_available(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -190,7 +190,7 @@
     pub core: HallCore,
     pub now: time::WallTime,
     /// Every decision so far with its time.
-    pub log: Vec<(time::WallTime, Decision)>,
+    pub decisions: Vec<(time::WallTime, Decision)>,
     pub running: BTreeMap<work::WorkId, Vec<work::TaskAssignment>>,
     /// Whether starts and stops succeed by themselves.
     pub executes_decisions: bool,
@@ -207,7 +207,7 @@
             hall.core.apply(HallEvent::WorkerBack(it), START);
         }
         hall.run_rounds();
-        hall.log.clear();
+        hall.decisions.clear();
         hall
     }
 
@@ -218,7 +218,7 @@
         TestHall {
             core,
             now: START,
-            log: Vec::new(),
+            decisions: Vec::new(),
             running: BTreeMap::new(),
             executes_decisions: true,
             next: 1,
@@ -264,7 +264,7 @@
             for it in &decisions {
                 self.execute_decision(it);
             }
-            self.log.extend(decisions.iter().map(|it| (self.now, it.clone())));
+            self.decisions.extend(decisions.iter().map(|it| (self.now, it.clone())));
             all.extend(decisions);
             if self.core.next_wake(self.now).is_none_or(|it| self.now < it) {
                 return all;
@@ -316,7 +316,7 @@
 
     /// Outcome of work that is over.
     pub fn outcome(&self, work: work::WorkId) -> Option<model::RequestOutcome> {
-        self.log.iter().find_map(|(_, it)| match it {
+        self.decisions.iter().find_map(|(_, it)| match it {
             Decision::Finish { work: other, outcome, .. } if *other == work => Some(*outcome),
             _ => None,
         })
@@ -324,7 +324,7 @@
 
     /// Whether a stop of this work was decided, to queue it again.
     pub fn was_reclaimed(&self, work: work::WorkId) -> bool {
-        self.log.iter().any(|(_, it)| {
+        self.decisions.iter().any(|(_, it)| {
             matches!(it, Decision::Stop { work: other, after_stop: AfterStop::Requeue, .. } if *other == work)
         })
     }
--- a/crates/policy/tests/guarantee.rs
+++ b/crates/policy/tests/guarantee.rs
@@ -32,7 +32,7 @@
     let claim = hall.schedule(gang("small", "batch", 1, 8, model::Adjacency::Worker));
     assert!(!hall.is_running(claim));
     let n_asked =
-        hall.log.iter().filter(|(_, it)| matches!(it, Decision::Checkpoint { .. })).count();
+        hall.decisions.iter().filter(|(_, it)| matches!(it, Decision::Checkpoint { .. })).count();
     assert_eq!(n_asked, 8);
     hall.advance(secs(10));
     assert!(hall.is_running(claim));
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -13,7 +13,7 @@
 /// One line for each decision, then one for each piece of work that is not over.
 fn tell(hall: &TestHall) -> String {
     let mut text = String::new();
-    for (at, decision) in &hall.log {
+    for (at, decision) in &hall.decisions {
         let seconds = at.since(START).as_secs();
         writeln!(text, "{seconds:>5}s {}", line(decision)).expect("a string");
     }
@@ -174,7 +174,7 @@
             hall.advance(secs(100));
             hall.succeed(work);
         }
-        hall.log.clear();
+        hall.decisions.clear();
         hall.schedule(gang("large", "certificate", 7, 8, model::Adjacency::Rack));
         let deadline = Some(hall.now + secs(150));
         hall.schedule(work::WorkItem { deadline, ..job("large", "certificate", 1, 8) });
@@ -256,7 +256,7 @@
             hall.submit(job("large", "batch", 1, 8));
         }
         hall.run_rounds();
-        hall.log.clear();
+        hall.decisions.clear();
         hall.submit(gang("third", "ageing", 4, 8, model::Adjacency::Rack));
         hall.submit(gang("small", "batch", 1, 8, model::Adjacency::Worker));
         hall.run_rounds();
