--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Work that could never run is refused on arrival, with the reason.
+//! Admission: work that the hall could never run is rejected on arrival, with the reason.
 
 use almondpass_schema::model;
 
@@ -11,17 +11,19 @@
 use crate::topology::NONE;
 use crate::work;
 
-/// An empty hall without the home blocks of others, for work that may not run in these.
-struct OutsideRule<'a> {
+/// Placement rule for non-reclaimable work in an empty hall: such work may not run in home blocks.
+struct OutsideHomesRule<'a> {
     core: &'a HallCore,
-    homes: Vec<bool>,
-    n_homes: Vec<u32>,
+    /// For each accelerator, whether it lies in a home block.
+    in_home: Vec<bool>,
+    /// For each worker, the number of its accelerators that lie in home blocks.
+    n_in_homes: Vec<u32>,
     usage: Usage,
 }
 
-impl PlacementRule for OutsideRule<'_> {
+impl PlacementRule for OutsideHomesRule<'_> {
     fn allows_accelerator(&self, accelerator: u32) -> bool {
-        !self.homes[accelerator as usize] && self.core.topology.host(accelerator).rack != NONE
+        !self.in_home[accelerator as usize] && self.core.topology.host(accelerator).rack != NONE
     }
 
     fn task_capacity(&self, worker: u32) -> u32 {
@@ -29,8 +31,8 @@
         if spec.rack == NONE {
             return 0;
         }
-        let kept = Usage::share(spec, self.n_homes[worker as usize]);
-        Usage::capacity(spec).minus(kept).max_tasks(self.usage)
+        let kept_for_homes = Usage::share(spec, self.n_in_homes[worker as usize]);
+        Usage::capacity(spec).minus(kept_for_homes).max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
@@ -43,7 +45,7 @@
 }
 
 impl HallCore {
-    /// Whether the hall could ever run the work.
+    /// Checks whether the hall could ever run the work; the error is the reason why it could not.
     pub(crate) fn check_admission(&self, item: &work::WorkItem) -> Result<(), model::WaitReason> {
         let Some(rule) = self.catalog.known_class(&item.class) else {
             let text = format!("expected a configured job class, found {}", item.class);
@@ -70,17 +72,20 @@
         if placement::best(&self.topology, &request, &empty).is_none() {
             return Err(self.never_fits(item));
         }
-        self.check_outside(item, rule, account, &request)
+        self.check_outside_homes(item, rule, account, &request)
     }
 
+    /// Checks the accelerators of the whole gang against the account's limit and the hall's size.
     fn check_limit(&self, item: &work::WorkItem, account: u32) -> Result<(), model::WaitReason> {
-        let width = u64::from(item.tasks) * u64::from(item.demand.accelerators);
+        let n_accelerators = u64::from(item.tasks) * u64::from(item.demand.accelerators);
         match self.catalog.accounts[account as usize].max_accelerators {
-            Some(limit) if u64::from(limit) < width => Err(never(format!(
-                "needs {width} accelerators, and the limit of {} is {limit}",
+            Some(limit) if u64::from(limit) < n_accelerators => Err(never(format!(
+                "needs {n_accelerators} accelerators, and the limit of {} is {limit}",
                 item.account
             ))),
-            _ if u64::from(self.topology.n_accelerators()) < width => Err(self.never_fits(item)),
+            _ if u64::from(self.topology.n_accelerators()) < n_accelerators => {
+                Err(self.never_fits(item))
+            }
             _ => Ok(()),
         }
     }
@@ -96,11 +101,11 @@
         ))
     }
 
-    /// A named guarantee has to be at home here and large enough.
+    /// Checks that the guarantee named by the work is at home in this hall and large enough.
     fn check_claim(&self, item: &work::WorkItem, account: u32) -> Result<(), model::WaitReason> {
         let name = item.guarantee.as_deref().unwrap_or_default();
-        let mut mine = self.all_homes.iter().filter(|it| it.account == item.account);
-        let Some(home) = mine.find(|it| it.guarantee == name) else {
+        let mut homes_of_account = self.all_homes.iter().filter(|it| it.account == item.account);
+        let Some(home) = homes_of_account.find(|it| it.guarantee == name) else {
             let text = format!("{} has no guarantee {name}", item.account);
             return Err(reasons::plain(model::WaitCode::NotPermitted, text));
         };
@@ -121,24 +126,26 @@
         )))
     }
 
-    /// Whether the work fits a guarantee of its account as it is in an empty hall.
+    /// Whether the work fits the canonical block of a guarantee of its account; if the work names a
+    /// guarantee, only that one counts.
     fn fits_some_home(&self, item: &work::WorkItem, account: u32) -> bool {
         let request = PlacementRequest::of(item);
         self.homes.iter().any(|it| {
-            let named = item.guarantee.as_ref().is_none_or(|name| *name == it.guarantee);
+            let name_matches = item.guarantee.as_ref().is_none_or(|name| *name == it.guarantee);
             let block = &it.canonical;
             let rule =
                 EmptyBlockRule { topology: &self.topology, block, request: &request, exclude: &[] };
             it.account == account
-                && named
+                && name_matches
                 && 0 < request.total_accelerators()
                 && request.total_accelerators() <= it.size
                 && placement::best(&self.topology, &request, &rule).is_some()
         })
     }
 
-    /// Work that can't be reclaimed needs a place beside all home blocks, or a guarantee.
-    fn check_outside(
+    /// Checks that non-reclaimable work fits outside all home blocks, or else into a guarantee of its
+    /// account.
+    fn check_outside_homes(
         &self,
         item: &work::WorkItem,
         rule: &ClassRule,
@@ -148,13 +155,13 @@
         if !self.is_non_reclaimable(rule) || self.fits_some_home(item, account) {
             return Ok(());
         }
-        let mut homes = vec![false; self.topology.n_accelerators() as usize];
-        let mut n_homes = vec![0; self.topology.workers.len()];
+        let mut in_home = vec![false; self.topology.n_accelerators() as usize];
+        let mut n_in_homes = vec![0; self.topology.workers.len()];
         for it in self.homes.iter().flat_map(|it| &it.canonical) {
-            homes[*it as usize] = true;
-            n_homes[self.topology.worker_of[*it as usize] as usize] += 1;
+            in_home[*it as usize] = true;
+            n_in_homes[self.topology.worker_of[*it as usize] as usize] += 1;
         }
-        let rule = OutsideRule { core: self, homes, n_homes, usage: request.usage };
+        let rule = OutsideHomesRule { core: self, in_home, n_in_homes, usage: request.usage };
         if placement::best(&self.topology, request, &rule).is_some() {
             return Ok(());
         }
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -1,4 +1,5 @@
-//! The policy of a hall: state and the order of a turn. Each step has its own module.
+//! The state of a hall's policy and the order of steps in a scheduling round. Each step has its own
+//! module.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,11 +24,11 @@
 use crate::topology::{HallTopology, NONE, WorkerSpec};
 use crate::work;
 
-/// A guarantee without a block is not reported as lost within this after the start: workers of a
-/// new scheduler come back one by one.
+/// For this time after the start a guarantee without a block is not reported as lost, since the
+/// workers connect to a new scheduler one after the other.
 pub(crate) const SETTLE_TIME: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Decides for one hall.
+/// The policy of one hall. Owned by the hall scheduler; keeps everything in memory.
 pub struct HallCore {
     pub(crate) hall: ids::HallName,
     pub(crate) layout: model::HallLayout,
@@ -39,21 +40,21 @@
     pub(crate) ledger: HallLedger,
     pub(crate) items: ItemTable,
     pub(crate) queue: WaitQueue,
-    /// Items whose place is reserved.
+    /// Items for which accelerators are reserved.
     pub(crate) reserved_items: BTreeSet<u32>,
     pub(crate) homes: Vec<HomeBlock>,
-    /// Every guarantee of the configuration, for refusals that name the right hall.
+    /// Guarantees of all halls, so that a rejection can name the hall in which a guarantee is at home.
     pub(crate) all_homes: Vec<homes::Home>,
     pub(crate) homes_dirty: bool,
     pub(crate) homes_version: u64,
-    /// Counts configurations.
+    /// Number of configurations applied so far.
     pub(crate) config_number: u64,
-    /// When homes were last brought back to where they are in an empty hall.
+    /// When the homes were last moved back to their canonical blocks.
     pub(crate) homes_restored_at: time::WallTime,
     pub(crate) health: Vec<WorkerHealth>,
-    /// What is known of workers that the configuration does not have.
+    /// Health of workers that the configuration does not list.
     pub(crate) unlisted_health: BTreeMap<ids::WorkerId, WorkerHealth>,
-    /// State of each worker as last decided.
+    /// State of each worker as last reported by a decision.
     pub(crate) reported_states: Vec<model::WorkerState>,
     pub(crate) failures: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
@@ -61,12 +62,12 @@
     pub(crate) headroom: HeadroomBudget,
     pub(crate) timers: TimerQueue,
     pub(crate) outbox: Vec<decision::Decision>,
-    /// Grows with everything by which work may fit that did not before.
+    /// Incremented by every change after which work may fit that did not fit before.
     pub(crate) capacity_version: u64,
     pub(crate) reservation_check_version: u64,
-    /// Whether the last turn stopped at its bound.
+    /// Whether the last round stopped at its bound with work left.
     pub(crate) budget_exhausted: bool,
-    /// Whether something was learned since the last turn.
+    /// Whether an event or a capacity change came after the last round.
     pub(crate) changed_since_round: bool,
     pub(crate) created_at: time::WallTime,
     pub(crate) now: time::WallTime,
@@ -115,7 +116,7 @@
             now,
             topology,
         };
-        core.adopt_rules(&config);
+        core.apply_config_rules(&config);
         core.set_timer(now + SETTLE_TIME, TimerKind::CapacityCheck, NONE);
         Ok(core)
     }
@@ -136,7 +137,7 @@
         }
         self.config_number += 1;
         self.parameters = PolicyParameters::new(&config);
-        self.adopt_rules(&config);
+        self.apply_config_rules(&config);
         self.rebook_all();
         self.queue.unblock();
         self.note_capacity_change();
@@ -187,18 +188,18 @@
 }
 
 impl HallCore {
-    /// Takes classes, accounts, drains and guarantees from a configuration.
-    fn adopt_rules(&mut self, config: &model::ConfigDocument) {
+    /// Applies the classes, accounts, drains and guarantees of a configuration.
+    fn apply_config_rules(&mut self, config: &model::ConfigDocument) {
         self.catalog.configure(&self.hall, config);
         self.account_usage.resize(self.catalog.accounts.len(), AccountUsage::default());
         for (worker, health) in self.health.iter_mut().enumerate() {
             let spec = &self.topology.workers[worker];
-            let named = |it: &model::DrainOrder| {
+            let drains_worker = |it: &model::DrainOrder| {
                 it.upstream.is_none() && it.worker.as_ref() == Some(&spec.name)
             };
-            // A worker that the configuration no longer has runs its work to the end. Without this
-            // it looks as live as before, and new work starts on a machine that is being taken away.
-            health.drained_by_config = spec.rack == NONE || config.drains.iter().any(named);
+            // A worker that the configuration no longer lists finishes its running work. It has to
+            // count as drained, or new work would start on a machine that is being removed.
+            health.drained_by_config = spec.rack == NONE || config.drains.iter().any(drains_worker);
         }
         self.capacity = HallCapacity::default();
         for spec in self.topology.workers.iter().filter(|it| it.rack != NONE) {
@@ -208,63 +209,65 @@
         self.configure_homes();
     }
 
-    /// Lays the hall out anew and books running work again. Workers that the configuration no
-    /// longer has stay behind the others while work runs on them.
+    /// Rebuilds the topology and the ledger after a change of the layout, and books running work
+    /// again. Workers that the configuration no longer lists are appended while work runs on them.
     fn rebuild(&mut self) {
         let old = std::mem::take(&mut self.topology);
         let old_health = std::mem::take(&mut self.health);
-        let reserving: Vec<u32> = self.reserved_items.iter().copied().collect();
+        let reserved: Vec<u32> = self.reserved_items.iter().copied().collect();
         self.topology = old.clone();
-        for it in reserving {
+        for it in reserved {
             self.unreserve_and_enqueue(it);
         }
         self.remove_all_blocks();
         self.topology = HallTopology::new(&self.layout, &self.worker_kinds);
-        let mut moved: Vec<u32> = Vec::with_capacity(old.workers.len());
+        let mut new_indexes: Vec<u32> = Vec::with_capacity(old.workers.len());
         for spec in &old.workers {
             let index = self.topology.find_worker(&spec.name);
-            let busy = !self.ledger.workers[moved.len()].items.is_empty();
-            let lacks = index.is_none_or(|it| {
+            let busy = !self.ledger.workers[new_indexes.len()].items.is_empty();
+            let too_small = index.is_none_or(|it| {
                 self.topology.workers[it as usize].accelerators < spec.accelerators
             });
-            moved.push(match index {
-                Some(index) if !(busy && lacks) => index,
+            new_indexes.push(match index {
+                Some(index) if !(busy && too_small) => index,
                 _ if busy => self.topology.push(WorkerSpec { rack: NONE, ..spec.clone() }),
                 _ => NONE,
             });
         }
         self.ledger = HallLedger::new(&self.topology);
         let unlisted_health = &mut self.unlisted_health;
-        let known =
+        let known_health =
             |it: &WorkerSpec| unlisted_health.remove(&it.name).unwrap_or_else(WorkerHealth::new);
-        self.health = self.topology.workers.iter().map(known).collect();
+        self.health = self.topology.workers.iter().map(known_health).collect();
         self.reported_states = vec![model::WorkerState::Lost; self.health.len()];
         for (index, health) in old_health.into_iter().enumerate() {
-            if moved[index] != NONE {
-                self.reported_states[moved[index] as usize] = health.state(self.now);
-                self.health[moved[index] as usize] = health;
+            if new_indexes[index] != NONE {
+                self.reported_states[new_indexes[index] as usize] = health.state(self.now);
+                self.health[new_indexes[index] as usize] = health;
             } else {
                 self.unlisted_health.insert(old.workers[index].name.clone(), health);
             }
         }
-        self.rebook_moved(&old, &moved);
+        self.rebook_on_new_layout(&old, &new_indexes);
     }
 
-    /// Books everything that is held on the new layout.
-    fn rebook_moved(&mut self, old: &HallTopology, moved: &[u32]) {
+    /// Books the accelerators of running work in the ledger of the new layout. `new_indexes` has the
+    /// new index of each worker of `old`, or [`NONE`] for workers that are gone.
+    fn rebook_on_new_layout(&mut self, old: &HallTopology, new_indexes: &[u32]) {
         let all: Vec<u32> = self.items.iter().map(|(index, _)| index).collect();
         for index in all {
             let topology = &self.topology;
             let item = self.items.at_mut(index);
-            let there = |it: &u32| moved.get(*it as usize).copied().filter(|it| *it != NONE);
-            item.exclude = item.exclude.iter().filter_map(there).collect();
-            item.failed_on = item.failed_on.iter().filter_map(there).collect();
+            let new_index =
+                |it: &u32| new_indexes.get(*it as usize).copied().filter(|it| *it != NONE);
+            item.exclude = item.exclude.iter().filter_map(new_index).collect();
+            item.failed_on = item.failed_on.iter().filter_map(new_index).collect();
             if !item.state.holds_accelerators() {
                 continue;
             }
             for task in &mut item.tasks {
                 let from = old.workers[task.worker as usize].first_accelerator;
-                task.worker = moved[task.worker as usize];
+                task.worker = new_indexes[task.worker as usize];
                 let to = topology.workers[task.worker as usize].first_accelerator;
                 for it in &mut task.accelerators {
                     *it = *it - from + to;
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Books running work by the rules in force now.
+    /// Books running work according to the rules in force now. Claims keep their booking.
     fn rebook_all(&mut self) {
         let all: Vec<u32> = self
             .items
@@ -292,7 +295,7 @@
         self.homes_dirty = true;
     }
 
-    /// Changes how held work is booked.
+    /// Changes the booking of work that holds accelerators.
     pub(crate) fn rebook(&mut self, index: u32, booking: Booking) {
         let item = self.items.at_mut(index);
         let usage = Usage::of(&item.work.demand);
@@ -300,19 +303,20 @@
         item.booking = booking;
     }
 
-    /// Notes that work may fit that did not before.
+    /// Records that work may fit now that did not fit before, so that all waiting work is retried.
     pub(crate) fn note_capacity_change(&mut self) {
         self.capacity_version += 1;
         self.changed_since_round = true;
     }
 
-    /// Looks at an item again at a time.
+    /// Sets a timer for an item, or for none with [`NONE`]. The generation of the item is recorded, so
+    /// that a timer does not fire for a later item with the same index.
     pub(crate) fn set_timer(&mut self, at: time::WallTime, kind: TimerKind, item: u32) {
         let generation = if item == NONE { 0 } else { self.items.generation(item) };
         self.timers.set(TimerEntry { at, kind, item, generation });
     }
 
-    /// Items known, waiting items, and pairs with learned run times.
+    /// Current number of items, waiting items and run time estimates.
     pub fn sizes(&self) -> CoreSizes {
         CoreSizes {
             items: self.items.len(),
@@ -322,14 +326,14 @@
     }
 }
 
-/// How much the core holds, for metrics and for the proof that it is bounded.
+/// Sizes of the policy's tables, for metrics and for tests that its memory is bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoreSizes {
-    /// Requests and jobs.
+    /// Requests and jobs, waiting or running.
     pub items: usize,
-    /// Those that wait.
+    /// Requests and jobs that wait.
     pub waiting: usize,
-    /// Pairs of account and class with learned run times.
+    /// Pairs of account and class with recorded run times.
     pub estimates: usize,
 }
 
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -1,4 +1,4 @@
-//! What happens to work because time passes: saved, throttled, stopped, given up.
+//! Timer-driven actions on items: periodic checkpoints, throttling, stops for overruns and deadlines.
 
 use std::time::Duration;
 
@@ -9,31 +9,36 @@
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
-/// Between two checkpoints of a run that goes on. By Young's rule this suits a checkpoint of some
-/// 5 s and a loss or a reclaim every ten hours.
-const SAVE_INTERVAL: Duration = Duration::from_secs(600);
-/// The same while urgent work is about: it stops gangs without the time to save them. This suits a
-/// stop every 38 minutes.
-const EXPOSED_INTERVAL: Duration = Duration::from_secs(150);
-/// Timers looked at in one turn.
-const TIMERS_A_TURN: usize = 512;
+/// Interval between periodic checkpoints of a run. By Young's formula it is the best interval for a
+/// checkpoint of about 5 s and one loss or reclaim every ten hours.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(600);
+/// Interval between periodic checkpoints while there is urgent work, which stops gangs without time
+/// for a checkpoint. By the same formula it is the best interval for one stop every 38 minutes.
+const URGENT_CHECKPOINT_INTERVAL: Duration = Duration::from_secs(150);
+/// Bound on the timers fired in one round.
+const MAX_TIMERS_PER_ROUND: usize = 512;
 
 impl HallCore {
-    /// Sets the times at which a run is looked at. Requests are bounded by the term of their grant.
+    /// Sets the timers of a run that starts. Requests need none: they are bounded by the term of their
+    /// grant.
     pub(crate) fn set_run_timers(&mut self, index: u32) {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let deadline = item.work.deadline;
         if !rule.is_request {
-            let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
-            let throttle = item.saved_at + left(rule.max_run);
+            let remaining = |limit: Duration| limit.saturating_sub(item.work.saved_run);
+            let throttle = item.saved_at + remaining(rule.max_run);
             let overrun =
-                item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun_factor));
-            let saves = rule.checkpoint;
+                item.saved_at + remaining(rule.max_run.mul_f64(self.parameters.overrun_factor));
+            let can_checkpoint = rule.checkpoint;
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
-            if saves {
-                self.set_timer(self.now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
+            if can_checkpoint {
+                self.set_timer(
+                    self.now + URGENT_CHECKPOINT_INTERVAL,
+                    TimerKind::PeriodicCheckpoint,
+                    index,
+                );
             }
             if let Some(at) = deadline {
                 self.set_timer(at, TimerKind::Deadline, index);
@@ -41,9 +46,9 @@
         }
     }
 
-    /// Looks at everything that is due.
+    /// Fires all timers that are due, within the bound of a round.
     pub(crate) fn fire_timers(&mut self) {
-        for _ in 0..TIMERS_A_TURN {
+        for _ in 0..MAX_TIMERS_PER_ROUND {
             let Some(it) = self.timers.pop_due(self.now) else { return };
             if it.item == NONE {
                 self.capacity_version += 1;
@@ -58,12 +63,14 @@
     fn fire(&mut self, index: u32, kind: TimerKind) {
         let item = self.items.at(index);
         match (kind, item.state) {
-            // A timer of an earlier attempt must not cut this checkpoint short.
+            // A timer that was set for an earlier checkpoint must not end this one early.
             (TimerKind::Grace, ItemState::Checkpointing) if item.stop_by <= self.now => {
                 self.stop(index, item.after_stop, reasons::grace_over());
             }
             (TimerKind::Throttle, ItemState::Running) => self.throttle(index),
-            (TimerKind::PeriodicCheckpoint, ItemState::Running) => self.save(index),
+            (TimerKind::PeriodicCheckpoint, ItemState::Running) => {
+                self.request_periodic_checkpoint(index)
+            }
             (TimerKind::Overrun, ItemState::Running) => self.overrun(index),
             (TimerKind::Deadline, _) => self.check_deadline(index),
             (TimerKind::Retry, ItemState::Delayed) => self.enqueue(index),
@@ -71,16 +78,19 @@
         }
     }
 
-    /// Has a gang save its run, so that little is lost when it must go without a grace or its
-    /// worker dies.
-    fn save(&mut self, index: u32) {
+    /// Decides a periodic checkpoint if one is due, so that little is lost when the gang is stopped
+    /// without time for a checkpoint or a worker dies.
+    fn request_periodic_checkpoint(&mut self, index: u32) {
         let item = self.items.at(index);
-        let interval =
-            if self.has_recent_urgent_demand() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
+        let interval = if self.has_recent_urgent_demand() {
+            URGENT_CHECKPOINT_INTERVAL
+        } else {
+            CHECKPOINT_INTERVAL
+        };
         let due = item.saved_at.max(item.checkpoint_requested_at) + interval;
         if self.now < due {
-            // Urgent work may come before the long interval is over.
-            let next = due.min(self.now + EXPOSED_INTERVAL);
+            // The shorter interval applies as soon as urgent work arrives.
+            let next = due.min(self.now + URGENT_CHECKPOINT_INTERVAL);
             self.set_timer(next, TimerKind::PeriodicCheckpoint, index);
             return;
         }
@@ -89,7 +99,7 @@
         self.items.at_mut(index).checkpoint_requested_at = now;
         let reason = reasons::saved();
         self.outbox.push(Decision::Checkpoint { work, stop_by: None, reason });
-        self.set_timer(now + EXPOSED_INTERVAL, TimerKind::PeriodicCheckpoint, index);
+        self.set_timer(now + URGENT_CHECKPOINT_INTERVAL, TimerKind::PeriodicCheckpoint, index);
     }
 
     fn throttle(&mut self, index: u32) {
@@ -116,27 +126,27 @@
         self.checkpoint_and_stop(index, self.parameters.checkpoint_grace, AfterStop::End, reason);
     }
 
-    /// Run time over all attempts that counts.
+    /// Run time over all attempts, without run time that was lost.
     fn total_run(&self, index: u32) -> Duration {
         let item = self.items.at(index);
         item.work.saved_run + self.now.since(item.saved_at)
     }
 
-    /// Tells waiting work early that its deadline can't be met any more, and stops repeatable runs
-    /// whose result has become worthless.
+    /// Finishes waiting work as soon as its deadline can no longer be met, and stops running repeatable
+    /// jobs whose deadline has passed, since their result is worthless.
     pub(crate) fn check_deadline(&mut self, index: u32) {
         let item = self.items.at(index);
         let Some(deadline) = item.work.deadline else { return };
         let rule = &self.catalog.classes[item.class as usize];
         match item.state {
             ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
-                let least = self.estimate(item).low.saturating_sub(item.work.saved_run);
-                let latest = deadline - least;
-                if latest < self.now || deadline <= self.now {
-                    self.finish_unplaced(index, reasons::deadline(deadline, least));
+                let least_run = self.estimate(item).low.saturating_sub(item.work.saved_run);
+                let latest_start = deadline - least_run;
+                if latest_start < self.now || deadline <= self.now {
+                    self.finish_unplaced(index, reasons::deadline(deadline, least_run));
                 } else {
-                    let soon = Duration::from_millis(1);
-                    let at = deadline.min(latest + soon);
+                    let margin = Duration::from_millis(1);
+                    let at = deadline.min(latest_start + margin);
                     self.set_timer(at, TimerKind::Deadline, index);
                 }
             }
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -1,89 +1,91 @@
-//! What the core wants done, each with a reason that an operator can read.
+//! Decisions of the policy, each with a reason that operators can read. The hall scheduler carries
+//! them out.
 
 use almondpass_schema::{ids, model, time};
 
 use crate::work;
 
-/// One thing to do.
+/// One action for the hall scheduler to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Reserve every member, then start all, or roll back whole and say `StartFailed`.
+    /// Reserve accelerators for every task of the gang, then start all tasks. If any of this fails, roll
+    /// everything back and apply `StartFailed`.
     Start {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// Where.
+        /// Worker and accelerators of each task, by rank.
         placement: Vec<work::TaskAssignment>,
-        /// Why there.
+        /// Why this placement was chosen.
         reason: model::WaitReason,
     },
-    /// Ask the whole gang for a checkpoint and say `Checkpointed` when it is durable.
+    /// Request a checkpoint of the whole gang; apply `Checkpointed` once it is durable.
     Checkpoint {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// A `Stop` follows at this time at the latest; without one the gang runs on.
+        /// Time by which a `Stop` follows; if `None`, the gang continues to run.
         stop_by: Option<time::WallTime>,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// Stop the whole gang and say `Ended` with `Stopped`.
+    /// Stop the whole gang; apply `Ended` with `WorkExit::Stopped` once nothing of it runs.
     Stop {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// What becomes of it afterwards.
+        /// What happens to the work after the stop.
         after_stop: AfterStop,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// Ask the gang to use less.
+    /// Request that the gang use less of its resources, as its run exceeds the run limit.
     Throttle {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// Queued again after it ended; its caller is told the truth.
+    /// The work was queued again after its attempt ended; report that to the caller.
     Requeue {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// Over, with the outcome for the caller. Nothing of it runs.
+    /// The work is finished and nothing of it runs. The policy no longer knows it.
     Finish {
-        /// The work.
+        /// Id of the request or job.
         work: work::WorkId,
-        /// What the caller is told.
+        /// Outcome to report to the caller.
         outcome: model::RequestOutcome,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// A worker changed its state.
+    /// The state of a worker changed; report it.
     WorkerChanged {
-        /// The worker.
+        /// Name of the worker.
         worker: ids::WorkerId,
-        /// Its new state.
+        /// New state of the worker.
         state: model::WorkerState,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
-    /// A guaranteed shape changed its state: moved, lost, or whole again.
+    /// The state of a guarantee changed: its home block was moved, lost or found again; report it.
     GuaranteeChanged {
-        /// Whose it is.
+        /// Account that the guarantee belongs to.
         account: ids::AccountId,
-        /// Its name.
+        /// Name of the guarantee.
         guarantee: ids::GuaranteeName,
-        /// How it stands.
+        /// New state of the guarantee.
         state: model::GuaranteeState,
-        /// Why.
+        /// Why this was decided.
         reason: model::WaitReason,
     },
 }
 
-/// What becomes of work once it is stopped.
+/// What happens to work after it was stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterStop {
-    /// It waits again, with its age and checkpoint.
+    /// The work is queued again, with its age and checkpoint.
     Requeue,
-    /// It is over.
+    /// The work is finished.
     End,
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! The order of waiting work, and what starts now.
+//! The order of waiting work, and the start of work that fits.
 //!
-//! Urgent work first; then by priority, raised by one for each ageing step waited; then the account
-//! with the least dominant share above its guarantee; then the eldest.
+//! Urgent work goes first. Then work is ordered by priority, which rises by one for each ageing step
+//! waited; then by account, the least dominant share above the guarantee first; then by age.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,48 +19,50 @@
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
-/// Ageing raises work up to this priority; urgent work stays before it.
-const HIGHEST_LEVEL: u64 = 9;
-/// Accelerators and workers looked at in one turn; bounds its time.
-const STEPS_A_TURN: usize = 200_000;
-/// Starts decided in one turn.
-const STARTS_A_TURN: usize = 112;
-/// Urgent work waits for runs to end by themselves for this part of its start bound.
-const URGENT_PATIENCE: u32 = 4;
-/// Elder work of a group that excludes workers may fail to fit where the next would.
-const TRIES_A_GROUP: usize = 4;
+/// Highest priority that ageing gives. Urgent work goes before it.
+const HIGHEST_AGED_PRIORITY: u64 = 9;
+/// Bound on the accelerators and workers examined by the searches of one round, which bounds its
+/// duration.
+const MAX_STEPS_PER_ROUND: usize = 200_000;
+/// Bound on the starts decided in one round.
+const MAX_STARTS_PER_ROUND: usize = 112;
+/// Urgent work waits for runs to end by themselves for the start bound divided by this.
+const URGENT_WAIT_DIVISOR: u32 = 4;
+/// Items of a group tried in one round: an older item that excludes workers may not fit where the
+/// next one does.
+const MAX_TRIES_PER_GROUP: usize = 4;
 
-/// Place of a group in the order; the least goes first.
+/// Sort key of a group; the group with the least rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupRank {
     not_urgent: bool,
     aged_priority: Reverse<u64>,
     share: u32,
-    eldest: QueueEntry,
+    oldest: QueueEntry,
 }
 
 impl HallCore {
-    /// Priority with ageing.
+    /// Priority of an item, raised by one for each ageing step that the item has waited.
     pub(crate) fn aged_priority(&self, item: &QueueItem, priority: u8) -> u64 {
         let waited = self.now.since(item.work.submitted_at);
         let steps = waited.as_millis() / self.parameters.ageing_step.as_millis().max(1);
-        (u64::from(priority) + steps as u64).min(HIGHEST_LEVEL.max(u64::from(priority)))
+        (u64::from(priority) + steps as u64).min(HIGHEST_AGED_PRIORITY.max(u64::from(priority)))
     }
 
     fn rank(&self, group: u32) -> Option<GroupRank> {
         let group = self.queue.group(group)?;
-        let eldest = *group.entries.first()?;
+        let oldest = *group.entries.first()?;
         let rule = &self.catalog.classes[group.key.class as usize];
-        let item = self.items.at(eldest.item);
+        let item = self.items.at(oldest.item);
         Some(GroupRank {
             not_urgent: !rule.urgent,
             aged_priority: Reverse(self.aged_priority(item, rule.priority)),
             share: self.account_usage[group.key.account as usize].dominant_share(&self.capacity),
-            eldest,
+            oldest,
         })
     }
 
-    /// Groups in order, as of now.
+    /// Groups that pass the filter, in the order in which they go now.
     pub(crate) fn ranked_groups(&self, filter: impl Fn(&HallCore, &GroupKey) -> bool) -> Vec<u32> {
         let mut ranked: Vec<(GroupRank, u32)> = self
             .queue
@@ -72,9 +74,9 @@
         ranked.into_iter().map(|(_, it)| it).collect()
     }
 
-    /// Starts what fits, in order, within the bound of a turn.
+    /// Starts the work that fits, in order, within the bounds of a round.
     pub(crate) fn dispatch(&mut self) {
-        let fresh = |it: &u32| {
+        let untried = |it: &u32| {
             self.queue
                 .group(*it)
                 .is_some_and(|group| group.blocked_at_version != Some(self.capacity_version))
@@ -82,50 +84,54 @@
         let mut heap: BinaryHeap<Reverse<(GroupRank, u32)>> = self
             .queue
             .active()
-            .filter(fresh)
+            .filter(untried)
             .filter_map(|it| Some(Reverse((self.rank(it)?, it))))
             .collect();
-        let step = self.topology.worker_of.len() + self.topology.workers.len() + 1;
+        let steps_per_search = self.topology.worker_of.len() + self.topology.workers.len() + 1;
         let mut steps = 0;
         let mut starts = 0;
         while let Some(Reverse((rank, group))) = heap.pop() {
-            if STEPS_A_TURN <= steps || STARTS_A_TURN <= starts {
+            if MAX_STEPS_PER_ROUND <= steps || MAX_STARTS_PER_ROUND <= starts {
                 self.budget_exhausted = true;
                 return;
             }
-            // Shares grow with each start of the turn.
-            let Some(now) = self.rank(group) else { continue };
-            if rank < now {
-                heap.push(Reverse((now, group)));
+            // Each start of this round raises the share of its account, and so the rank of its groups.
+            let Some(current) = self.rank(group) else { continue };
+            if rank < current {
+                heap.push(Reverse((current, group)));
                 continue;
             }
-            steps += step;
+            steps += steps_per_search;
             if self.try_group(group) {
                 starts += 1;
-                if let Some(now) = self.rank(group) {
-                    heap.push(Reverse((now, group)));
+                if let Some(current) = self.rank(group) {
+                    heap.push(Reverse((current, group)));
                 }
             }
         }
     }
 
-    /// Starts one of a group, or notes why it waits.
+    /// Starts one item of a group, or ends it if the hall can no longer run it, or records why the
+    /// group waits. Returns whether an item left the group.
     fn try_group(&mut self, group: u32) -> bool {
         let Some(it) = self.queue.group(group) else { return false };
-        let entries: Vec<QueueEntry> = it.entries.iter().copied().take(TRIES_A_GROUP).collect();
+        let entries: Vec<QueueEntry> =
+            it.entries.iter().copied().take(MAX_TRIES_PER_GROUP).collect();
         let urgent = self.catalog.classes[it.key.class as usize].urgent;
         let mut code = model::WaitCode::NoCapacity;
         for entry in entries {
             match self.ineligibility(entry.item) {
                 Some(it) => code = it,
                 None if self.start_unguaranteed(entry.item) => return true,
-                None if self.lend(entry.item) => return true,
-                None if urgent && self.opens_soon(entry.item) => {}
-                None if urgent && self.reclaim_urgent(entry.item) => return true,
+                None if self.start_after_home_relocation(entry.item) => return true,
+                None if urgent && self.can_await_free_accelerator(entry.item) => {}
+                None if urgent && self.reserve_urgent(entry.item) => return true,
                 None => {
-                    code = self.blocked_by(entry.item);
-                    let hard = self.booking_of(entry.item) == Booking::NonReclaimable;
-                    if hard && !self.homes.is_empty() || self.limited_to_home_blocks(entry.item) {
+                    code = self.blocking_reason(entry.item);
+                    let non_reclaimable = self.booking_of(entry.item) == Booking::NonReclaimable;
+                    if non_reclaimable && !self.homes.is_empty()
+                        || self.limited_to_home_blocks(entry.item)
+                    {
                         self.retry_soon();
                     }
                 }
@@ -134,7 +140,7 @@
                 break;
             }
         }
-        if self.gives_up(group) {
+        if self.end_infeasible(group) {
             return true;
         }
         let version = self.capacity_version;
@@ -145,9 +151,9 @@
         false
     }
 
-    /// Ends the eldest of a group that the hall can't run any more since the configuration changed;
-    /// it would wait for ever.
-    fn gives_up(&mut self, group: u32) -> bool {
+    /// Ends the oldest item of a group if a new configuration has left the hall unable to run it: the
+    /// item would wait for ever. Checked once for each configuration.
+    fn end_infeasible(&mut self, group: u32) -> bool {
         let number = self.config_number;
         let Some(it) = self.queue.group_mut(group) else { return false };
         if it.feasible_in_config == number {
@@ -169,12 +175,13 @@
         }
     }
 
-    /// Why work may not start whatever is free.
+    /// Why an item may not start regardless of free capacity: its class or account is unknown, its
+    /// upstream is unavailable, or its account is at a limit.
     pub(crate) fn ineligibility(&self, index: u32) -> Option<model::WaitCode> {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let account = &self.catalog.accounts[item.account as usize];
-        let uses = &self.account_usage[item.account as usize];
+        let usage = &self.account_usage[item.account as usize];
         if !rule.known {
             return Some(model::WaitCode::UnknownClass);
         }
@@ -184,14 +191,14 @@
         if rule.upstream_drained || !rule.upstream_in_hall {
             return Some(model::WaitCode::UpstreamUnavailable);
         }
-        let above = account
+        let over_accelerators = account
             .max_accelerators
-            .is_some_and(|it| it < uses.accelerators + item.n_accelerators());
-        let many = rule.is_request && account.max_running_requests <= uses.requests;
-        (above || many).then_some(model::WaitCode::AccountLimit)
+            .is_some_and(|it| it < usage.accelerators + item.n_accelerators());
+        let over_requests = rule.is_request && account.max_running_requests <= usage.requests;
+        (over_accelerators || over_requests).then_some(model::WaitCode::AccountLimit)
     }
 
-    /// Starts work in free capacity above the guarantee.
+    /// Starts an item in free capacity without claiming a guarantee. Returns whether it was started.
     pub(crate) fn start_unguaranteed(&mut self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = FreeCapacityRule::new(self, index);
@@ -202,6 +209,7 @@
         true
     }
 
+    /// The reason given with a start: the workers that the tasks were placed on.
     pub(crate) fn start_reason(&self, tasks: &[PlacedTask]) -> model::WaitReason {
         let first = &self.topology.workers[tasks[0].worker as usize].name;
         let mut workers: Vec<u32> = tasks.iter().map(|it| it.worker).collect();
@@ -213,14 +221,14 @@
         reasons::plain(model::WaitCode::Queued, text)
     }
 
-    /// The nearest reason for which free capacity does not do.
-    fn blocked_by(&self, index: u32) -> model::WaitCode {
+    /// The most specific reason why an item does not fit into the free capacity.
+    fn blocking_reason(&self, index: u32) -> model::WaitCode {
         let item = self.items.at(index);
-        if self.booking_of(index) == Booking::NonReclaimable && self.fits_in_homes(index) {
+        if self.booking_of(index) == Booking::NonReclaimable && self.fits_with_home_blocks(index) {
             return model::WaitCode::GuaranteeKept;
         }
-        let kept = self.limited_to_home_blocks(index) || !self.reserved_items.is_empty();
-        if kept && self.fits_in_blocks(index) {
+        let capacity_kept = self.limited_to_home_blocks(index) || !self.reserved_items.is_empty();
+        if capacity_kept && self.fits_in_reserved_blocks(index) {
             return model::WaitCode::ClearingBlock;
         }
         if 1 < item.work.tasks && item.work.adjacency != model::Adjacency::Any {
@@ -229,8 +237,8 @@
         model::WaitCode::NoCapacity
     }
 
-    /// Whether work that can't be reclaimed would fit if home blocks were open to it.
-    fn fits_in_homes(&self, index: u32) -> bool {
+    /// Whether a non-reclaimable item would fit if it were allowed to run in home blocks.
+    fn fits_with_home_blocks(&self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = FreeCapacityRule {
             non_reclaimable: false,
@@ -240,8 +248,8 @@
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
-    /// Whether work would fit if reserved places were open to it.
-    fn fits_in_blocks(&self, index: u32) -> bool {
+    /// Whether an item would fit if it were allowed to run on accelerators reserved for others.
+    fn fits_in_reserved_blocks(&self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
         let rule = FreeCapacityRule {
             respects_reservations: false,
@@ -251,30 +259,33 @@
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
-    /// Whether enough accelerators are expected to be free within a part of the urgent start bound
-    /// for all urgent work that waits. Short runs end all the time; stopping a long one for each
-    /// piece of a burst would lose much work for nothing.
-    fn opens_soon(&mut self, index: u32) -> bool {
-        let patience =
-            self.submitted_at(index) + self.parameters.urgent_start_bound / URGENT_PATIENCE;
-        if patience <= self.now || 1 < self.items.at(index).n_accelerators() {
+    /// Whether an urgent item of at most one accelerator can wait for a run to end instead of
+    /// preempting one: within a part of the urgent start bound, enough accelerators are expected to
+    /// become free for all urgent work that waits. Short runs end all the time, so that stopping a
+    /// long run for each item of a burst would lose much work for nothing.
+    fn can_await_free_accelerator(&mut self, index: u32) -> bool {
+        let wait_until =
+            self.submitted_at(index) + self.parameters.urgent_start_bound / URGENT_WAIT_DIVISOR;
+        if wait_until <= self.now || 1 < self.items.at(index).n_accelerators() {
             return false;
         }
-        let ends = |holder: &u32| self.expected_end(self.items.at(*holder)) <= patience;
+        let ends_in_time = |holder: &u32| self.expected_end(self.items.at(*holder)) <= wait_until;
         let holders = self.ledger.holder.iter().filter(|it| **it != NONE);
-        let n_opening = holders.filter(|it| ends(it)).count();
+        let n_freed = holders.filter(|it| ends_in_time(it)).count();
         let urgent = |it: &QueueGroup| self.catalog.classes[it.key.class as usize].urgent;
         let groups = self.queue.active().filter_map(|it| self.queue.group(it));
         let n_waiting: usize = groups.filter(|it| urgent(it)).map(|it| it.entries.len()).sum();
-        if n_opening < n_waiting {
+        if n_freed < n_waiting {
             return false;
         }
-        self.set_timer(patience, TimerKind::WaitOver, NONE);
+        self.set_timer(wait_until, TimerKind::WaitOver, NONE);
         true
     }
 
-    /// Makes room for work that may not run in home blocks, by moving one.
-    fn lend(&mut self, index: u32) -> bool {
+    /// Tries to start a non-reclaimable item, which may not run in home blocks, after one home was
+    /// relocated, or else after all unclaimed homes were moved back to their canonical blocks. Returns
+    /// whether the item was started.
+    fn start_after_home_relocation(&mut self, index: u32) -> bool {
         if self.booking_of(index) != Booking::NonReclaimable {
             return false;
         }
@@ -282,9 +293,10 @@
             || self.restore_canonical_blocks() && self.start_unguaranteed(index)
     }
 
-    /// Reserves a place for urgent work whose holders are repeatable, of lower priority and above
-    /// their guarantee, where nothing opens by itself in time.
-    fn reclaim_urgent(&mut self, index: u32) -> bool {
+    /// Reserves accelerators for an urgent item and preempts the work that holds them. The victims are
+    /// repeatable, of lower priority and outside their guarantee. For use where no run is expected to
+    /// end in time. Returns whether a placement was found.
+    fn reserve_urgent(&mut self, index: u32) -> bool {
         let request = PlacementRequest::of(&self.items.at(index).work);
         if request.accelerators_per_task == 0 {
             return false;
@@ -301,12 +313,12 @@
         true
     }
 
-    /// How long work of a group has waited at most.
+    /// How long an item has waited since it was submitted.
     pub(crate) fn wait_time(&self, index: u32) -> std::time::Duration {
         self.now.since(self.items.at(index).work.submitted_at)
     }
 
-    /// When work was submitted.
+    /// When an item was submitted; a requeued item keeps its time.
     pub(crate) fn submitted_at(&self, index: u32) -> time::WallTime {
         self.items.at(index).work.submitted_at
     }
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -1,4 +1,4 @@
-//! Events, as they come in.
+//! Handlers of the events that the hall scheduler applies to the policy.
 
 use std::time::Duration;
 
@@ -15,47 +15,50 @@
 use crate::work;
 
 impl HallCore {
-    /// Learns of an event.
+    /// Updates the state by an event.
     pub(crate) fn handle_event(&mut self, event: HallEvent) {
         match event {
-            HallEvent::Arrived(item) => self.arrive(item),
+            HallEvent::Arrived(item) => self.handle_arrived(item),
             HallEvent::Adopted { item, placement, started_at } => {
-                self.adopt(item, &placement, started_at);
+                self.handle_adopted(item, &placement, started_at);
             }
-            HallEvent::Cancelled(work) => self.with(&work, HallCore::cancel),
-            HallEvent::Started(work) => self.with(&work, HallCore::started),
+            HallEvent::Cancelled(work) => self.with_item(&work, HallCore::handle_cancelled),
+            HallEvent::Started(work) => self.with_item(&work, HallCore::handle_started),
             HallEvent::StartFailed { work, worker, fault } => {
                 let worker = worker.and_then(|it| self.topology.find_worker(&it));
-                self.with(&work, |core, it| core.start_failed(it, worker, fault));
+                self.with_item(&work, |core, it| core.handle_start_failed(it, worker, fault));
             }
-            HallEvent::Checkpointed(work) => self.with(&work, HallCore::checkpointed),
+            HallEvent::Checkpointed(work) => self.with_item(&work, HallCore::handle_checkpointed),
             HallEvent::Ended { work, exit } => {
-                self.with(&work, |core, it| core.ended(it, &exit));
+                self.with_item(&work, |core, it| core.handle_ended(it, &exit));
             }
-            HallEvent::WorkerLost(name) => self.worker_changed(&name, |it| it.present = false),
-            HallEvent::WorkerBack(name) => self.worker_changed(&name, |it| it.present = true),
+            HallEvent::WorkerLost(name) => {
+                self.update_worker_health(&name, |it| it.present = false)
+            }
+            HallEvent::WorkerBack(name) => self.update_worker_health(&name, |it| it.present = true),
             HallEvent::WorkerDraining(name) => {
-                self.worker_changed(&name, |it| it.drained_by_event = true)
+                self.update_worker_health(&name, |it| it.drained_by_event = true)
             }
             HallEvent::WorkerUndrained(name) => {
-                self.worker_changed(&name, |it| it.drained_by_event = false);
+                self.update_worker_health(&name, |it| it.drained_by_event = false);
             }
         }
     }
 
-    /// Late and repeated events name work that is gone; they change nothing.
-    fn with(&mut self, work: &work::WorkId, act: impl FnOnce(&mut HallCore, u32)) {
+    /// Calls a handler with the index of an item. Late and repeated events name work that has been
+    /// removed; they change nothing.
+    fn with_item(&mut self, work: &work::WorkId, handler: impl FnOnce(&mut HallCore, u32)) {
         if let Some(index) = self.items.find(work) {
-            act(self, index);
+            handler(self, index);
         }
     }
 
-    fn arrive(&mut self, work: work::WorkItem) {
+    fn handle_arrived(&mut self, work: work::WorkItem) {
         if self.items.find(&work.id).is_some() {
             return;
         }
         let refusal = self.check_admission(&work).err();
-        let index = self.insert(work, self.now);
+        let index = self.insert_item(work, self.now);
         if let Some(reason) = refusal {
             self.finish_unplaced(index, reason);
             return;
@@ -64,7 +67,7 @@
         self.check_deadline(index);
     }
 
-    fn insert(&mut self, work: work::WorkItem, started_at: time::WallTime) -> u32 {
+    fn insert_item(&mut self, work: work::WorkItem, started_at: time::WallTime) -> u32 {
         if let Some(name) = &work.guarantee {
             let named = self
                 .homes
@@ -110,22 +113,22 @@
         })
     }
 
-    /// Takes over a gang that another scheduler started.
-    fn adopt(
+    /// Adds a gang that an earlier scheduler of the hall started and that still runs.
+    fn handle_adopted(
         &mut self,
         work: work::WorkItem,
         placement: &[work::TaskAssignment],
         started_at: time::WallTime,
     ) {
-        if let Some(known) = self.items.find(&work.id) {
-            if self.items.at(known).state != ItemState::Waiting {
+        if let Some(existing) = self.items.find(&work.id) {
+            if self.items.at(existing).state != ItemState::Waiting {
                 return;
             }
-            self.dequeue(known);
-            self.forget(known);
+            self.dequeue(existing);
+            self.forget(existing);
         }
         let tasks: Vec<PlacedTask> = placement.iter().map(|it| self.adopted_task(it)).collect();
-        let index = self.insert(work, started_at);
+        let index = self.insert_item(work, started_at);
         let item = self.items.at_mut(index);
         item.start_reported = true;
         item.ever_started = true;
@@ -137,18 +140,24 @@
         self.homes_dirty = true;
     }
 
-    fn adopted_task(&mut self, slot: &work::TaskAssignment) -> PlacedTask {
-        let most = slot.accelerators.iter().max().map_or(0, |it| it + 1);
-        let known = self.topology.find_worker(&slot.worker);
-        let worker = match known {
-            Some(it) if most <= self.topology.workers[it as usize].accelerators => it,
-            _ => self.add_removed_worker(&slot.worker, most),
+    /// The place of an adopted task. If the configuration does not list the worker, or lists it with
+    /// too few accelerators, the worker is added.
+    fn adopted_task(&mut self, assignment: &work::TaskAssignment) -> PlacedTask {
+        let n_needed = assignment.accelerators.iter().max().map_or(0, |it| it + 1);
+        let listed = self.topology.find_worker(&assignment.worker);
+        let worker = match listed {
+            Some(it) if n_needed <= self.topology.workers[it as usize].accelerators => it,
+            _ => self.add_removed_worker(&assignment.worker, n_needed),
         };
         let first = self.topology.workers[worker as usize].first_accelerator;
-        PlacedTask { worker, accelerators: slot.accelerators.iter().map(|it| first + it).collect() }
+        PlacedTask {
+            worker,
+            accelerators: assignment.accelerators.iter().map(|it| first + it).collect(),
+        }
     }
 
-    /// A worker on which work runs though the configuration does not have it.
+    /// Adds a worker that runs work although the configuration does not list it, or lists it with
+    /// fewer accelerators.
     fn add_removed_worker(&mut self, name: &str, accelerators: u32) -> u32 {
         let worker = self.topology.push(WorkerSpec {
             name: name.to_owned(),
@@ -159,10 +168,10 @@
             memory_mb: 0,
             slots: 0,
         });
-        let n = self.topology.worker_of.len();
-        self.ledger.holder.resize(n, NONE);
-        self.ledger.reserved_for.resize(n, NONE);
-        self.ledger.home.resize(n, NONE);
+        let n_accelerators = self.topology.worker_of.len();
+        self.ledger.holder.resize(n_accelerators, NONE);
+        self.ledger.reserved_for.resize(n_accelerators, NONE);
+        self.ledger.home.resize(n_accelerators, NONE);
         self.ledger.workers.push(crate::ledger::WorkerLedger {
             free_accelerators: accelerators,
             ..Default::default()
@@ -172,7 +181,7 @@
         worker
     }
 
-    fn cancel(&mut self, index: u32) {
+    fn handle_cancelled(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         item.cancelled = true;
         item.after_stop = AfterStop::End;
@@ -187,7 +196,7 @@
         }
     }
 
-    fn started(&mut self, index: u32) {
+    fn handle_started(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
         if !matches!(item.state, ItemState::Starting | ItemState::Stopping) || item.start_reported {
@@ -205,7 +214,7 @@
         }
     }
 
-    fn start_failed(&mut self, index: u32, worker: Option<u32>, fault: StartFault) {
+    fn handle_start_failed(&mut self, index: u32, worker: Option<u32>, fault: StartFault) {
         let state = self.items.at(index).state;
         if !matches!(state, ItemState::Starting | ItemState::Stopping) {
             return;
@@ -228,15 +237,15 @@
             self.finish_unplaced(index, reason);
             return;
         }
-        let wait = if worker.is_none() && fault != StartFault::Withdrawn {
+        let delay = if worker.is_none() && fault != StartFault::Withdrawn {
             Duration::from_secs(1)
         } else {
             Duration::ZERO
         };
-        self.requeue(index, wait, reasons::start_failed(fault));
+        self.requeue(index, delay, reasons::start_failed(fault));
     }
 
-    fn checkpointed(&mut self, index: u32) {
+    fn handle_checkpointed(&mut self, index: u32) {
         let now = self.now;
         let item = self.items.at_mut(index);
         if !item.state.holds_accelerators() || item.state == ItemState::Starting {
@@ -250,44 +259,44 @@
         }
     }
 
-    fn ended(&mut self, index: u32, exit: &WorkExit) {
+    fn handle_ended(&mut self, index: u32, exit: &WorkExit) {
         let item = self.items.at_mut(index);
         if !item.state.holds_accelerators() {
             return;
         }
-        // Unlike a failed start, an end says that some of it may have run.
+        // Unlike `StartFailed`, `Ended` means that some of the work may have run.
         item.ever_started = true;
         match exit {
-            WorkExit::Succeeded => self.succeeded(index),
-            WorkExit::Stopped => self.stopped(index),
+            WorkExit::Succeeded => self.end_succeeded(index),
+            WorkExit::Stopped => self.end_stopped(index),
             WorkExit::Failed { worker } => {
                 let worker = self.topology.find_worker(worker);
-                self.failed(index, worker);
+                self.end_failed(index, worker);
             }
             WorkExit::Lost { worker } => {
                 let name = worker.clone();
-                self.lost(index, &name);
+                self.end_lost(index, &name);
             }
         }
     }
 
-    fn worker_changed(&mut self, name: &str, change: impl FnOnce(&mut WorkerHealth)) {
+    fn update_worker_health(&mut self, name: &str, change: impl FnOnce(&mut WorkerHealth)) {
         let Some(worker) = self.topology.find_worker(name) else {
-            // What is learned of a worker that the configuration does not have holds when it gets
-            // it: a worker drained meanwhile must not take work then.
+            // The health of a worker that the configuration does not list is kept until it does: a
+            // worker that was drained meanwhile must not get work then.
             change(self.unlisted_health.entry(name.to_owned()).or_insert_with(WorkerHealth::new));
             return;
         };
         let health = &mut self.health[worker as usize];
-        let before = health.usable();
+        let was_usable = health.usable();
         change(health);
-        if health.usable() != before {
+        if health.usable() != was_usable {
             self.homes_dirty = true;
         }
         self.note_capacity_change();
     }
 
-    /// Capacity of what one task uses.
+    /// Cores, memory and upstream slots that one task of an item uses.
     pub(crate) fn usage_of(&self, index: u32) -> Usage {
         Usage::of(&self.items.at(index).work.demand)
     }
--- a/crates/policy/src/hall_policy.rs
+++ b/crates/policy/src/hall_policy.rs
@@ -1,4 +1,4 @@
-//! The interface between a hall's scheduler and whatever decides for it.
+//! The interface between a hall scheduler and the policy that decides for the hall.
 
 use std::sync::Arc;
 
@@ -9,38 +9,46 @@
 use crate::event;
 use crate::work;
 
-/// Decides for one hall. The policy and its baselines implement it.
+/// Decides which work of one hall runs where. Implemented by [`crate::core::HallCore`] and by the
+/// baseline policies.
 pub trait HallPolicy: Sized + Send + 'static {
-    /// A hall with nothing running, every worker lost until `WorkerBack`.
+    /// Creates the policy of a hall without work, in which every worker counts as lost until
+    /// `WorkerBack` is applied.
+    ///
+    /// Fails if the configuration cannot be used for the hall, see [`PolicyFault`].
     fn new(
         hall: &ids::HallName,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
     ) -> Result<Self, PolicyFault>;
 
-    /// Takes a newer configuration; work in progress stays.
+    /// Replaces the configuration; work that is queued or running is kept. On an error the previous
+    /// configuration stays in force.
     fn configure(
         &mut self,
         config: Arc<model::ConfigDocument>,
         now: time::WallTime,
     ) -> Result<(), PolicyFault>;
 
-    /// Learns of something. Cheap; decisions wait for the next turn.
+    /// Updates the state by an event. Makes no decisions about placement: these are left to the next
+    /// round, so that the call is cheap.
     fn apply(&mut self, event: event::HallEvent, now: time::WallTime);
 
-    /// Decides. Bounded work: what is left over is taken up by the next turn.
+    /// Runs one scheduling round and returns its decisions in order. The work of a round is bounded;
+    /// the next round continues where this one stopped.
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision>;
 
-    /// When the next turn is due even if nothing happens; at once where the last one left work over.
+    /// When the next round is due if no event comes before: `now` if the last round reached its
+    /// bound, `None` if no timer is set.
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime>;
 
-    /// Why work waits, or where it stands.
+    /// Why a request or job waits, or its current state; `None` if its id is unknown.
     fn reason(&self, work: &work::WorkId, now: time::WallTime) -> Option<model::WaitReason>;
 
-    /// Whether the hall could ever run the work, with the reason where it could not.
+    /// Checks whether the hall could ever run the work; the error is the reason why it could not.
     fn admits(&self, item: &work::WorkItem) -> Result<(), model::WaitReason>;
 
-    /// A picture for operators; `epoch` and `holder` are filled in by the scheduler.
+    /// A snapshot of the hall for operators. The hall scheduler fills in `epoch` and `holder`.
     fn picture(&self, now: time::WallTime) -> model::HallPicture;
 }
 
@@ -50,18 +58,18 @@
     /// The configuration has no such hall.
     #[error("expected hall {0} in the configuration, found none")]
     UnknownHall(ids::HallName),
-    /// A guaranteed shape has no place of its own.
+    /// No block of its own can be found for a guaranteed shape.
     #[error(
         "expected room for the guarantee {guarantee} of {account} in hall {hall}, found {detail}"
     )]
     GuaranteeUnfit {
-        /// Whose it is.
+        /// Account that the guarantee belongs to.
         account: ids::AccountId,
-        /// Its name.
+        /// Name of the guarantee.
         guarantee: ids::GuaranteeName,
-        /// Where it was to be at home.
+        /// Hall in which the home block was sought.
         hall: ids::HallName,
-        /// What stood in the way.
+        /// What was found in place of a block that fits.
         detail: String,
     },
 }
--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -1,4 +1,4 @@
-//! Work in the core, and where it stands.
+//! A request or job as the policy keeps it, with its state.
 
 use std::time::Duration;
 
@@ -8,38 +8,38 @@
 use crate::ledger;
 use crate::work;
 
-/// Why accelerators are reserved for work that waits.
+/// Why accelerators are reserved for waiting work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReservationKind {
-    /// It claims a guarantee; whoever is there is stopped.
+    /// The work claims a guarantee; the work that holds the accelerators is preempted.
     Claim,
-    /// It is urgent; whoever is there is stopped.
+    /// The work is urgent; the work that holds the accelerators is preempted.
     Urgent,
-    /// A gang for which a block is cleared as work there ends.
+    /// The work is a gang; the block becomes free as the work on it ends.
     Gang,
 }
 
-/// Where work stands.
+/// State of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ItemState {
     /// In the queue.
     Waiting,
-    /// Out of the queue until a time, after a failure.
+    /// Not in the queue until the retry delay after a failure is over.
     Delayed,
-    /// Its place is reserved and becomes free.
+    /// Not in the queue; accelerators are reserved and not all of them are free yet.
     Reserved(ReservationKind),
-    /// `Start` was decided.
+    /// `Start` was decided; neither `Started` nor `StartFailed` has come yet.
     Starting,
-    /// It runs.
+    /// All tasks run.
     Running,
-    /// A checkpoint was asked for, `Stop` follows.
+    /// A checkpoint was requested; `Stop` follows.
     Checkpointing,
-    /// `Stop` was decided.
+    /// `Stop` was decided; `Ended` has not come yet.
     Stopping,
 }
 
 impl ItemState {
-    /// Whether it holds accelerators.
+    /// Whether an item in this state holds its accelerators.
     pub(crate) fn holds_accelerators(self) -> bool {
         matches!(
             self,
@@ -51,65 +51,67 @@
     }
 }
 
-/// One request or job.
+/// One request or job, from its arrival to its end.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueItem {
     pub(crate) work: work::WorkItem,
     pub(crate) class: u32,
     pub(crate) account: u32,
     pub(crate) state: ItemState,
-    /// Since when it stands so.
+    /// When the item entered its state.
     pub(crate) state_since: time::WallTime,
-    /// Where it is held or reserved.
+    /// Workers and accelerators that are held or reserved; empty while neither.
     pub(crate) tasks: Vec<ledger::PlacedTask>,
     pub(crate) booking: ledger::Booking,
-    /// Home block that it claims.
+    /// Index of the home whose block the item claims.
     pub(crate) claimed_home: Option<u32>,
+    /// Start of the current attempt.
     pub(crate) started_at: time::WallTime,
-    /// Run time saved up to this point of the attempt.
+    /// When the attempt last saved a checkpoint, or else its start: run time since then would be lost.
     pub(crate) saved_at: time::WallTime,
-    /// When its place is expected to open, while reserving.
+    /// When the reserved accelerators are expected to be free.
     pub(crate) expected_free_at: time::WallTime,
-    /// Accelerators by which it counts as urgent use while held.
+    /// Accelerators that are counted as held by urgent work; 0 for other work.
     pub(crate) urgent_accelerators: u32,
-    /// When a checkpoint of a run that goes on was last asked for.
+    /// When a periodic checkpoint, after which the run continues, was last requested.
     pub(crate) checkpoint_requested_at: time::WallTime,
-    /// When the checkpoint under way is cut short.
+    /// When the gang is stopped even if the checkpoint in progress is not complete.
     pub(crate) stop_by: time::WallTime,
-    /// What becomes of it after the stop under way.
+    /// What happens to the item after the stop in progress.
     pub(crate) after_stop: decision::AfterStop,
-    /// Whether this attempt was reported as started.
+    /// Whether `Started` was received for the current attempt.
     pub(crate) start_reported: bool,
-    /// Whether it ever started, so that `not run` would be untrue.
+    /// Whether any of the work may have run, so that the outcome can't be `not_run`.
     pub(crate) ever_started: bool,
     pub(crate) cancelled: bool,
     pub(crate) throttled: bool,
-    /// Stopped for an overrun; the reason of its end.
+    /// Whether the item is stopped because its run exceeded the overrun bound.
     pub(crate) overran: bool,
-    /// Workers on which it failed by itself; it goes back there only where nothing else is free.
+    /// Workers on which the work failed; used again only if no other worker is free.
     pub(crate) failed_on: Vec<u32>,
+    /// Number of failures over all attempts.
     pub(crate) failures: u32,
-    /// Workers on which it must not start again.
+    /// Workers on which the work must not be started again.
     pub(crate) exclude: Vec<u32>,
-    /// Whether its block was chosen when it was overdue already.
+    /// Whether the gang was already overdue when its block was chosen.
     pub(crate) chosen_overdue: bool,
-    /// Why it ends, where a stop for good is under way.
+    /// Why the item ends, once a stop with `AfterStop::End` was decided.
     pub(crate) end_reason: Option<model::WaitReason>,
-    /// Times it was a victim.
+    /// Number of times the item was requeued after a stop.
     pub(crate) n_reclaims: u32,
 }
 
 impl QueueItem {
-    /// Run time that a stop now would lose over all accelerators, in accelerator seconds.
+    /// Run time that a stop at `now` would lose, summed over the accelerators, in accelerator seconds.
     pub(crate) fn lost_work(&self, now: time::WallTime) -> f64 {
         if self.state == ItemState::Starting {
             return 0.0;
         }
-        let width = f64::from(self.work.tasks * self.work.demand.accelerators.max(1));
-        now.since(self.saved_at).as_secs_f64() * width
+        let n_accelerators = f64::from(self.work.tasks * self.work.demand.accelerators.max(1));
+        now.since(self.saved_at).as_secs_f64() * n_accelerators
     }
 
-    /// Run time in this attempt.
+    /// Run time of the current attempt.
     pub(crate) fn run_time(&self, now: time::WallTime) -> Duration {
         now.since(self.started_at)
     }
--- a/crates/policy/src/item_table.rs
+++ b/crates/policy/src/item_table.rs
@@ -1,4 +1,4 @@
-//! Items by dense index and by id.
+//! The table of items, by dense index and by id.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,17 @@
 
 #[derive(Clone, Debug, Default)]
 struct TableEntry {
+    /// Incremented each time an item is removed from the entry.
     generation: u32,
     item: Option<item::QueueItem>,
 }
 
-/// Every request and job that the core knows. Ids are only looked up, never walked, so that the
-/// order of the hash map decides nothing.
+/// Every request and job that the policy knows. The hash map is only used for lookups and never
+/// iterated, so that its order can't influence decisions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ItemTable {
     entries: Vec<TableEntry>,
+    /// Indexes of `entries` that can be reused.
     free: Vec<u32>,
     index: HashMap<work::WorkId, u32>,
 }
@@ -44,22 +46,22 @@
         Some(item)
     }
 
-    /// The item of an index that is in use.
+    /// The item at an index; panics if the index is not in use.
     pub(crate) fn at(&self, index: u32) -> &item::QueueItem {
         self.entries[index as usize].item.as_ref().expect("the index of a live item")
     }
 
-    /// The item of an index that is in use.
+    /// The item at an index; panics if the index is not in use.
     pub(crate) fn at_mut(&mut self, index: u32) -> &mut item::QueueItem {
         self.entries[index as usize].item.as_mut().expect("the index of a live item")
     }
 
-    /// Tells an item from a later one at the same index.
+    /// Generation of an index; distinguishes an item from later ones with the same index.
     pub(crate) fn generation(&self, index: u32) -> u32 {
         self.entries[index as usize].generation
     }
 
-    /// The item, unless another has taken its index since.
+    /// The item at an index, or `None` if the item of that generation was removed.
     pub(crate) fn get(&self, index: u32, generation: u32) -> Option<&item::QueueItem> {
         let entry = self.entries.get(index as usize)?;
         if entry.generation != generation {
@@ -68,7 +70,7 @@
         entry.item.as_ref()
     }
 
-    /// Live items in order of their index.
+    /// All items, by ascending index.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &item::QueueItem)> {
         self.entries
             .iter()
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decision core: placement, guarantees, reclaim, gangs, adjacency and order, without I/O.
+//! The scheduling policy of a hall: placement, guarantees, reclaim, gangs, adjacency and order.
 //!
-//! Pure, synchronous and deterministic; time is passed in. A scheduler feeds it [`event::HallEvent`]s
-//! and carries out the [`decision::Decision`]s of each turn. Baselines implement the same trait.
+//! The crate does no I/O. It is synchronous and deterministic; the caller passes the time in. A hall
+//! scheduler applies [`event::HallEvent`]s and carries out the [`decision::Decision`]s of each
+//! scheduling round. The baseline policies implement the same trait, [`hall_policy::HallPolicy`].
 
 mod account_usage;
 mod admission;
--- a/crates/policy/src/parameters.rs
+++ b/crates/policy/src/parameters.rs
@@ -1,27 +1,33 @@
-//! The configuration's bounds and weights, as the core uses them.
+//! Bounds and weights of the policy, derived from the configuration.
 
 use std::time::Duration;
 
 use almondpass_schema::model;
 
-/// What a stop may take from the decision to the report that all is free: a poll of the worker
-/// and a call, with room. Never more than a quarter of the bound.
+/// Time allowed for a stop, from the decision to the report that all accelerators are free: one poll
+/// of the worker and one call, with a margin. At most a quarter of the reclaim bound is used for it.
 const STOP_MARGIN: Duration = Duration::from_secs(2);
-/// Blocks cleared at a time where only fragmentation counts.
-const MOST_CLEARINGS: f64 = 6.0;
+/// Blocks reserved for gangs at a time if the objective weighs fragmentation only.
+const MAX_GANG_RESERVATIONS: f64 = 6.0;
 
-/// Bounds and weights in force.
+/// Bounds and weights of the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PolicyParameters {
+    /// Time within which a claimed guarantee holds its accelerators, checkpoints of victims included.
     pub(crate) reclaim_bound: Duration,
-    /// Time for a checkpoint that still leaves time for the stop.
+    /// Time for a checkpoint before a stop; leaves `stop_margin` of the reclaim bound for the stop.
     pub(crate) checkpoint_grace: Duration,
+    /// Time allowed for the stop itself.
     pub(crate) stop_margin: Duration,
+    /// Time within which urgent work starts.
     pub(crate) urgent_start_bound: Duration,
+    /// Waiting time that raises the priority of work by one.
     pub(crate) ageing_step: Duration,
+    /// Time after which a waiting gang is overdue.
     pub(crate) gang_wait: Duration,
+    /// Multiple of the run limit of a class at which a run is stopped; at least 1.
     pub(crate) overrun_factor: f64,
-    /// Weight of fragmentation against completion time, 0 to 1.
+    /// Weight of fragmentation relative to completion time, 0 to 1.
     pub(crate) fragmentation_weight: f64,
 }
 
@@ -44,23 +50,25 @@
         }
     }
 
-    /// How long a gang waits before a block is cleared for it: at once where fragmentation counts
-    /// most, since a block takes the longer to open the later it is begun.
+    /// How long a gang waits before a block is reserved for it: not at all if only fragmentation
+    /// counts, since the later a block is reserved the later it becomes free.
     pub(crate) fn gang_reservation_delay(&self) -> Duration {
         self.gang_wait.mul_f64((1.0 - self.fragmentation_weight) / 2.0)
     }
 
-    /// Blocks cleared at a time. Each holds accelerators back, which costs completion time.
+    /// Blocks reserved for gangs at a time. Each reservation keeps accelerators idle, which costs
+    /// completion time.
     pub(crate) fn max_gang_reservations(&self) -> usize {
-        1 + ((MOST_CLEARINGS - 1.0) * self.fragmentation_weight) as usize
+        1 + ((MAX_GANG_RESERVATIONS - 1.0) * self.fragmentation_weight) as usize
     }
 
-    /// A run that is never exceeded: longer ones are stopped.
-    pub(crate) fn max_run_time(&self, longest: Duration) -> Duration {
-        longest.mul_f64(self.overrun_factor) + self.checkpoint_grace + self.stop_margin
+    /// Longest time that work of a class can run, given the run limit of the class: longer runs are
+    /// stopped.
+    pub(crate) fn max_run_time(&self, run_limit: Duration) -> Duration {
+        run_limit.mul_f64(self.overrun_factor) + self.checkpoint_grace + self.stop_margin
     }
 
-    /// What a stop for urgent work may take of its start bound.
+    /// Time for the checkpoint of a victim of urgent work: at most half of the urgent start bound.
     pub(crate) fn urgent_grace(&self) -> Duration {
         self.checkpoint_grace.min(self.urgent_start_bound / 2)
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,7 +1,7 @@
-//! Waiting work, in groups of the same shape.
+//! The queue of waiting work, in groups of the same shape.
 //!
-//! What fails to fit for the first of a group fails for the others too, so that a wave of
-//! thousands costs one search.
+//! If the first item of a group does not fit, the others do not fit either, so that a burst of
+//! thousands of like items costs one search for a placement.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,7 +9,8 @@
 
 use crate::work;
 
-/// Work that differs only in its age.
+/// What the items of a group have in common: everything that decides where they fit, except for
+/// the workers that single items exclude.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GroupKey {
     pub(crate) account: u32,
@@ -20,7 +21,7 @@
     pub(crate) guarantee: Option<ids::GuaranteeName>,
 }
 
-/// One piece of waiting work; the eldest is first.
+/// One item in a group. Entries are ordered by age, the oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     pub(crate) submitted_at: time::WallTime,
@@ -28,16 +29,17 @@
     pub(crate) item: u32,
 }
 
-/// Waiting work of one shape.
+/// Waiting items with the same key.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueGroup {
     pub(crate) key: GroupKey,
     pub(crate) entries: BTreeSet<QueueEntry>,
-    /// Version of the capacity at which its first did not fit.
+    /// Value of `HallCore::capacity_version` at which the first item did not fit; `None` if the group
+    /// has to be tried.
     pub(crate) blocked_at_version: Option<u64>,
-    /// Why it did not.
+    /// Why the first item did not fit.
     pub(crate) wait_code: model::WaitCode,
-    /// Number of the configuration under which it was last seen to be possible.
+    /// Number of the last configuration for which the hall was found able to run the group.
     pub(crate) feasible_in_config: u64,
 }
 
@@ -46,18 +48,20 @@
 pub(crate) struct WaitQueue {
     groups: Vec<Option<QueueGroup>>,
     index: HashMap<GroupKey, u32>,
+    /// Indexes of `groups` that can be reused.
     free: Vec<u32>,
-    /// Groups in use.
+    /// Indexes of groups that are not empty.
     active: BTreeSet<u32>,
+    /// Number of entries in all groups.
     len: usize,
 }
 
 impl WaitQueue {
-    /// Adds work.
+    /// Adds an entry to the group of `key`. A new first entry lets the group be tried again.
     pub(crate) fn push(&mut self, key: GroupKey, entry: QueueEntry) {
         let index = match self.index.get(&key) {
             Some(index) => *index,
-            None => self.open(key),
+            None => self.create_group(key),
         };
         let group = self.groups[index as usize].as_mut().expect("an open group");
         if group.entries.insert(entry) {
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Takes work out; false where it is not there.
+    /// Removes an entry, and its group if that becomes empty. Returns whether the entry was found.
     pub(crate) fn remove(&mut self, key: &GroupKey, entry: &QueueEntry) -> bool {
         let Some(index) = self.index.get(key).copied() else { return false };
         let group = self.groups[index as usize].as_mut().expect("an open group");
@@ -84,7 +88,7 @@
         found
     }
 
-    fn open(&mut self, key: GroupKey) -> u32 {
+    fn create_group(&mut self, key: GroupKey) -> u32 {
         let index = self.free.pop().unwrap_or_else(|| {
             self.groups.push(None);
             self.groups.len() as u32 - 1
@@ -101,12 +105,12 @@
         index
     }
 
-    /// Indexes of groups that have work.
+    /// Indexes of all groups that are not empty, ascending.
     pub(crate) fn active(&self) -> impl Iterator<Item = u32> + '_ {
         self.active.iter().copied()
     }
 
-    /// A group, unless it was emptied since.
+    /// The group at an index, or `None` if the group has become empty.
     pub(crate) fn group(&self, index: u32) -> Option<&QueueGroup> {
         self.groups.get(index as usize)?.as_ref()
     }
@@ -115,12 +119,12 @@
         self.groups.get_mut(index as usize)?.as_mut()
     }
 
-    /// The group of a shape.
+    /// The group with the given key.
     pub(crate) fn find(&self, key: &GroupKey) -> Option<&QueueGroup> {
         self.group(*self.index.get(key)?)
     }
 
-    /// Lets every group be tried again, as after a new configuration.
+    /// Marks every group to be tried again, after a new configuration.
     pub(crate) fn unblock(&mut self) {
         self.groups.iter_mut().flatten().for_each(|it| it.blocked_at_version = None);
     }
--- a/crates/policy/src/reasons.rs
+++ b/crates/policy/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Reasons in the words that operators and callers read.
+//! Texts of the reasons that operators and callers see.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use crate::event;
 use crate::work;
 
-/// A reason without a time.
+/// A reason without an expected end.
 pub(crate) fn plain(code: model::WaitCode, text: impl Into<String>) -> model::WaitReason {
     model::WaitReason { code, text: text.into(), until: None }
 }
 
-/// A reason with the time at which it is expected to end.
+/// A reason with the time at which it is expected to no longer apply.
 pub(crate) fn until(
     code: model::WaitCode,
     text: impl Into<String>,
@@ -22,13 +22,13 @@
     model::WaitReason { code, text: text.into(), until: Some(until) }
 }
 
-/// The time of day, in UTC.
+/// The time of day in UTC, as `HH:MM`.
 pub(crate) fn clock(at: time::WallTime) -> String {
     let minutes = at.0.as_secs() / 60;
     format!("{:02}:{:02}", minutes / 60 % 24, minutes % 60)
 }
 
-/// A span for people, without its smallest parts.
+/// A duration in whole seconds, or in milliseconds if shorter than one second.
 pub(crate) fn span(span: Duration) -> String {
     if span < Duration::from_secs(1) {
         return format!("{} ms", span.as_millis());
@@ -36,12 +36,12 @@
     time::TimeSpan::from_secs(span.as_secs()).to_string()
 }
 
-/// `1 worker`, `2 workers`.
+/// A number with its noun, which gets an `s` in the plural: `1 worker`, `2 workers`.
 pub(crate) fn count(n: usize, noun: &str) -> String {
     if n == 1 { format!("1 {noun}") } else { format!("{n} {noun}s") }
 }
 
-/// What a task needs of its worker.
+/// The resources that a task needs, without upstream slots.
 pub(crate) fn demand(demand: &work::TaskDemand) -> String {
     let accelerators = count(demand.accelerators as usize, "accelerator");
     let cores = count(demand.cores as usize, "core");
@@ -113,11 +113,11 @@
     plain(model::WaitCode::JobFaulty, text)
 }
 
-pub(crate) fn deadline(deadline: time::WallTime, least: Duration) -> model::WaitReason {
-    let text = if least.is_zero() {
+pub(crate) fn deadline(deadline: time::WallTime, least_run: Duration) -> model::WaitReason {
+    let text = if least_run.is_zero() {
         format!("its deadline of {} has passed", clock(deadline))
     } else {
-        let least = span(least);
+        let least = span(least_run);
         format!("can't end by its deadline of {}: runs take {least} or more", clock(deadline))
     };
     plain(model::WaitCode::DeadlineMissed, text)
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -1,4 +1,5 @@
-//! Work as the core sees it: a request is a gang of one that is answered on its connection.
+//! Requests and jobs as the policy handles them. A request is a gang of one task that is answered on
+//! its connection.
 
 use std::time::Duration;
 
@@ -8,12 +9,12 @@
 /// Id of a request or a job.
 pub type WorkId = Uuid;
 
-/// What one task needs of its worker.
+/// Resources that one task needs on its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TaskDemand {
-    /// Accelerators, adjacent within the worker.
+    /// Number of accelerators, which have to be adjacent within the worker.
     pub accelerators: u32,
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u32,
     /// Memory in MiB.
     pub memory_mb: u64,
@@ -24,43 +25,44 @@
 /// A request or a job as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkItem {
-    /// Its id.
+    /// Id of the request or job.
     pub id: WorkId,
-    /// Who pays.
+    /// Client account to which the usage is charged.
     pub account: ids::AccountId,
-    /// What kind of work.
+    /// Job class, which sets priority, run limit and whether the work is repeatable.
     pub class: ids::ClassName,
-    /// Tasks of the gang.
+    /// Number of tasks of the gang, at least 1.
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: TaskDemand,
-    /// How close the accelerators of all tasks together must lie.
+    /// How close to each other the accelerators of all tasks have to be.
     pub adjacency: model::Adjacency,
-    /// Guaranteed shape that the caller names; without one the core matches any that fits.
+    /// Guarantee that the caller claims by name. If `None`, any guarantee of the account that fits is
+    /// claimed.
     pub guarantee: Option<ids::GuaranteeName>,
-    /// Run time that the caller expects; a hint.
+    /// Run time that the caller expects. Used for estimates, never enforced.
     pub declared_run: Option<Duration>,
-    /// When the result is worthless.
+    /// Time after which the result is worthless.
     pub deadline: Option<time::WallTime>,
-    /// When it was first accepted; a requeued victim keeps it.
+    /// When the work was first accepted. Work that is requeued keeps this time.
     pub submitted_at: time::WallTime,
-    /// Starts so far.
+    /// Number of attempts started so far.
     pub attempt: u32,
-    /// Run time saved in its latest checkpoint.
+    /// Run time saved in the latest checkpoint, over all attempts.
     pub saved_run: Duration,
-    /// Workers on which it must not start again.
+    /// Workers on which the work must not be started again.
     pub exclude: Vec<ids::WorkerId>,
-    /// Workers on which it failed before, one for each failure; it may go back there.
+    /// Workers on which the work failed, one entry for each failure. The work may run there again.
     pub failed_on: Vec<ids::WorkerId>,
 }
 
-/// One task of a gang on its worker.
+/// Worker and accelerators that one task of a gang is assigned to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskAssignment {
-    /// Number of the task.
+    /// Number of the task within the gang, from 0.
     pub rank: u32,
-    /// The worker.
+    /// Worker that runs the task.
     pub worker: ids::WorkerId,
-    /// Indexes of its accelerators on the worker, ascending.
+    /// Indexes of the accelerators within the worker, ascending.
     pub accelerators: Vec<u32>,
 }
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -1,4 +1,4 @@
-//! Which work goes first, and that none waits for ever.
+//! The order in which waiting work starts, and that no work waits for ever.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use almondpass_schema::model;
 use common::{TestHall, account, config, gang, job, request, secs};
 
-/// A hall of one worker, so that one job of eight accelerators fills what is no home.
-fn narrow_hall() -> TestHall {
+/// A hall of one worker without home blocks, which one job of eight accelerators fills.
+fn hall_of_one_worker() -> TestHall {
     let mut config = config(1);
     config.halls[0].racks[0].workers = 1;
     config.accounts[1].guarantees.clear();
@@ -19,7 +19,7 @@
 
 #[test]
 fn higher_priority_starts_first() {
-    let mut hall = narrow_hall();
+    let mut hall = hall_of_one_worker();
     let first = hall.schedule(job("large", "certificate", 1, 8));
     let batch = hall.schedule(job("large", "batch", 1, 8));
     let certificate = hall.schedule(job("large", "certificate", 1, 8));
@@ -29,7 +29,7 @@
 
 #[test]
 fn ageing_lifts_work_over_newer_work_of_higher_priority() {
-    let mut hall = narrow_hall();
+    let mut hall = hall_of_one_worker();
     let first = hall.schedule(job("large", "certificate", 1, 8));
     let batch = hall.schedule(job("large", "batch", 1, 8));
     hall.advance(secs(1900));
@@ -40,7 +40,7 @@
 
 #[test]
 fn account_with_the_smaller_share_goes_first() {
-    let mut hall = narrow_hall();
+    let mut hall = hall_of_one_worker();
     let first = hall.schedule(job("large", "batch", 1, 4));
     let second = hall.schedule(job("large", "batch", 1, 4));
     let of_large = hall.schedule(job("large", "batch", 1, 4));
@@ -53,7 +53,7 @@
 
 #[test]
 fn urgent_work_starts_within_its_bound_in_a_full_hall() {
-    let mut hall = narrow_hall();
+    let mut hall = hall_of_one_worker();
     let batch = hall.schedule(gang("large", "ageing", 1, 8, model::Adjacency::Worker));
     hall.advance(secs(100));
     let urgent = hall.schedule(job("third", "diagnosis", 1, 1));
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn what_is_not_repeatable_is_never_a_victim() {
-    let mut hall = narrow_hall();
+fn non_repeatable_work_is_never_a_victim() {
+    let mut hall = hall_of_one_worker();
     let certificate = hall.schedule(job("large", "certificate", 1, 8));
     let urgent = hall.schedule(job("third", "diagnosis", 1, 1));
     hall.advance(secs(60));
     assert!(hall.is_running(certificate) && !hall.is_running(urgent));
 }
 
-/// Symptom: a gang of a whole rack never starts. Sequence: small jobs arrive all the time, one
-/// after the other ends, and each freed accelerator is taken at once. Cause: without a block that
-/// is kept for it, the gang needs all of them to be free by coincidence.
+/// Guards against a gang that never starts: small jobs keep arriving, and each accelerator that
+/// becomes free is taken by the next small job at once. Without a block reserved for it, the gang
+/// needs all accelerators to be free at the same time by coincidence.
 #[test]
-fn gang_starts_within_its_bound_under_a_stream_of_small_work() {
-    let mut hall = narrow_hall();
+fn gang_starts_within_its_bound_under_a_stream_of_small_jobs() {
+    let mut hall = hall_of_one_worker();
     let mut running: Vec<work::WorkId> =
         (0..8).map(|_| hall.schedule(job("third", "batch", 1, 1))).collect();
     let gang = hall.schedule(gang("large", "batch", 1, 8, model::Adjacency::Worker));
@@ -93,16 +93,17 @@
     }
 }
 
-/// The same for a gang that needs cores only.
+/// Guards against a gang without accelerators that never starts, because each core that becomes free
+/// is taken by the next small job at once.
 #[test]
-fn gang_without_accelerators_starts_under_a_stream_of_small_work() {
-    let mut hall = narrow_hall();
-    let bare = |cores| {
+fn gang_without_accelerators_starts_under_a_stream_of_small_jobs() {
+    let mut hall = hall_of_one_worker();
+    let cpu_job = |cores| {
         let item = job("third", "batch", 1, 0);
         work::WorkItem { demand: work::TaskDemand { cores, ..item.demand }, ..item }
     };
-    let mut running: Vec<work::WorkId> = (0..8).map(|_| hall.schedule(bare(4))).collect();
-    let gang = hall.schedule(bare(32));
+    let mut running: Vec<work::WorkId> = (0..8).map(|_| hall.schedule(cpu_job(4))).collect();
+    let gang = hall.schedule(cpu_job(32));
     let mut waited = 0;
     while !hall.is_running(gang) {
         assert!(waited < 600 + 5400 + 12, "waits beyond gang_wait and the longest run");
@@ -112,12 +113,12 @@
         if hall.is_running(ended) {
             hall.succeed(ended);
         }
-        running.push(hall.schedule(bare(4)));
+        running.push(hall.schedule(cpu_job(4)));
     }
 }
 
 #[test]
-fn cancelled_start_is_stopped_whole_and_told_as_not_run() {
+fn cancelled_start_is_stopped_whole_and_reported_as_not_run() {
     let mut hall = TestHall::new(config(1));
     hall.executes_decisions = false;
     let work = hall.schedule(gang("large", "batch", 4, 8, model::Adjacency::Rack));
@@ -140,16 +141,16 @@
     assert_eq!(hall.outcome(work), Some(model::RequestOutcome::Unknown));
 }
 
-/// Symptom: after a wave the scheduler is busy for seconds, and a claim misses its bound.
-/// Sequence: 10,000 cancellations, 5,000 small arrivals and 50 large gangs at once, then a claim.
-/// Cause: a turn that looks at everything that waits.
+/// Guards against a claim that misses its bound because the scheduler is busy for seconds after a
+/// burst: 10,000 cancellations, 5,000 small requests and 50 large gangs come at once, then a claim.
+/// Happens when a round examines all waiting work.
 #[test]
-fn wave_does_not_hold_up_a_claim() {
+fn burst_of_work_does_not_delay_a_claim() {
     let mut hall = TestHall::new(config(4));
-    let old: Vec<work::WorkId> =
+    let to_cancel: Vec<work::WorkId> =
         (0..10_000).map(|_| hall.submit(job("large", "batch", 1, 8))).collect();
     hall.run_rounds();
-    for it in old {
+    for it in to_cancel {
         hall.core.apply(HallEvent::Cancelled(it), hall.now);
     }
     for _ in 0..5_000 {
@@ -165,11 +166,11 @@
     assert_eq!(hall.core.sizes().items, 5_000 + 50 + 1);
 }
 
-/// Symptom: a new scheduler reports a guarantee as reclaimable that is not. Sequence: it adopts
-/// work that can't be reclaimed on the block where the guarantee is at home in an empty hall.
-/// Cause: homes chosen before the adoption.
+/// Guards against a new scheduler that reports a guarantee as reclaimable although it is not: the
+/// scheduler adopts non-reclaimable work that runs on the canonical block of the guarantee. Happens
+/// when home blocks are assigned before the adoption.
 #[test]
-fn home_goes_where_adopted_work_leaves_it_room() {
+fn home_block_avoids_adopted_non_reclaimable_work() {
     let mut hall = TestHall::without_workers(config(1));
     let slot = work::TaskAssignment {
         rank: 0,
