--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -61,39 +61,44 @@
             return Err(reasons::plain(model::WaitCode::UpstreamUnavailable, text));
         }
         if item.tasks == 0 {
-            return Err(never("expected a gang of at least 1 task, found 0"));
+            return Err(never_fits("expected a gang of at least 1 task, found 0"));
         }
-        self.check_limit(item, account)?;
+        self.check_gang_size(item, account)?;
         if item.guarantee.is_some() {
             return self.check_claim(item, account);
         }
         let request = PlacementRequest::of(item);
         let empty = EmptyHallRule { topology: &self.topology, usage: request.usage };
         if placement::best(&self.topology, &request, &empty).is_none() {
-            return Err(self.never_fits(item));
+            return Err(self.unplaceable(item));
         }
         self.check_outside_homes(item, rule, account, &request)
     }
 
     /// Checks the accelerators of the whole gang against the account's limit and the hall's size.
-    fn check_limit(&self, item: &work::WorkItem, account: u32) -> Result<(), model::WaitReason> {
+    fn check_gang_size(
+        &self,
+        item: &work::WorkItem,
+        account: u32,
+    ) -> Result<(), model::WaitReason> {
         let n_accelerators = u64::from(item.tasks) * u64::from(item.demand.accelerators);
         match self.catalog.accounts[account as usize].max_accelerators {
-            Some(limit) if u64::from(limit) < n_accelerators => Err(never(format!(
+            Some(limit) if u64::from(limit) < n_accelerators => Err(never_fits(format!(
                 "needs {n_accelerators} accelerators, and the limit of {} is {limit}",
                 item.account
             ))),
             _ if u64::from(self.topology.n_accelerators()) < n_accelerators => {
-                Err(self.never_fits(item))
+                Err(self.unplaceable(item))
             }
             _ => Ok(()),
         }
     }
 
-    fn never_fits(&self, item: &work::WorkItem) -> model::WaitReason {
+    /// The reason why work does not fit into the empty hall.
+    fn unplaceable(&self, item: &work::WorkItem) -> model::WaitReason {
         let demand = &item.demand;
         let tasks = reasons::count(item.tasks as usize, "task");
-        never(format!(
+        never_fits(format!(
             "{tasks} of {} with adjacency {} can't be placed in {}, even when it is empty",
             reasons::demand(demand),
             item.adjacency,
@@ -112,12 +117,12 @@
         if home.hall != self.hall {
             let text =
                 format!("guarantee {name} is at home in {}, not in {}", home.hall, self.hall);
-            return Err(never(text));
+            return Err(never_fits(text));
         }
         if self.fits_some_home(item, account) {
             return Ok(());
         }
-        Err(never(format!(
+        Err(never_fits(format!(
             "{} of {} don't fit guarantee {name} of {} ({})",
             reasons::count(item.tasks as usize, "task"),
             reasons::count(item.demand.accelerators as usize, "accelerator"),
@@ -165,7 +170,7 @@
         if placement::best(&self.topology, request, &rule).is_some() {
             return Ok(());
         }
-        Err(never(format!(
+        Err(never_fits(format!(
             "class {} can't be reclaimed in time, and beside the guarantees at home in {} there is \
              no block for it",
             item.class, self.hall
@@ -173,6 +178,6 @@
     }
 }
 
-fn never(text: impl Into<String>) -> model::WaitReason {
+fn never_fits(text: impl Into<String>) -> model::WaitReason {
     reasons::plain(model::WaitCode::NeverFits, text)
 }
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -24,8 +24,8 @@
 use crate::topology::{HallTopology, NONE, WorkerSpec};
 use crate::work;
 
-/// For this time after the start a guarantee without a block is not reported as lost, since the
-/// workers connect to a new scheduler one after the other.
+/// For this time after the policy was created, a guarantee without a block is not reported as lost,
+/// since the workers connect to a new hall scheduler one after the other.
 pub(crate) const SETTLE_TIME: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// The policy of one hall. Owned by the hall scheduler; keeps everything in memory.
@@ -45,7 +45,9 @@
     pub(crate) homes: Vec<HomeBlock>,
     /// Guarantees of all halls, so that a rejection can name the hall in which a guarantee is at home.
     pub(crate) all_homes: Vec<homes::Home>,
+    /// Whether the home blocks have to be checked in the next round.
     pub(crate) homes_dirty: bool,
+    /// Number of block assignments so far. Counted only; no decision reads it.
     pub(crate) homes_version: u64,
     /// Number of configurations applied so far.
     pub(crate) config_number: u64,
@@ -61,9 +63,11 @@
     pub(crate) account_usage: Vec<AccountUsage>,
     pub(crate) headroom: HeadroomBudget,
     pub(crate) timers: TimerQueue,
+    /// Decisions that the next round returns.
     pub(crate) outbox: Vec<decision::Decision>,
     /// Incremented by every change after which work may fit that did not fit before.
     pub(crate) capacity_version: u64,
+    /// Value of `capacity_version` at the last check of the reservations; 0 if a check is due.
     pub(crate) reservation_check_version: u64,
     /// Whether the last round stopped at its bound with work left.
     pub(crate) budget_exhausted: bool,
@@ -133,7 +137,7 @@
         if layout != self.layout || config.worker_kinds != self.worker_kinds {
             self.layout = layout;
             self.worker_kinds = config.worker_kinds.clone();
-            self.rebuild();
+            self.rebuild_topology();
         }
         self.config_number += 1;
         self.parameters = PolicyParameters::new(&config);
@@ -211,7 +215,7 @@
 
     /// Rebuilds the topology and the ledger after a change of the layout, and books running work
     /// again. Workers that the configuration no longer lists are appended while work runs on them.
-    fn rebuild(&mut self) {
+    fn rebuild_topology(&mut self) {
         let old = std::mem::take(&mut self.topology);
         let old_health = std::mem::take(&mut self.health);
         let reserved: Vec<u32> = self.reserved_items.iter().copied().collect();
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -27,12 +27,12 @@
         let deadline = item.work.deadline;
         if !rule.is_request {
             let remaining = |limit: Duration| limit.saturating_sub(item.work.saved_run);
-            let throttle = item.saved_at + remaining(rule.max_run);
-            let overrun =
+            let throttle_at = item.saved_at + remaining(rule.max_run);
+            let overrun_at =
                 item.saved_at + remaining(rule.max_run.mul_f64(self.parameters.overrun_factor));
             let can_checkpoint = rule.checkpoint;
-            self.set_timer(throttle, TimerKind::Throttle, index);
-            self.set_timer(overrun, TimerKind::Overrun, index);
+            self.set_timer(throttle_at, TimerKind::Throttle, index);
+            self.set_timer(overrun_at, TimerKind::Overrun, index);
             if can_checkpoint {
                 self.set_timer(
                     self.now + URGENT_CHECKPOINT_INTERVAL,
@@ -54,16 +54,16 @@
                 self.capacity_version += 1;
                 self.homes_dirty |= it.kind == TimerKind::CapacityCheck;
             } else if self.items.get(it.item, it.generation).is_some() {
-                self.fire(it.item, it.kind);
+                self.fire_item_timer(it.item, it.kind);
             }
         }
         self.budget_exhausted = true;
     }
 
-    fn fire(&mut self, index: u32, kind: TimerKind) {
+    fn fire_item_timer(&mut self, index: u32, kind: TimerKind) {
         let item = self.items.at(index);
         match (kind, item.state) {
-            // A timer that was set for an earlier checkpoint must not end this one early.
+            // A timer that an earlier attempt has set must not cut this checkpoint short.
             (TimerKind::Grace, ItemState::Checkpointing) if item.stop_by <= self.now => {
                 self.stop(index, item.after_stop, reasons::grace_over());
             }
@@ -71,7 +71,7 @@
             (TimerKind::PeriodicCheckpoint, ItemState::Running) => {
                 self.request_periodic_checkpoint(index)
             }
-            (TimerKind::Overrun, ItemState::Running) => self.overrun(index),
+            (TimerKind::Overrun, ItemState::Running) => self.stop_overrun(index),
             (TimerKind::Deadline, _) => self.check_deadline(index),
             (TimerKind::Retry, ItemState::Delayed) => self.enqueue(index),
             _ => {}
@@ -102,8 +102,9 @@
         self.set_timer(now + URGENT_CHECKPOINT_INTERVAL, TimerKind::PeriodicCheckpoint, index);
     }
 
+    /// Decides once per attempt that a run is throttled, when it has exceeded its run limit.
     fn throttle(&mut self, index: u32) {
-        let total = self.total_run(index);
+        let total = self.total_run_time(index);
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         if item.throttled || total < rule.max_run {
@@ -115,8 +116,9 @@
         self.outbox.push(Decision::Throttle { work, reason });
     }
 
-    fn overrun(&mut self, index: u32) {
-        let total = self.total_run(index);
+    /// Stops a run that has exceeded the overrun bound, after a checkpoint.
+    fn stop_overrun(&mut self, index: u32) {
+        let total = self.total_run_time(index);
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
         if total < rule.max_run.mul_f64(self.parameters.overrun_factor) {
             return;
@@ -127,7 +129,7 @@
     }
 
     /// Run time over all attempts, without run time that was lost.
-    fn total_run(&self, index: u32) -> Duration {
+    fn total_run_time(&self, index: u32) -> Duration {
         let item = self.items.at(index);
         item.work.saved_run + self.now.since(item.saved_at)
     }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -26,7 +26,8 @@
 const MAX_STEPS_PER_ROUND: usize = 200_000;
 /// Bound on the starts decided in one round.
 const MAX_STARTS_PER_ROUND: usize = 112;
-/// Urgent work waits for runs to end by themselves for the start bound divided by this.
+/// Divisor of the urgent start bound. Gives the time for which urgent work waits for runs to end by
+/// themselves.
 const URGENT_WAIT_DIVISOR: u32 = 4;
 /// Items of a group tried in one round: an older item that excludes workers may not fit where the
 /// next one does.
@@ -95,7 +96,7 @@
                 self.budget_exhausted = true;
                 return;
             }
-            // Each start of this round raises the share of its account, and so the rank of its groups.
+            // Each start raises the share of its account, so that groups of the account rank lower.
             let Some(current) = self.rank(group) else { continue };
             if rank < current {
                 heap.push(Reverse((current, group)));
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Queues new work, or finishes it at once if the hall could never run it.
     fn handle_arrived(&mut self, work: work::WorkItem) {
         if self.items.find(&work.id).is_some() {
             return;
@@ -69,11 +70,11 @@
 
     fn insert_item(&mut self, work: work::WorkItem, started_at: time::WallTime) -> u32 {
         if let Some(name) = &work.guarantee {
-            let named = self
+            let named_home = self
                 .homes
                 .iter_mut()
                 .find(|it| it.account_id == work.account && it.guarantee == *name);
-            named.into_iter().for_each(|it| it.claimed_by_name = true);
+            named_home.into_iter().for_each(|it| it.claimed_by_name = true);
         }
         let class = self.catalog.class(&work.class, 0 < work.demand.slots);
         let account = self.catalog.account(&work.account);
@@ -147,7 +148,7 @@
         let listed = self.topology.find_worker(&assignment.worker);
         let worker = match listed {
             Some(it) if n_needed <= self.topology.workers[it as usize].accelerators => it,
-            _ => self.add_removed_worker(&assignment.worker, n_needed),
+            _ => self.add_unlisted_worker(&assignment.worker, n_needed),
         };
         let first = self.topology.workers[worker as usize].first_accelerator;
         PlacedTask {
@@ -158,7 +159,7 @@
 
     /// Adds a worker that runs work although the configuration does not list it, or lists it with
     /// fewer accelerators.
-    fn add_removed_worker(&mut self, name: &str, accelerators: u32) -> u32 {
+    fn add_unlisted_worker(&mut self, name: &str, accelerators: u32) -> u32 {
         let worker = self.topology.push(WorkerSpec {
             name: name.to_owned(),
             rack: NONE,
--- a/crates/policy/src/hall_policy.rs
+++ b/crates/policy/src/hall_policy.rs
@@ -38,8 +38,8 @@
     /// the next round continues where this one stopped.
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision>;
 
-    /// When the next round is due if no event comes before: `now` if the last round reached its
-    /// bound, `None` if no timer is set.
+    /// When the next round is due if no event is applied before: `now` if the last round reached its
+    /// bound or something changed since, else the time of the first timer, or `None` without timers.
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime>;
 
     /// Why a request or job waits, or its current state; `None` if its id is unknown.
--- a/crates/policy/src/item_table.rs
+++ b/crates/policy/src/item_table.rs
@@ -18,7 +18,7 @@
 pub(crate) struct ItemTable {
     entries: Vec<TableEntry>,
     /// Indexes of `entries` that can be reused.
-    free: Vec<u32>,
+    free_indexes: Vec<u32>,
     index: HashMap<work::WorkId, u32>,
 }
 
@@ -28,7 +28,7 @@
     }
 
     pub(crate) fn insert(&mut self, item: item::QueueItem) -> u32 {
-        let index = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_indexes.pop().unwrap_or_else(|| {
             self.entries.push(TableEntry::default());
             self.entries.len() as u32 - 1
         });
@@ -42,7 +42,7 @@
         let item = entry.item.take()?;
         entry.generation = entry.generation.wrapping_add(1);
         self.index.remove(&item.work.id);
-        self.free.push(index);
+        self.free_indexes.push(index);
         Some(item)
     }
 
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -304,8 +304,8 @@
             self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
-            let doubled = RETRY_DELAY * (1 << (item.failures.min(6)));
-            self.requeue(index, doubled.min(MAX_RETRY_DELAY), reasons::failed_retry());
+            let delay = RETRY_DELAY * (1 << (item.failures.min(6)));
+            self.requeue(index, delay.min(MAX_RETRY_DELAY), reasons::failed_retry());
         }
     }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -49,7 +49,7 @@
     groups: Vec<Option<QueueGroup>>,
     index: HashMap<GroupKey, u32>,
     /// Indexes of `groups` that can be reused.
-    free: Vec<u32>,
+    free_indexes: Vec<u32>,
     /// Indexes of groups that are not empty.
     active: BTreeSet<u32>,
     /// Number of entries in all groups.
@@ -63,7 +63,7 @@
             Some(index) => *index,
             None => self.create_group(key),
         };
-        let group = self.groups[index as usize].as_mut().expect("an open group");
+        let group = self.groups[index as usize].as_mut().expect("a group in use");
         if group.entries.insert(entry) {
             self.len += 1;
         }
@@ -75,7 +75,7 @@
     /// Removes an entry, and its group if that becomes empty. Returns whether the entry was found.
     pub(crate) fn remove(&mut self, key: &GroupKey, entry: &QueueEntry) -> bool {
         let Some(index) = self.index.get(key).copied() else { return false };
-        let group = self.groups[index as usize].as_mut().expect("an open group");
+        let group = self.groups[index as usize].as_mut().expect("a group in use");
         let found = group.entries.remove(entry);
         self.len -= usize::from(found);
         if group.entries.is_empty() {
@@ -83,13 +83,13 @@
             self.index.remove(&key);
             self.groups[index as usize] = None;
             self.active.remove(&index);
-            self.free.push(index);
+            self.free_indexes.push(index);
         }
         found
     }
 
     fn create_group(&mut self, key: GroupKey) -> u32 {
-        let index = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_indexes.pop().unwrap_or_else(|| {
             self.groups.push(None);
             self.groups.len() as u32 - 1
         });
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -7,7 +7,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
-    /// The time for a checkpoint before a stop is over.
+    /// The time that a gang has for a checkpoint before its stop is over.
     Grace,
     /// A periodic checkpoint of a run may be due.
     PeriodicCheckpoint,
