--- a/crates/policy/src/item.rs
+++ b/crates/policy/src/item.rs
@@ -90,7 +90,7 @@
     /// Workers on which the work failed; used again only if no other worker is free.
     pub(crate) failed_on: Vec<u32>,
     /// Number of failures over all attempts.
-    pub(crate) failures: u32,
+    pub(crate) n_failures: u32,
     /// Workers on which the work must not be started again.
     pub(crate) exclude: Vec<u32>,
     /// Whether the gang was already overdue when its block was chosen.
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -296,15 +296,15 @@
         let healthy = |it: &&u32| self.health[**it as usize].usable();
         let item = self.items.at(index);
         let n_workers = item.failed_on.iter().filter(healthy).count();
-        let faulty = FAULTY_AFTER_WORKERS <= n_workers || MAX_FAILURES <= item.failures;
+        let faulty = FAULTY_AFTER_WORKERS <= n_workers || MAX_FAILURES <= item.n_failures;
         if item.cancelled || !self.may_restart(index) {
             self.finish(index, model::RequestOutcome::Failed, reasons::failed());
         } else if faulty {
-            let reason = reasons::faulty(n_workers, item.failures);
+            let reason = reasons::faulty(n_workers, item.n_failures);
             self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
-            let delay = RETRY_DELAY * (1 << (item.failures.min(6)));
+            let delay = RETRY_DELAY * (1 << (item.n_failures.min(6)));
             self.requeue(index, delay.min(MAX_RETRY_DELAY), reasons::failed_retry());
         }
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -106,7 +106,7 @@
     }
 
     /// Indexes of all groups that are not empty, ascending.
-    pub(crate) fn active(&self) -> impl Iterator<Item = u32> + '_ {
+    pub(crate) fn active_groups(&self) -> impl Iterator<Item = u32> + '_ {
         self.active.iter().copied()
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Marks every group to be tried again, after a new configuration.
-    pub(crate) fn unblock(&mut self) {
+    pub(crate) fn unblock_all(&mut self) {
         self.groups.iter_mut().flatten().for_each(|it| it.blocked_at_version = None);
     }
 
