--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -195,7 +195,8 @@
         let over_accelerators = account
             .max_accelerators
             .is_some_and(|it| it < usage.accelerators + item.n_accelerators());
-        let over_requests = rule.is_request && account.max_running_requests <= usage.requests;
+        let over_requests =
+            rule.is_request && account.max_running_requests <= usage.running_requests;
         (over_accelerators || over_requests).then_some(model::WaitCode::AccountLimit)
     }
 
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -172,13 +172,13 @@
 #[test]
 fn home_block_avoids_adopted_non_reclaimable_work() {
     let mut hall = TestHall::without_workers(config(1));
-    let slot = work::TaskAssignment {
+    let assignment = work::TaskAssignment {
         rank: 0,
         worker: "vadodara-r1-01".to_owned(),
         accelerators: vec![0, 1],
     };
     let item = work::WorkItem { id: common::work_id(77), ..job("large", "certificate", 1, 2) };
-    let placement = vec![slot.clone()];
+    let placement = vec![assignment.clone()];
     hall.running.insert(item.id, placement.clone());
     let started_at = hall.now;
     hall.core.apply(HallEvent::Adopted { item, placement, started_at }, hall.now);
@@ -187,5 +187,5 @@
     }
     hall.run_rounds();
     let claim = hall.schedule(gang("small", "batch", 1, 8, model::Adjacency::Worker));
-    assert!(hall.is_running(claim) && hall.workers_of(claim)[0] != slot.worker);
+    assert!(hall.is_running(claim) && hall.workers_of(claim)[0] != assignment.worker);
 }
