--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -71,7 +71,7 @@
     pub(crate) reservation_check_version: u64,
     /// Whether the last round stopped at its bound with work left.
     pub(crate) budget_exhausted: bool,
-    /// Whether an event or a capacity change came after the last round.
+    /// Whether an event was applied or capacity changed since the last round began.
     pub(crate) changed_since_round: bool,
     pub(crate) created_at: time::WallTime,
     pub(crate) now: time::WallTime,
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -29,8 +29,8 @@
 /// Divisor of the urgent start bound. Gives the time for which urgent work waits for runs to end by
 /// themselves.
 const URGENT_WAIT_DIVISOR: u32 = 4;
-/// Items of a group tried in one round: an older item that excludes workers may not fit where the
-/// next one does.
+/// Items of a group that are tried before the group counts as blocked: an older item that excludes
+/// workers may not fit where the next one does.
 const MAX_TRIES_PER_GROUP: usize = 4;
 
 /// Sort key of a group; the group with the least rank goes first.
@@ -264,7 +264,8 @@
     /// Whether an urgent item of at most one accelerator can wait for a run to end instead of
     /// preempting one: within a part of the urgent start bound, enough accelerators are expected to
     /// become free for all urgent work that waits. Short runs end all the time, so that stopping a
-    /// long run for each item of a burst would lose much work for nothing.
+    /// long run for each item of a burst would lose much work for nothing. If the item can wait, a
+    /// timer is set for the end of that time.
     fn can_await_free_accelerator(&mut self, index: u32) -> bool {
         let wait_until =
             self.submitted_at(index) + self.parameters.urgent_start_bound / URGENT_WAIT_DIVISOR;
--- a/crates/policy/src/hall_policy.rs
+++ b/crates/policy/src/hall_policy.rs
@@ -39,7 +39,7 @@
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision>;
 
     /// When the next round is due if no event is applied before: `now` if the last round reached its
-    /// bound or something changed since, else the time of the first timer, or `None` without timers.
+    /// bound or the state has changed since it began, else the time of the first timer, or `None` without timers.
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime>;
 
     /// Why a request or job waits, or its current state; `None` if its id is unknown.
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -34,10 +34,10 @@
 pub(crate) struct QueueGroup {
     pub(crate) key: GroupKey,
     pub(crate) entries: BTreeSet<QueueEntry>,
-    /// Value of `HallCore::capacity_version` at which the first item did not fit; `None` if the group
-    /// has to be tried.
+    /// Value of `HallCore::capacity_version` at which no item of the group that was tried did fit;
+    /// `None` if the group has to be tried.
     pub(crate) blocked_at_version: Option<u64>,
-    /// Why the first item did not fit.
+    /// Why the item that was tried last did not start.
     pub(crate) wait_code: model::WaitCode,
     /// Number of the last configuration for which the hall was found able to run the group.
     pub(crate) feasible_in_config: u64,
