--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: work of an account that fits a guaranteed shape of it.
+//! Claims: items of an account that start in the home block of one of its guaranteed shapes.
 
 use almondpass_schema::model;
 
@@ -12,18 +12,19 @@
 use crate::reclaim;
 use crate::rules::ClaimRule;
 
-/// Claims looked at in one turn.
+/// Most claims that are served in one scheduling round; the rest follows in the next round.
 const MAX_CLAIMS_PER_ROUND: usize = 64;
 
 impl HallCore {
-    /// Starts what fits an unclaimed shape of its account, reclaiming it where it must.
+    /// Starts waiting items that fit an unclaimed part of a guaranteed shape of their account, or
+    /// reserves a place in its home block and preempts the holders.
     pub(crate) fn serve_claims(&mut self) {
         if self.homes.is_empty() {
             return;
         }
         let mut budget = MAX_CLAIMS_PER_ROUND;
         let mut groups = self.ranked_groups(|core, key| core.may_claim(key));
-        // Work that names its guarantee goes before what merely fits.
+        // Items that name a guarantee go before items that only fit one.
         groups.sort_by_key(|it| self.queue.group(*it).is_some_and(|it| it.key.guarantee.is_none()));
         for group in groups {
             while self.serve_claim(group) {
@@ -36,46 +37,51 @@
         }
     }
 
-    /// Whether a shape of the account has room for the work by count.
+    /// Whether a guaranteed shape of the account has enough unclaimed accelerators for an item of this
+    /// group.
     fn may_claim(&self, key: &GroupKey) -> bool {
         let width = key.tasks * key.demand.accelerators;
         0 < width && (0..self.homes.len() as u32).any(|it| self.home_fits(it, key, width))
     }
 
+    /// Whether an item of this group, which needs `width` accelerators, may claim the home.
     fn home_fits(&self, home: u32, key: &GroupKey, width: u32) -> bool {
         let shape = &self.homes[home as usize];
         shape.account == key.account
             && shape.has_block()
             && key.guarantee.as_ref().is_none_or(|it| *it == shape.guarantee)
-            && self.kept_claims(home, key) + width <= shape.size
+            && self.unyielding_width(home, key) + width <= shape.size
             && (key.guarantee.is_some() || !self.blocks_shape(shape, key, width))
     }
 
-    /// Whether work that merely fits a shape would keep its account from claiming it whole in time.
-    /// What can't be reclaimed takes a shape that nobody names and that is not much larger.
+    /// Whether an item that does not name the guarantee would keep its account from claiming the whole
+    /// shape within the reclaim bound. A non-reclaimable item may only take a shape that no item has
+    /// named, and a shape that can span workers only if the item fills at least half of it.
     fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, width: u32) -> bool {
         let rule = &self.catalog.classes[key.class as usize];
-        let gangs = shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
-        self.is_hard(rule) && (shape.claimed_by_name || gangs)
+        let leaves_most_unused =
+            shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
+        self.is_hard(rule) && (shape.claimed_by_name || leaves_most_unused)
     }
 
-    /// Accelerators of a home whose claims do not yield to work of this kind.
-    fn kept_claims(&self, home: u32, key: &GroupKey) -> u32 {
-        let kept = |it: &&u32| !self.claim_yields(**it, key);
-        let claims = self.homes[home as usize].claims.iter().filter(kept);
+    /// Accelerators of a home whose claims do not yield to an item of this group.
+    fn unyielding_width(&self, home: u32, key: &GroupKey) -> u32 {
+        let is_kept = |it: &&u32| !self.claim_yields(**it, key);
+        let claims = self.homes[home as usize].claims.iter().filter(is_kept);
         claims.map(|it| self.items.at(*it).n_accelerators()).sum()
     }
 
-    /// Whether a claim gives way to other work of its own account: it took the guarantee without
-    /// naming it, and the other names it or is urgent.
+    /// Whether a running claim may be preempted for another item of the same account: the claim does
+    /// not name the guarantee, and the other item names one or is urgent. Urgent claims, requests, claims
+    /// that can't be repeated and claims of higher priority do not yield.
     pub(crate) fn claim_yields(&self, claim: u32, key: &GroupKey) -> bool {
         let item = self.items.at(claim);
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[key.class as usize];
         let running = matches!(item.state, ItemState::Starting | ItemState::Running);
-        let stronger = key.guarantee.is_some() || other.urgent;
+        let takes_precedence = key.guarantee.is_some() || other.urgent;
         running
-            && stronger
+            && takes_precedence
             && item.work.guarantee.is_none()
             && !rule.urgent
             && rule.repeatable
@@ -83,7 +89,7 @@
             && rule.priority <= other.priority
     }
 
-    /// Serves the first of a group; false where it can't be served now.
+    /// Starts the first item of a group or reserves a place for it; false if neither is possible now.
     fn serve_claim(&mut self, group: u32) -> bool {
         let Some(it) = self.queue.group(group) else { return false };
         let key = it.key.clone();
@@ -96,10 +102,10 @@
         let homes: Vec<u32> =
             (0..self.homes.len() as u32).filter(|it| self.home_fits(*it, &key, width)).collect();
         let request = PlacementRequest::of(&self.items.at(index).work);
-        // What can't be reclaimed is as safe elsewhere, and would stand in the way of a claim of the
-        // whole shape at home.
-        let hard = self.booking_of(index) == Booking::NonReclaimable;
-        if hard && key.guarantee.is_none() && self.start_unguaranteed(index) {
+        // A non-reclaimable item is never preempted, so it is as safe outside the home block. Inside, it
+        // would prevent a claim of the whole shape.
+        let non_reclaimable = self.booking_of(index) == Booking::NonReclaimable;
+        if non_reclaimable && key.guarantee.is_none() && self.start_unguaranteed(index) {
             return true;
         }
         for home in &homes {
@@ -107,36 +113,37 @@
                 return self.start_claim(index, *home, tasks, "home block is free");
             }
         }
-        // Free accelerators elsewhere cost nobody anything. The home moves there for work that uses
-        // most of it, so that it stays safe from others.
+        // A free block elsewhere needs no preemption. The home moves there if the item names the guarantee
+        // or uses at least half of the shape, so that the item runs in a home block and is not reclaimed.
         for home in &homes {
-            let most = self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
-            if most
+            let moves_home =
+                self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
+            if moves_home
                 && self.move_home_to_free_block(*home, index)
                 && let Some(tasks) = self.place_claim(index, *home, &request, &key)
             {
                 return self.start_claim(index, *home, tasks, "block was moved to a free one");
             }
         }
-        if key.guarantee.is_none() && !hard && self.start_unguaranteed(index) {
+        if key.guarantee.is_none() && !non_reclaimable && self.start_unguaranteed(index) {
             return true;
         }
         homes.iter().any(|it| self.reclaim_home(index, *it, &request, &key))
     }
 
-    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, how: &str) -> bool {
-        let reason = self.claim_reason(home, how);
+    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, way: &str) -> bool {
+        let reason = self.claim_reason(home, way);
         self.dequeue(index);
         self.start(index, tasks, Some(home), reason);
         true
     }
 
-    pub(crate) fn claim_reason(&self, home: u32, how: &str) -> model::WaitReason {
+    pub(crate) fn claim_reason(&self, home: u32, way: &str) -> model::WaitReason {
         let label = self.homes[home as usize].label();
-        reasons::plain(model::WaitCode::GuaranteeKept, format!("claims guarantee {label}: {how}"))
+        reasons::plain(model::WaitCode::GuaranteeKept, format!("claims guarantee {label}: {way}"))
     }
 
-    /// A free place in the home block.
+    /// The best free place in the home block.
     fn place_claim(
         &self,
         index: u32,
@@ -149,7 +156,8 @@
         placement::best(&self.topology, request, &rule)
     }
 
-    /// Reserves the cheapest place in the home block and sends away whoever is there.
+    /// Reserves the cheapest place in the home block and preempts its holders; false if no place in the
+    /// block can be reclaimed.
     fn reclaim_home(
         &mut self,
         index: u32,
@@ -160,14 +168,14 @@
         self.move_home_to_cheaper_block(home, index);
         let exclude = &self.items.at(index).exclude;
         let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
-        let Some(tasks) = self.cheapest_place(request, &rule, home) else { return false };
+        let Some(tasks) = self.cheapest_home_place(request, &rule, home) else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Claim, Some(home));
         self.preempt_holders(index, ReserveKind::Claim);
         true
     }
 
-    fn cheapest_place(
+    fn cheapest_home_place(
         &self,
         request: &PlacementRequest,
         rule: &impl PlacementRule,
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -1,9 +1,11 @@
-//! Clearing a block for a waiting gang.
+//! Reserves blocks for waiting gangs, which become free as the items on them end.
 //!
-//! Small work scatters, and a gang that needs a run waits for a coincidence that may never come.
-//! So a run is reserved for it: the one whose holders are expected to be gone first. New work goes
-//! there only if it is gone by then. Once the gang has waited `gang_wait`, only the certain end of
-//! new work counts, so that the gang starts within `gang_wait` and the longest run ahead of it.
+//! Small items spread over the hall, so a gang that needs a run could wait forever for adjacent
+//! accelerators to be free at the same time. The scheduler therefore reserves the run whose holders are
+//! expected to end first. New items start there only if they are expected to end before the run is
+//! free. Once the gang has waited `gang_wait`, the latest possible end of a new item counts instead of
+//! its expected end, so that the gang starts within `gang_wait` plus the longest run time of the items
+//! that were there before.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,23 +24,25 @@
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
-/// Gangs for which a block is sought in one turn.
+/// Most gangs for which a block is searched in one scheduling round.
 const MAX_SEARCHES_PER_ROUND: usize = 4;
-/// A block that opens later by this for each accelerator is preferred if it lies in home blocks,
-/// which are closed to what can't be reclaimed.
+/// Added to the expected opening of a block for each accelerator outside home blocks when blocks are
+/// compared. Blocks inside home blocks are preferred because non-reclaimable items can't use them.
 const OUTSIDE_DELAY: Duration = Duration::from_secs(60);
-/// A block whose opening slips by more than this part of the wait is chosen anew.
-const SLIP: f64 = 0.25;
+/// A block is chosen again if its expected opening slips by more than this fraction of the wait that was
+/// expected when it was reserved.
+const MAX_SLIP: f64 = 0.25;
 
-/// Everything that will be free some day.
+/// Allows accelerators whose holders will end at some time and are not claims of a guarantee.
 struct GangBlockRule<'a> {
     core: &'a HallCore,
     index: u32,
     usage: Usage,
-    hard: bool,
-    /// Whether all that lies beside home blocks is needed by what can't be reclaimed.
+    /// Whether the gang is non-reclaimable and must stay outside home blocks.
+    non_reclaimable: bool,
+    /// Whether all accelerators outside home blocks are needed by non-reclaimable items.
     homes_only: bool,
-    /// Whether blocks that are cleared for younger gangs may be taken.
+    /// Whether the gang has waited `gang_wait` and may take blocks that are reserved for younger gangs.
     overdue: bool,
     exclude: &'a [u32],
 }
@@ -48,7 +52,7 @@
         let others = &self.core.ledger.workers[worker as usize].reservations;
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
-            && others.iter().all(|it| self.overdue && self.goes_before(*it))
+            && others.iter().all(|it| self.overdue && self.precedes(*it))
     }
 
     fn allows_accelerator(&self, accelerator: u32) -> bool {
@@ -58,19 +62,19 @@
         let reserved = ledger.reserved_for[at];
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
-            && (!self.hard || ledger.home[at] == NONE)
+            && (!self.non_reclaimable || ledger.home[at] == NONE)
             && (!self.homes_only || ledger.home[at] != NONE)
-            && (reserved == NONE || self.overdue && self.goes_before(reserved))
+            && (reserved == NONE || self.overdue && self.precedes(reserved))
             && (ledger.holder[at] == NONE
                 || self.core.items.at(ledger.holder[at]).claimed_home.is_none())
     }
 
     fn task_capacity(&self, worker: u32) -> u32 {
         let spec = &self.core.topology.workers[worker as usize];
-        let book = &self.core.ledger.workers[worker as usize];
-        let whole = Usage::capacity(spec);
-        let kept = if self.hard { book.home_accelerators } else { 0 };
-        whole.minus(Usage::share(spec, kept)).max_tasks(self.usage)
+        let worker_ledger = &self.core.ledger.workers[worker as usize];
+        let worker_capacity = Usage::capacity(spec);
+        let n_excluded = if self.non_reclaimable { worker_ledger.home_accelerators } else { 0 };
+        worker_capacity.minus(Usage::share(spec, n_excluded)).max_tasks(self.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
@@ -83,15 +87,16 @@
 }
 
 impl GangBlockRule<'_> {
-    fn goes_before(&self, other: u32) -> bool {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
+    /// Whether `other` is a gang with a reserved block that was submitted later than this gang.
+    fn precedes(&self, other: u32) -> bool {
+        let gang_reservation = ItemState::Reserving(ReserveKind::Clearing);
         let core = self.core;
-        core.items.at(other).state == clearing
+        core.items.at(other).state == gang_reservation
             && core.submitted_at(self.index) < core.submitted_at(other)
     }
 }
 
-/// A block and when it opens.
+/// Order of candidate blocks: by expected opening, then by the number of held accelerators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GangBlockScore {
     opening: time::WallTime,
@@ -100,23 +105,27 @@
 }
 
 impl HallCore {
-    /// Whether a gang has waited its bound.
+    /// Whether a gang has waited at least `gang_wait`.
     pub(crate) fn is_overdue(&self, index: u32) -> bool {
         self.parameters.gang_wait <= self.wait_time(index)
     }
 
-    /// Reserves blocks for the gangs that waited long enough.
+    /// Reserves blocks for the gangs that have waited long enough, up to the configured number of blocks;
+    /// overdue gangs are not subject to this limit.
     pub(crate) fn reserve_gang_blocks(&mut self) {
-        let clearing = ItemState::Reserving(ReserveKind::Clearing);
-        let mut n_clearing =
-            self.reserving.iter().filter(|it| self.items.at(**it).state == clearing).count();
-        let wants = |core: &HallCore, key: &GroupKey| {
-            let narrow = key.tasks == 1 && key.demand.accelerators == 1;
-            !narrow && !core.catalog.classes[key.class as usize].urgent
+        let gang_reservation = ItemState::Reserving(ReserveKind::Clearing);
+        let mut n_reserved = self
+            .reserving
+            .iter()
+            .filter(|it| self.items.at(**it).state == gang_reservation)
+            .count();
+        let may_reserve = |core: &HallCore, key: &GroupKey| {
+            let single_accelerator = key.tasks == 1 && key.demand.accelerators == 1;
+            !single_accelerator && !core.catalog.classes[key.class as usize].urgent
         };
-        let mut wake: Option<time::WallTime> = None;
+        let mut next_check: Option<time::WallTime> = None;
         let mut searches = 0;
-        for group in self.ranked_groups(wants) {
+        for group in self.ranked_groups(may_reserve) {
             let Some(it) = self.queue.group(group) else { continue };
             if it.blocked_at_version != Some(self.capacity_version) {
                 continue;
@@ -124,11 +133,12 @@
             let Some(entry) = it.entries.first().copied() else { continue };
             let due = entry.submitted_at + self.parameters.clearing_after();
             if self.now < due {
-                wake = Some(wake.map_or(due, |it| it.min(due)));
+                next_check = Some(next_check.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let full = self.parameters.clearings() <= n_clearing && !self.is_overdue(entry.item);
-            if full || self.ineligibility(entry.item).is_some() {
+            let limit_reached =
+                self.parameters.clearings() <= n_reserved && !self.is_overdue(entry.item);
+            if limit_reached || self.ineligibility(entry.item).is_some() {
                 continue;
             }
             if MAX_SEARCHES_PER_ROUND <= searches {
@@ -136,18 +146,19 @@
             }
             searches += 1;
             if self.reserve_gang_block(entry.item) {
-                n_clearing += 1;
+                n_reserved += 1;
             } else if self.is_overdue(entry.item)
                 && self.booking_of(entry.item) == Booking::NonReclaimable
             {
                 self.restore_canonical_blocks();
             }
         }
-        if let Some(at) = wake {
+        if let Some(at) = next_check {
             self.set_timer(at, TimerKind::WaitOver, NONE);
         }
     }
 
+    /// Reserves the block for a gang that is expected to be free first; false if there is none.
     fn reserve_gang_block(&mut self, index: u32) -> bool {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
@@ -155,26 +166,27 @@
             core: self,
             index,
             usage: request.usage,
-            hard: self.booking_of(index) == Booking::NonReclaimable,
+            non_reclaimable: self.booking_of(index) == Booking::NonReclaimable,
             homes_only: self.crowds(index) && !self.is_overdue(index),
             overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
-        let ends = if request.accelerators_per_task == 0 { Vec::new() } else { self.ends(index) };
+        let holder_ends =
+            if request.accelerators_per_task == 0 { Vec::new() } else { self.holder_ends(index) };
         let scattered = 1 < request.tasks && request.adjacency == model::Adjacency::Any;
         let found = if request.accelerators_per_task == 0 {
-            self.earliest_bare(&request, &rule)
+            self.earliest_cpu_only(&request, &rule)
         } else if scattered {
-            self.earliest_scattered(&request, &rule, &ends)
+            self.earliest_scattered(&request, &rule, &holder_ends)
         } else {
-            self.earliest_run(&request, &rule, &ends)
+            self.earliest_run(&request, &rule, &holder_ends)
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
         self.reserve(index, tasks, ReserveKind::Clearing, None);
-        let presses = self.is_overdue(index);
-        self.items.at_mut(index).chosen_overdue = presses;
-        if presses {
+        let overdue = self.is_overdue(index);
+        self.items.at_mut(index).chosen_overdue = overdue;
+        if overdue {
             self.preempt_younger(index);
         } else {
             let due = self.submitted_at(index) + self.parameters.gang_wait;
@@ -183,50 +195,51 @@
         true
     }
 
-    /// Expected end of the holder of each accelerator.
-    fn ends(&self, index: u32) -> Vec<time::WallTime> {
-        let mut last = (NONE, self.now);
+    /// Expected time at which the holder of each accelerator is gone; now for free accelerators.
+    fn holder_ends(&self, index: u32) -> Vec<time::WallTime> {
+        let mut cached = (NONE, self.now);
         let mut end = |holder: u32| {
             if holder == NONE {
                 return self.now;
             }
-            if holder != last.0 {
-                let away = self.now + self.parameters.grace + self.parameters.margin;
-                let yields_to_gang = self.yields_to_gang(holder, index);
+            if holder != cached.0 {
+                let preempted_by = self.now + self.parameters.grace + self.parameters.margin;
+                let yields = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
-                last = (holder, if yields_to_gang { end.min(away) } else { end });
+                cached = (holder, if yields { end.min(preempted_by) } else { end });
             }
-            last.1
+            cached.1
         };
         self.ledger.holder.iter().map(|it| end(*it)).collect()
     }
 
+    /// The run whose accelerators are expected to be free first.
     fn earliest_run(
         &self,
         request: &PlacementRequest,
         rule: &GangBlockRule<'_>,
-        ends: &[time::WallTime],
+        holder_ends: &[time::WallTime],
     ) -> Option<Vec<PlacedTask>> {
         let mut starts = Vec::new();
         let mut best: Option<GangBlockScore> = None;
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
-            let inner = if request.total_accelerators() < spec.accelerators {
+            let starts_end = if request.total_accelerators() < spec.accelerators {
                 spec.accelerators_end()
             } else {
                 spec.first_accelerator + 1
             };
-            for start in spec.first_accelerator..inner {
+            for start in spec.first_accelerator..starts_end {
                 let Some(end) =
                     placement::place_run_at(&self.topology, request, rule, start, &mut starts)
                 else {
                     continue;
                 };
-                let all = start as usize..end as usize;
-                let held = &self.ledger.holder[all.clone()];
+                let range = start as usize..end as usize;
+                let holders = &self.ledger.holder[range.clone()];
                 let score = GangBlockScore {
-                    opening: ends[all].iter().copied().max().unwrap_or(self.now)
+                    opening: holder_ends[range].iter().copied().max().unwrap_or(self.now)
                         + OUTSIDE_DELAY * self.n_outside(start, end),
-                    n_held: held.iter().filter(|it| **it != NONE).count(),
+                    n_held: holders.iter().filter(|it| **it != NONE).count(),
                     start,
                 };
                 if best.is_none_or(|it| score < it) {
@@ -238,38 +251,39 @@
         Some(placement::placed_tasks(&self.topology, request.accelerators_per_task, &starts))
     }
 
-    /// Accelerators of a run that lie beside home blocks.
+    /// Number of accelerators in a range that lie outside home blocks.
     fn n_outside(&self, start: u32, end: u32) -> u32 {
-        let outside = |it: &&u32| **it == NONE;
-        self.ledger.home[start as usize..end as usize].iter().filter(outside).count() as u32
+        let is_outside = |it: &&u32| **it == NONE;
+        self.ledger.home[start as usize..end as usize].iter().filter(is_outside).count() as u32
     }
 
-    /// Workers whose cores, memory and slots are expected to be free first.
-    fn earliest_bare(
+    /// For tasks without accelerators: the workers whose cores, memory and slots are expected to be free
+    /// first.
+    fn earliest_cpu_only(
         &self,
         request: &PlacementRequest,
         rule: &GangBlockRule<'_>,
     ) -> Option<Vec<PlacedTask>> {
-        let together = request.adjacency == model::Adjacency::Worker;
+        let on_one_worker = request.adjacency == model::Adjacency::Worker;
         let mut places: Vec<(time::WallTime, u32)> = Vec::new();
         for worker in 0..self.topology.workers.len() as u32 {
-            let most = if rule.allows_worker(worker) {
+            let n_allowed = if rule.allows_worker(worker) {
                 rule.task_capacity(worker).min(request.tasks)
             } else {
                 0
             };
-            let steps = if together { request.tasks..=most } else { 1..=most };
+            let task_counts = if on_one_worker { request.tasks..=n_allowed } else { 1..=n_allowed };
             let at = |n: u32| (self.usage_opening(worker, request.usage.times(n)), worker);
-            places.extend(steps.map(at));
+            places.extend(task_counts.map(at));
         }
         places.sort_unstable();
         let task = |worker: u32| PlacedTask { worker, accelerators: Vec::new() };
-        if together {
+        if on_one_worker {
             let (_, worker) = places.first()?;
             return Some(vec![task(*worker); request.tasks as usize]);
         }
         if request.adjacency == model::Adjacency::Rack {
-            let rack = self.first_full_rack(request, &places)?;
+            let rack = self.earliest_rack(request, &places)?;
             places.retain(|(_, worker)| self.topology.workers[*worker as usize].rack == rack);
         }
         let mut tasks: Vec<PlacedTask> =
@@ -278,8 +292,8 @@
         (tasks.len() as u32 == request.tasks).then_some(tasks)
     }
 
-    /// The rack that first has room for all tasks.
-    fn first_full_rack(
+    /// The rack that is expected to have capacity for all tasks first.
+    fn earliest_rack(
         &self,
         request: &PlacementRequest,
         places: &[(time::WallTime, u32)],
@@ -293,11 +307,12 @@
         })
     }
 
+    /// Places for single tasks that are expected to be free first.
     fn earliest_scattered(
         &self,
         request: &PlacementRequest,
         rule: &GangBlockRule<'_>,
-        ends: &[time::WallTime],
+        holder_ends: &[time::WallTime],
     ) -> Option<Vec<PlacedTask>> {
         let single = PlacementRequest { tasks: 1, ..*request };
         let mut task = Vec::new();
@@ -311,30 +326,30 @@
                     start += 1;
                     continue;
                 }
-                let all = start as usize..(start + request.accelerators_per_task) as usize;
-                places.push((ends[all].iter().copied().max().unwrap_or(self.now), start));
+                let range = start as usize..(start + request.accelerators_per_task) as usize;
+                places.push((holder_ends[range].iter().copied().max().unwrap_or(self.now), start));
                 start += request.accelerators_per_task;
             }
         }
         places.sort_unstable();
         let mut used = vec![0; self.topology.workers.len()];
-        let mut chosen: Vec<u32> = Vec::new();
+        let mut chosen_starts: Vec<u32> = Vec::new();
         for (_, start) in places {
             let worker = self.topology.worker_of[start as usize];
-            let full = request.tasks <= chosen.len() as u32;
-            if !full && used[worker as usize] < rule.task_capacity(worker) {
+            let limit_reached = request.tasks <= chosen_starts.len() as u32;
+            if !limit_reached && used[worker as usize] < rule.task_capacity(worker) {
                 used[worker as usize] += 1;
-                chosen.push(start);
+                chosen_starts.push(start);
             }
         }
-        chosen.sort_unstable();
-        (chosen.len() as u32 == request.tasks).then(|| {
-            placement::placed_tasks(&self.topology, request.accelerators_per_task, &chosen)
+        chosen_starts.sort_unstable();
+        (chosen_starts.len() as u32 == request.tasks).then(|| {
+            placement::placed_tasks(&self.topology, request.accelerators_per_task, &chosen_starts)
         })
     }
 
-    /// Looks again at a block that is being cleared: another place may be free, or its opening may
-    /// have slipped.
+    /// Checks the reservation of a gang again: starts the gang if a place elsewhere is free, and withdraws
+    /// the reservation if its expected opening has slipped or the gang has become overdue.
     pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
@@ -347,21 +362,21 @@
         }
         let opening = self.opening(index, &item.tasks);
         if self.is_overdue(index) && !item.chosen_overdue {
-            // Chosen anew, it counts on younger work to make way.
+            // The next search takes into account that younger items now yield to the gang.
             self.withdraw(index);
             return;
         }
-        let planned = item.expected_free_at.since(item.state_since);
-        let slipped = opening.since(item.expected_free_at);
-        if planned.mul_f64(SLIP) < slipped && !self.is_overdue(index) {
+        let planned_wait = item.expected_free_at.since(item.state_since);
+        let slip = opening.since(item.expected_free_at);
+        if planned_wait.mul_f64(MAX_SLIP) < slip && !self.is_overdue(index) {
             self.withdraw(index);
         } else {
             self.items.at_mut(index).expected_free_at = opening;
         }
     }
 
-    /// Whether held work makes way for a gang that is overdue: it saves its run, is younger and of no
-    /// higher priority, so that in order of age the gang would have had the place.
+    /// Whether a held item is preempted for an overdue gang: it can save a checkpoint, was submitted later
+    /// and has no higher priority, so by age the gang would have had the place.
     fn yields_to_gang(&self, holder: u32, index: u32) -> bool {
         let (item, gang) = (self.items.at(holder), self.items.at(index));
         let rule = &self.catalog.classes[item.class as usize];
@@ -376,7 +391,7 @@
             && gang.work.submitted_at < item.work.submitted_at
     }
 
-    /// Sends younger work that saves its run out of the block of an overdue gang.
+    /// Preempts the items in the block of an overdue gang that yield to it.
     fn preempt_younger(&mut self, index: u32) {
         let holders: BTreeSet<u32> = self
             .items
@@ -397,18 +412,18 @@
         }
     }
 
-    /// `3 more adjacent workers in rack r2 of vadodara`, for a reason.
+    /// Text for a wait reason, such as `3 more adjacent workers in rack r2 of vadodara`.
     pub(crate) fn missing_workers(&self, index: u32) -> String {
         let item = self.items.at(index);
-        let held = |it: &u32| self.ledger.holder[*it as usize] != NONE;
+        let is_held = |it: &u32| self.ledger.holder[*it as usize] != NONE;
         let usage = self.usage_of(index);
-        let missing = |(worker, here): &(u32, &[PlacedTask])| {
-            let needed = usage.times(here.len() as u32);
-            here.iter().flat_map(|it| &it.accelerators).any(held)
+        let is_missing = |(worker, worker_tasks): &(u32, &[PlacedTask])| {
+            let needed = usage.times(worker_tasks.len() as u32);
+            worker_tasks.iter().flat_map(|it| &it.accelerators).any(is_held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
         };
         let workers: Vec<u32> =
-            reserve::by_worker(&item.tasks).filter(missing).map(|(worker, _)| worker).collect();
+            reserve::by_worker(&item.tasks).filter(is_missing).map(|(worker, _)| worker).collect();
         let first = workers.first().or(item.tasks.first().map(|it| &it.worker)).copied();
         let rack = first.map_or("", |it| self.topology.rack_name(it));
         let n = reasons::count(workers.len(), "more adjacent worker");
--- a/crates/policy/src/guarantee.rs
+++ b/crates/policy/src/guarantee.rs
@@ -1,28 +1,30 @@
-//! Guaranteed shapes of a hall and their home blocks.
+//! State of the guaranteed shapes that are at home in a hall.
 
 use almondpass_schema::{ids, model, time};
 
 use crate::homes;
 
-/// A guaranteed shape at home in this hall.
+/// A guaranteed shape of an account and the home block that is kept reclaimable for it.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeBlock {
     pub(crate) account: u32,
     pub(crate) account_id: ids::AccountId,
     pub(crate) guarantee: ids::GuaranteeName,
+    /// Number of accelerators guaranteed.
     pub(crate) size: u32,
     pub(crate) adjacency: model::Adjacency,
-    /// Its block in an empty hall.
+    /// The block assigned to the shape in an empty hall; see `homes::assign`.
     pub(crate) canonical: Vec<u32>,
-    /// Its accelerators, ascending; empty while it is lost.
+    /// Accelerators of the home block, ascending; empty while the guarantee is lost.
     pub(crate) block: Vec<u32>,
-    /// Work that claims it, holding or reserving its accelerators.
+    /// Items that claim the guarantee and hold or reserve accelerators of the block.
     pub(crate) claims: Vec<u32>,
-    /// Whether work has named it since this scheduler began.
+    /// Whether an item has named this guarantee since the scheduler started.
     pub(crate) claimed_by_name: bool,
-    /// When it was last moved, or sought to be, to make room for others.
+    /// When the scheduler last relocated the home, or tried to, to free accelerators for other items.
     pub(crate) relocation_tried_at: Option<time::WallTime>,
-    /// Whether operators were last told that it has a block.
+    /// Whether the last report to operators said that the guarantee has a block; `None` before the
+    /// first report.
     pub(crate) last_reported_block: Option<bool>,
 }
 
@@ -43,12 +45,12 @@
         }
     }
 
-    /// Whether it has a block.
+    /// Whether a block is assigned; without one the guarantee is lost.
     pub(crate) fn has_block(&self) -> bool {
         !self.block.is_empty()
     }
 
-    /// `account/name`, as pictures show it.
+    /// `account/name`, as shown in the picture of the hall and in wait reasons.
     pub(crate) fn label(&self) -> String {
         format!("{}/{}", self.account_id, self.guarantee)
     }
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -1,4 +1,4 @@
-//! Keeping every guaranteed shape at home in a block that can be reclaimed.
+//! Keeps a reclaimable home block assigned to every guaranteed shape of the hall.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -13,11 +13,12 @@
 use crate::rules::BlockRule;
 use crate::topology::NONE;
 
-/// A home moves where a claim costs less than this part of what it costs in its present block.
-const WORTH_MOVING: f64 = 0.7;
+/// A home moves to another block if a claim there costs less than this fraction of its cost in the present
+/// block.
+const MAX_RELATIVE_COST: f64 = 0.7;
 
-/// How dear a block is as a home: what a claim would cost now, then how far it is from where the
-/// shape is at home in an empty hall, then what it leaves of its run.
+/// Cost of a block as a home: first what a claim would cost now, then whether it differs from the block
+/// in an empty hall, then how many accelerators of its run it leaves over.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct HomeCost {
     lost_work: f64,
@@ -27,37 +28,37 @@
 }
 
 impl HallCore {
-    /// Takes over the guarantees that the configuration puts into this hall; blocks of those that
-    /// stay the same are kept.
+    /// Adopts the guarantees that the configuration assigns to this hall. Guarantees that are unchanged
+    /// keep their blocks.
     pub(crate) fn configure_homes(&mut self) {
         let old = std::mem::take(&mut self.homes);
         self.release_blocks(&old);
-        let mine: Vec<HomeBlock> = self
+        let configured: Vec<HomeBlock> = self
             .all_homes
             .iter()
             .filter(|it| it.hall == self.hall)
             .map(|it| (it, self.catalog.known_account(&it.account)))
             .map(|(it, account)| HomeBlock::new(it, account.unwrap_or(NONE)))
             .collect();
-        self.homes = mine;
-        for was in old {
-            let same = |it: &HomeBlock| {
-                it.account == was.account
-                    && it.guarantee == was.guarantee
-                    && it.size == was.size
-                    && it.adjacency == was.adjacency
+        self.homes = configured;
+        for old_home in old {
+            let is_same_guarantee = |it: &HomeBlock| {
+                it.account == old_home.account
+                    && it.guarantee == old_home.guarantee
+                    && it.size == old_home.size
+                    && it.adjacency == old_home.adjacency
             };
-            let Some(home) = self.homes.iter().position(same) else { continue };
-            self.homes[home].last_reported_block = was.last_reported_block;
-            self.homes[home].claimed_by_name = was.claimed_by_name;
-            if was.has_block() {
-                self.assign_block(home as u32, was.block);
+            let Some(home) = self.homes.iter().position(is_same_guarantee) else { continue };
+            self.homes[home].last_reported_block = old_home.last_reported_block;
+            self.homes[home].claimed_by_name = old_home.claimed_by_name;
+            if old_home.has_block() {
+                self.assign_block(home as u32, old_home.block);
             }
         }
         self.homes_dirty = true;
     }
 
-    /// Takes every block away, as before the hall is laid out anew.
+    /// Removes the blocks of all homes, before the topology of the hall is rebuilt.
     pub(crate) fn remove_all_blocks(&mut self) {
         let mut homes = std::mem::take(&mut self.homes);
         self.release_blocks(&homes);
@@ -68,7 +69,8 @@
         self.homes = homes;
     }
 
-    /// Frees blocks and makes their claims ordinary work; reservations go back to the queue.
+    /// Releases blocks in the ledger. Their running claims become ordinary items, and claims that only
+    /// reserve a place return to the queue.
     fn release_blocks(&mut self, homes: &[HomeBlock]) {
         for it in homes {
             for claim in &it.claims {
@@ -87,15 +89,15 @@
         }
     }
 
-    /// Takes the block of one home away.
+    /// Removes the block and the claims of one home.
     pub(crate) fn remove_block(&mut self, home: u32) {
-        let was = self.homes[home as usize].clone();
+        let old_home = self.homes[home as usize].clone();
         self.homes[home as usize].block.clear();
         self.homes[home as usize].claims.clear();
-        self.release_blocks(&[was]);
+        self.release_blocks(&[old_home]);
     }
 
-    /// Makes a block the home of a shape. Work of the same account inside becomes its claim.
+    /// Assigns a block to a home. Items of the same account that lie in the block become its claims.
     pub(crate) fn assign_block(&mut self, home: u32, block: Vec<u32>) {
         self.ledger.add_home_block(home, &block, &self.topology);
         let account = self.homes[home as usize].account;
@@ -114,21 +116,21 @@
         self.note_capacity_change();
     }
 
-    /// Whether all accelerators of held work lie in a home block, and no more of each worker is
-    /// used than goes with them.
+    /// Whether all accelerators of a held item lie in a home block, and each of its tasks uses no more cores,
+    /// memory and slots than the share of its accelerators.
     fn lies_in_home(&self, index: u32, home: u32) -> bool {
         let item = self.items.at(index);
         item.tasks.iter().all(|task| {
             let spec = &self.topology.workers[task.worker as usize];
             let share = Usage::share(spec, task.accelerators.len() as u32);
-            let inside = |it: &u32| self.ledger.home[*it as usize] == home;
+            let is_inside = |it: &u32| self.ledger.home[*it as usize] == home;
             share.covers(Usage::of(&item.work.demand))
                 && !task.accelerators.is_empty()
-                && task.accelerators.iter().all(inside)
+                && task.accelerators.iter().all(is_inside)
         })
     }
 
-    /// Notes a claim.
+    /// Records that an item claims a home; an item that is attached already is not counted twice.
     pub(crate) fn attach_claim(&mut self, index: u32, home: u32) {
         self.items.at_mut(index).claimed_home = Some(home);
         let claims = &mut self.homes[home as usize].claims;
@@ -141,7 +143,7 @@
         self.account_usage[item.account as usize].claimed += width;
     }
 
-    /// Forgets a claim.
+    /// Removes the claim of an item, if it has one.
     pub(crate) fn detach_claim(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         let Some(home) = item.claimed_home.take() else { return };
@@ -151,13 +153,13 @@
         self.homes[home as usize].claims.retain(|it| *it != index);
     }
 
-    /// Accelerators of a home that work claims.
+    /// Number of accelerators of a home that are claimed.
     pub(crate) fn claimed_accelerators(&self, home: u32) -> u32 {
         let width = |it: &u32| self.items.at(*it).n_accelerators();
         self.homes[home as usize].claims.iter().map(width).sum()
     }
 
-    /// Gives every shape whose block is damaged another one, and reports what changed.
+    /// Assigns another block to every shape whose block is no longer valid, and reports the changes.
     pub(crate) fn repair_homes(&mut self) {
         if !self.homes_dirty {
             return;
@@ -176,7 +178,8 @@
         self.report_home_changes(&before);
     }
 
-    /// Shapes in the order in which blocks are chosen: those that fit in few places first.
+    /// Homes without a block, in the order in which blocks are chosen: contiguous shapes, which fit in
+    /// fewer places, come first, and large shapes come before small ones.
     fn homes_without_block(&self) -> Vec<u32> {
         let mut lost: Vec<u32> = (0..self.homes.len() as u32)
             .filter(|it| !self.homes[*it as usize].has_block())
@@ -188,6 +191,7 @@
         lost
     }
 
+    /// Assigns the cheapest block to every home that has none, where one exists.
     pub(crate) fn assign_missing_blocks(&mut self) {
         for home in self.homes_without_block() {
             if let Some((_, block)) = self.cheapest_home(home, true) {
@@ -196,8 +200,8 @@
         }
     }
 
-    /// Chooses all unclaimed blocks anew, largest first, where one after the other left a shape
-    /// without one; goes back where that houses no more shapes.
+    /// Chooses the blocks of all unclaimed homes again, largest first, after choosing them one by one left a
+    /// home without a block. Restores the earlier blocks if this gives no more homes a block.
     fn reassign_unclaimed_blocks(&mut self) {
         let n_before = self.homes.iter().filter(|it| it.has_block()).count();
         let moved: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
@@ -210,7 +214,7 @@
         if moved.is_empty() {
             return;
         }
-        let kept: Vec<u32> = (0..self.homes.len() as u32)
+        let unmoved: Vec<u32> = (0..self.homes.len() as u32)
             .filter(|it| self.homes[*it as usize].has_block())
             .filter(|it| moved.iter().all(|(home, _)| home != it))
             .collect();
@@ -219,15 +223,15 @@
         if n_before < self.homes.iter().filter(|it| it.has_block()).count() {
             return;
         }
-        // A home that settled just now may have found a claim already, as the account's own work
-        // lay there. Kept for that, its block would overlap those that are put back.
+        // A home that was assigned a block just now may already have a claim, because an item of its account
+        // lay there. If it kept the block for that reason, the block would overlap those that are restored.
         for home in 0..self.homes.len() as u32 {
-            if self.homes[home as usize].has_block() && !kept.contains(&home) {
+            if self.homes[home as usize].has_block() && !unmoved.contains(&home) {
                 self.remove_block(home);
             }
         }
         for (home, block) in moved {
-            // A home that took up a claim meanwhile stays, and may lie on this block.
+            // A home that was claimed in the meantime keeps its block, which may overlap this one.
             if !self.homes[home as usize].has_block() && self.can_assign_block(home, &block) {
                 self.assign_block(home, block);
             }
@@ -235,23 +239,25 @@
         self.assign_missing_blocks();
     }
 
-    /// Whether a block can still be had: usable workers, and nobody in it who can't be sent away.
+    /// Whether the block of a home is still reclaimable: its workers are usable and every holder in it can
+    /// be preempted or belongs to the home's account.
     fn block_is_valid(&self, home: u32) -> bool {
         let block = &self.homes[home as usize].block;
-        let sound = |it: &u32| self.home_allows(home, *it);
-        block.iter().all(sound)
+        let is_allowed = |it: &u32| self.home_allows(home, *it);
+        block.iter().all(is_allowed)
             && self.leaves_home_shares(block, false)
             && self.holders_fit(home, block)
     }
 
-    /// Whether a home without a block could have this one.
+    /// Whether this block could be assigned to a home that has none.
     pub(crate) fn can_assign_block(&self, home: u32, block: &[u32]) -> bool {
         block.iter().all(|it| self.home_allows(home, *it))
             && self.leaves_home_shares(block, true)
             && self.holders_fit(home, block)
     }
 
-    /// Whether an accelerator may lie in a home block, whoever else's it is.
+    /// Whether an accelerator may lie in the block of this home: its worker is usable, it lies in no other
+    /// home block, and its holder is reclaimable or of the home's account.
     fn home_allows(&self, home: u32, accelerator: u32) -> bool {
         let at = accelerator as usize;
         let worker = self.topology.worker_of[at];
@@ -267,30 +273,30 @@
         self.freeable(item) || item.account == self.homes[home as usize].account
     }
 
-    /// Whether work that can't be reclaimed leaves each worker the cores, memory and slots that go
-    /// with its home blocks.
-    pub(crate) fn leaves_home_shares(&self, block: &[u32], adds: bool) -> bool {
-        self.by_worker(block).into_iter().all(|(worker, n)| {
+    /// Whether non-reclaimable items leave on each worker of a block the cores, memory and slots that belong
+    /// to its home accelerators. `is_new` adds the accelerators of the block, which are not counted yet.
+    pub(crate) fn leaves_home_shares(&self, block: &[u32], is_new: bool) -> bool {
+        self.accelerators_by_worker(block).into_iter().all(|(worker, n)| {
             let spec = &self.topology.workers[worker as usize];
-            let book = &self.ledger.workers[worker as usize];
-            let homes = book.home_accelerators + if adds { n } else { 0 };
-            let left = Usage::capacity(spec).minus(Usage::share(spec, homes));
-            left.covers(book.non_reclaimable)
+            let worker_ledger = &self.ledger.workers[worker as usize];
+            let homes = worker_ledger.home_accelerators + if is_new { n } else { 0 };
+            let remaining = Usage::capacity(spec).minus(Usage::share(spec, homes));
+            remaining.covers(worker_ledger.non_reclaimable)
         })
     }
 
-    /// Whether the cores, memory and slots that go with a block are free now. A home that moved to
-    /// a block without them would move again in each turn.
+    /// Whether the cores, memory and slots that belong to a block are free now. A home that moved to a block
+    /// without them would move again in each scheduling round.
     fn home_shares_free(&self, block: &[u32]) -> bool {
-        self.by_worker(block).into_iter().all(|(worker, n)| {
+        self.accelerators_by_worker(block).into_iter().all(|(worker, n)| {
             let spec = &self.topology.workers[worker as usize];
-            let book = &self.ledger.workers[worker as usize];
-            book.free.minus(book.reserved).covers(Usage::share(spec, n))
+            let worker_ledger = &self.ledger.workers[worker as usize];
+            worker_ledger.free.minus(worker_ledger.reserved).covers(Usage::share(spec, n))
         })
     }
 
-    /// Whether work would fit a block if nothing else were there. A home that moved to one that its
-    /// claim does not fit would move again in each turn.
+    /// Whether an item would fit a block if nothing else were there. A home that moved to a block that its
+    /// claim does not fit would move again in each scheduling round.
     fn fits_block(&self, index: u32, block: &[u32]) -> bool {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
@@ -299,8 +305,8 @@
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
-    /// Workers of a block with how many of its accelerators each has.
-    fn by_worker(&self, block: &[u32]) -> Vec<(u32, u32)> {
+    /// Workers of a block, each with the number of its accelerators in the block.
+    fn accelerators_by_worker(&self, block: &[u32]) -> Vec<(u32, u32)> {
         let mut counts: Vec<(u32, u32)> = Vec::new();
         for it in block {
             let worker = self.topology.worker_of[*it as usize];
@@ -312,7 +318,8 @@
         counts
     }
 
-    /// Whether everything in a block can be sent away or is the account's own and all inside.
+    /// Whether every holder in a block can be preempted, claims this home, or is an item of the home's
+    /// account that lies in the block entirely.
     fn holders_fit(&self, home: u32, block: &[u32]) -> bool {
         let account = self.homes[home as usize].account;
         let mut last = NONE;
@@ -326,13 +333,14 @@
             if self.freeable(item) || item.claimed_home == Some(home) {
                 return true;
             }
-            let inside = |it: &u32| block.binary_search(it).is_ok();
-            item.account == account && item.tasks.iter().flat_map(|it| &it.accelerators).all(inside)
+            let is_inside = |it: &u32| block.binary_search(it).is_ok();
+            item.account == account
+                && item.tasks.iter().flat_map(|it| &it.accelerators).all(is_inside)
         })
     }
 
-    /// The cheapest block for a shape that has none.
-    fn cheapest_home(&self, home: u32, own_free: bool) -> Option<(HomeCost, Vec<u32>)> {
+    /// The cheapest valid block for a home, with its cost. `own_items_free` is passed on to `home_cost`.
+    fn cheapest_home(&self, home: u32, own_items_free: bool) -> Option<(HomeCost, Vec<u32>)> {
         let shape = &self.homes[home as usize];
         let allows = |it: u32| self.home_allows(home, it);
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, allows);
@@ -340,14 +348,14 @@
             .into_iter()
             .filter(|it| self.leaves_home_shares(&it.accelerators, true))
             .filter(|it| self.holders_fit(home, &it.accelerators))
-            .map(|it| (self.home_cost(home, &it, own_free), it))
+            .map(|it| (self.home_cost(home, &it, own_items_free), it))
             .min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(std::cmp::Ordering::Equal))
             .map(|(cost, it)| (cost, it.accelerators))
     }
 
-    /// Prices a block. Where `own_free`, the account's own work in it costs nothing: it becomes a
-    /// claim.
-    fn home_cost(&self, home: u32, choice: &blocks::BlockChoice, own_free: bool) -> HomeCost {
+    /// Cost of a block for a home. With `own_items_free`, items of the home's account cost nothing, because they
+    /// become claims.
+    fn home_cost(&self, home: u32, choice: &blocks::BlockChoice, own_items_free: bool) -> HomeCost {
         let shape = &self.homes[home as usize];
         let mut holders: Vec<u32> = choice
             .accelerators
@@ -359,8 +367,12 @@
         holders.dedup();
         let cost = |it: &u32| {
             let item = self.items.at(*it);
-            let own = item.account == shape.account;
-            if own && own_free { 0.0 } else { self.victim_cost(item, self.parameters.grace) }
+            let is_own = item.account == shape.account;
+            if is_own && own_items_free {
+                0.0
+            } else {
+                self.victim_cost(item, self.parameters.grace)
+            }
         };
         HomeCost {
             lost_work: holders.iter().map(cost).sum(),
@@ -370,17 +382,17 @@
         }
     }
 
-    /// Moves an unclaimed home to where a claim would cost clearly less.
+    /// Moves an unclaimed home to a block where a claim costs clearly less and the item `index` fits.
     pub(crate) fn move_home_to_cheaper_block(&mut self, home: u32, index: u32) {
         let shape = &self.homes[home as usize];
         if !shape.claims.is_empty() {
             return;
         }
-        let here = blocks::BlockChoice { accelerators: shape.block.clone(), slack: 0 };
-        let now = self.home_cost(home, &here, false).lost_work;
+        let current = blocks::BlockChoice { accelerators: shape.block.clone(), slack: 0 };
+        let current_cost = self.home_cost(home, &current, false).lost_work;
         let Some((cost, block)) = self.cheapest_home(home, false) else { return };
-        let cheaper = cost.lost_work < now * WORTH_MOVING;
-        if block == here.accelerators || !cheaper || !self.fits_block(index, &block) {
+        let cheaper = cost.lost_work < current_cost * MAX_RELATIVE_COST;
+        if block == current.accelerators || !cheaper || !self.fits_block(index, &block) {
             return;
         }
         self.remove_block(home);
@@ -388,13 +400,15 @@
         self.report_home_moved(home, "moved to a block that costs less to reclaim");
     }
 
-    /// Moves a home to make room, which operators need not hear of: its guarantee is as good.
+    /// Moves a home to free accelerators for other items. This is not reported to operators, since the
+    /// guarantee is as good as before.
     pub(crate) fn relocate_home(&mut self, home: u32, block: Vec<u32>) {
         self.remove_block(home);
         self.assign_block(home, block);
     }
 
-    /// Moves an unclaimed home to a wholly free block elsewhere; false where there is none.
+    /// Moves an unclaimed home to a block of free accelerators that the item `index` fits; false if there is
+    /// none.
     pub(crate) fn move_home_to_free_block(&mut self, home: u32, index: u32) -> bool {
         let shape = &self.homes[home as usize];
         if !shape.claims.is_empty() {
--- a/crates/policy/src/home_relocation.rs
+++ b/crates/policy/src/home_relocation.rs
@@ -1,9 +1,9 @@
-//! Moving a home from free accelerators to held ones.
+//! Relocates homes from free accelerators to accelerators that are held by reclaimable items.
 //!
-//! A home block that is free keeps out what can't be reclaimed, while a block full of work that can
-//! be reclaimed would guarantee the same. So where the former waits, a home moves over the latter.
-//! This is late binding: the guarantee is for a block, not for this block. A claim then costs a
-//! reclaim, which the bound allows for.
+//! Non-reclaimable items can't use a free home block, although a block full of reclaimable items would
+//! serve the guarantee as well. When a non-reclaimable item waits, a home is therefore moved over
+//! reclaimable items. The guarantee is for some block, not for a particular one. A claim then has to
+//! reclaim the block, which the reclaim bound allows for.
 
 use std::time::Duration;
 
@@ -13,34 +13,36 @@
 use crate::ledger::Booking;
 use crate::topology::NONE;
 
-/// A home stays where it was moved for this long.
-const STAYS: Duration = Duration::from_secs(10);
+/// Least time between two attempts to relocate a home, or to restore the canonical blocks.
+const MIN_STAY: Duration = Duration::from_secs(10);
 
-/// What moving a home to a block would bring and cost.
+/// Order of the blocks that a home could be relocated to; the lowest is best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RelocationScore {
-    /// Accelerators free in it, which would be closed then.
+    /// Free accelerators of the block, which would be closed to non-reclaimable items.
     n_free: usize,
-    /// Work that a claim would stop.
+    /// Items that a claim would have to preempt.
     n_holders: usize,
     first: u32,
 }
 
 impl HallCore {
-    /// Moves one home so that free accelerators become open to all; false where none can.
+    /// Relocates one unclaimed home so that free accelerators become usable for all items; false if no
+    /// home can be relocated.
     pub(crate) fn relocate_idle_home(&mut self) -> bool {
         for home in 0..self.homes.len() as u32 {
             let shape = &self.homes[home as usize];
-            let idle = shape.has_block()
+            let is_relocatable = shape.has_block()
                 && shape.claims.is_empty()
-                && shape.relocation_tried_at.is_none_or(|it| it + STAYS <= self.now);
+                && shape.relocation_tried_at.is_none_or(|it| it + MIN_STAY <= self.now);
             let n_free = self.n_free(&shape.block);
-            if !idle || n_free == 0 {
+            if !is_relocatable || n_free == 0 {
                 continue;
             }
-            // A search that finds nothing is not repeated before the hall has changed.
+            // Recorded before the search, so that a search without a result is not repeated until `MIN_STAY`
+            // later, when the hall may have changed.
             self.homes[home as usize].relocation_tried_at = Some(self.now);
-            if let Some(block) = self.busy_block(home, n_free) {
+            if let Some(block) = self.occupied_block(home, n_free) {
                 self.relocate_home(home, block);
                 return true;
             }
@@ -48,33 +50,33 @@
         false
     }
 
-    /// Brings unclaimed homes back to where they are in an empty hall, as far as that can be
-    /// reclaimed. Work was admitted if it fits beside these places; homes that have moved about may
-    /// leave no run for it, and nothing else would ever move them in a quiet hall.
+    /// Moves unclaimed homes back to their blocks in an empty hall, as far as these can be reclaimed;
+    /// false if nothing was tried. Items are admitted if they fit beside these blocks. Relocated homes may
+    /// leave no run for such an item, and in a hall without other events nothing else would move them.
     pub(crate) fn restore_canonical_blocks(&mut self) -> bool {
-        if self.now < self.homes_restored_at + STAYS {
+        if self.now < self.homes_restored_at + MIN_STAY {
             return false;
         }
         self.homes_restored_at = self.now;
-        let moved: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
+        let displaced: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
             .map(|it| (it, self.homes[it as usize].block.clone()))
             .filter(|(home, block)| {
                 let shape = &self.homes[*home as usize];
                 shape.has_block() && shape.claims.is_empty() && *block != shape.canonical
             })
             .collect();
-        if moved.is_empty() {
+        if displaced.is_empty() {
             return false;
         }
-        moved.iter().for_each(|(home, _)| self.remove_block(*home));
-        for (home, _) in &moved {
+        displaced.iter().for_each(|(home, _)| self.remove_block(*home));
+        for (home, _) in &displaced {
             let canonical = self.homes[*home as usize].canonical.clone();
             if self.can_assign_block(*home, &canonical) {
                 self.assign_block(*home, canonical);
             }
         }
-        // Each of the others goes back, or where it can if its place is taken now.
-        for (home, block) in moved {
+        // The remaining homes return to the block they had, or get another one if it is taken now.
+        for (home, block) in displaced {
             if !self.homes[home as usize].has_block() && self.can_assign_block(home, &block) {
                 self.assign_block(home, block);
             }
@@ -88,19 +90,20 @@
         block.iter().filter(|it| self.ledger.holder[**it as usize] == NONE).count()
     }
 
-    /// The block that closes fewest free accelerators, clearly fewer than now.
-    fn busy_block(&self, home: u32, n_free_now: usize) -> Option<Vec<u32>> {
+    /// The block with the fewest free accelerators, if these are less than half of `n_free_now`.
+    fn occupied_block(&self, home: u32, n_free_now: usize) -> Option<Vec<u32>> {
         let shape = &self.homes[home as usize];
         let allows = |it: u32| {
             let at = it as usize;
             let holder = self.ledger.holder[at];
-            // The account's own work would become its claim, and the home would be taken.
-            let lends =
+            // An item of the home's own account is not allowed: it would become a claim of the guarantee and
+            // use it up.
+            let is_reclaimable =
                 |it: &QueueItem| it.booking == Booking::Reclaimable && it.account != shape.account;
-            let soft = holder == NONE || lends(self.items.at(holder));
+            let holder_allowed = holder == NONE || is_reclaimable(self.items.at(holder));
             self.ledger.home[at] == NONE
                 && self.ledger.reserved_for[at] == NONE
-                && soft
+                && holder_allowed
                 && self.health[self.topology.worker_of[at] as usize].usable()
         };
         let score = |block: &[u32]| {
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -1,4 +1,4 @@
-//! Telling operators how guarantees stand.
+//! Reports changes of guarantees and their home blocks to operators.
 
 use almondpass_schema::model;
 
@@ -8,38 +8,44 @@
 use crate::topology::NONE;
 
 impl HallCore {
+    /// Reports guarantees that lost, regained or moved their block since `before`, which holds the earlier
+    /// block of each home. Losses are not reported within `SETTLE_TIME` after the start of the scheduler.
     pub(crate) fn report_home_changes(&mut self, before: &[Vec<u32>]) {
-        let settling = self.now.since(self.created_at) < SETTLE_TIME;
+        let starting_up = self.now.since(self.created_at) < SETTLE_TIME;
         for home in 0..self.homes.len() as u32 {
-            let now_settled = self.homes[home as usize].has_block();
-            let was = self.homes[home as usize].last_reported_block;
-            if now_settled {
-                if was == Some(true) && before[home as usize] != self.homes[home as usize].block {
+            let has_block_now = self.homes[home as usize].has_block();
+            let last_reported = self.homes[home as usize].last_reported_block;
+            if has_block_now {
+                if last_reported == Some(true)
+                    && before[home as usize] != self.homes[home as usize].block
+                {
                     self.report_home_moved(
                         home,
                         "moved: its block was damaged or is no longer reclaimable",
                     );
-                } else if was == Some(false) {
+                } else if last_reported == Some(false) {
                     self.report_home_moved(home, "whole again");
                 }
                 self.homes[home as usize].last_reported_block = Some(true);
-            } else if was != Some(false) && !settling {
+            } else if last_reported != Some(false) && !starting_up {
                 self.homes[home as usize].last_reported_block = Some(false);
                 self.report_home_lost(home);
             }
         }
     }
 
-    pub(crate) fn report_home_moved(&mut self, home: u32, what: &str) {
+    /// Reports a change of a home that has a block; `change` completes the sentence "guarantee X ...".
+    pub(crate) fn report_home_moved(&mut self, home: u32, change: &str) {
         let shape = &self.homes[home as usize];
         let first = self.topology.host(shape.block[0]);
         let reason = reasons::plain(
             model::WaitCode::GuaranteeKept,
-            format!("guarantee {} {what}; now at home from {}", shape.label(), first.name),
+            format!("guarantee {} {change}; now at home from {}", shape.label(), first.name),
         );
         self.push_guarantee(home, reason);
     }
 
+    /// Reports that no reclaimable block is left for a guarantee.
     pub(crate) fn report_home_lost(&mut self, home: u32) {
         let shape = &self.homes[home as usize];
         let n_live = self.health.iter().filter(|it| it.usable()).count();
@@ -70,7 +76,7 @@
         });
     }
 
-    /// How a guarantee stands.
+    /// State of a guarantee, from its block, its claims and the holders of the block.
     pub(crate) fn home_state(&self, home: u32) -> model::GuaranteeState {
         let shape = &self.homes[home as usize];
         let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -1,6 +1,7 @@
-//! Home halls and home blocks of guaranteed shapes, for a whole configuration.
+//! Assigns a home hall and a home block to every guaranteed shape of a configuration.
 //!
-//! A pure function of the document: every instance, and the rule check of a draft, finds the same.
+//! The assignment depends only on the configuration document, so all instances and the validation of
+//! a draft get the same result.
 
 use std::cmp::Reverse;
 
@@ -9,44 +10,49 @@
 use crate::hall_policy;
 use crate::topology::HallTopology;
 
-/// A guaranteed shape at home.
+/// A guaranteed shape and the place assigned to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Home {
-    /// Whose it is.
+    /// Account that the shape is guaranteed to.
     pub account: ids::AccountId,
-    /// Its name.
+    /// Name of the guarantee, unique within the account.
     pub guarantee: ids::GuaranteeName,
-    /// Where it is at home.
+    /// Hall that contains the block.
     pub hall: ids::HallName,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// How close they lie.
+    /// How close together the accelerators have to be.
     pub adjacency: model::Adjacency,
-    /// Its block in an empty hall, by index in the order of the hall.
+    /// Accelerators of the block in an empty hall, as ascending indexes in the order of the hall.
     pub block: Vec<u32>,
 }
 
-/// Gives every guaranteed shape a home hall and a block there, disjoint from all others.
+/// Assigns to every guaranteed shape a hall and a block of accelerators that overlaps no other block.
 ///
 /// # Errors
-/// Names the account, the guarantee and the hall of the first shape that has no place.
+/// `GuaranteeUnfit` with the account, guarantee and hall of the first shape that does not fit.
 pub fn assign(config: &model::ConfigDocument) -> Result<Vec<Home>, hall_policy::PolicyFault> {
     let mut halls: Vec<HallPlan> =
         config.halls.iter().map(|it| HallPlan::new(it, &config.worker_kinds)).collect();
-    let mut wanted: Vec<WantedShape<'_>> = config
+    let mut shapes: Vec<WantedShape<'_>> = config
         .accounts
         .iter()
         .flat_map(|account| account.guarantees.iter().map(|shape| WantedShape { account, shape }))
         .collect();
-    // Those tied to a hall first: the others can go round them. Large and strict before small.
-    wanted.sort_by_key(|it| {
-        (it.shape.hall.is_none(), !strict(it.shape.adjacency), Reverse(it.shape.accelerators))
+    // Shapes tied to a hall come first, since the others can use another hall. Then contiguous shapes
+    // come before scattered ones, and large shapes before small ones.
+    shapes.sort_by_key(|it| {
+        (
+            it.shape.hall.is_none(),
+            !is_contiguous(it.shape.adjacency),
+            Reverse(it.shape.accelerators),
+        )
     });
-    wanted.iter().map(|it| it.assign(&mut halls)).collect()
+    shapes.iter().map(|it| it.assign(&mut halls)).collect()
 }
 
-/// Whether a shape has to be one run.
-fn strict(adjacency: model::Adjacency) -> bool {
+/// Whether the block of a shape has to be contiguous.
+fn is_contiguous(adjacency: model::Adjacency) -> bool {
     adjacency != model::Adjacency::Any
 }
 
@@ -58,12 +64,13 @@
 impl WantedShape<'_> {
     fn assign(&self, halls: &mut [HallPlan]) -> Result<Home, hall_policy::PolicyFault> {
         let shape = self.shape;
-        let mut order: Vec<usize> = (0..halls.len())
+        let mut candidate_halls: Vec<usize> = (0..halls.len())
             .filter(|it| shape.hall.as_ref().is_none_or(|name| *name == halls[*it].name))
             .collect();
-        // The hall with the most left, so that guarantees spread over failure domains.
-        order.sort_by_key(|it| (Reverse(halls[*it].left()), *it));
-        for it in &order {
+        // Tries the hall with the most unassigned accelerators first, so that guarantees are spread over
+        // failure domains.
+        candidate_halls.sort_by_key(|it| (Reverse(halls[*it].n_unassigned()), *it));
+        for it in &candidate_halls {
             let plan = &mut halls[*it];
             if let Some(block) = plan.take_block(shape) {
                 return Ok(Home {
@@ -76,12 +83,16 @@
                 });
             }
         }
-        Err(self.unfit(halls, &order))
+        Err(self.unfit_fault(halls, &candidate_halls))
     }
 
-    fn unfit(&self, halls: &[HallPlan], order: &[usize]) -> hall_policy::PolicyFault {
+    fn unfit_fault(
+        &self,
+        halls: &[HallPlan],
+        candidate_halls: &[usize],
+    ) -> hall_policy::PolicyFault {
         let shape = self.shape;
-        let first = order.first().map(|it| &halls[*it]);
+        let first = candidate_halls.first().map(|it| &halls[*it]);
         let hall = shape.hall.clone().or(first.map(|it| it.name.clone())).unwrap_or_default();
         let detail = match first {
             None => "no such hall".to_owned(),
@@ -89,9 +100,9 @@
             Some(plan) => format!(
                 "{} accelerators left beside the other guarantees, the longest run ({}) being {} of \
                  {} wanted",
-                plan.left(),
+                plan.n_unassigned(),
                 shape.adjacency,
-                plan.longest(shape.adjacency),
+                plan.longest_free_run(shape.adjacency),
                 shape.accelerators
             ),
         };
@@ -104,37 +115,38 @@
     }
 }
 
-/// A hall while homes are given out.
+/// A hall and its accelerators that are already assigned to blocks.
 struct HallPlan {
     name: ids::HallName,
     topology: HallTopology,
-    taken: Vec<bool>,
+    assigned: Vec<bool>,
 }
 
 impl HallPlan {
     fn new(layout: &model::HallLayout, kinds: &[model::WorkerKind]) -> HallPlan {
         let topology = HallTopology::new(layout, kinds);
-        let taken = vec![false; topology.worker_of.len()];
-        HallPlan { name: layout.name.clone(), topology, taken }
+        let assigned = vec![false; topology.worker_of.len()];
+        HallPlan { name: layout.name.clone(), topology, assigned }
     }
 
-    fn left(&self) -> usize {
-        self.taken.iter().filter(|it| !**it).count()
+    fn n_unassigned(&self) -> usize {
+        self.assigned.iter().filter(|it| !**it).count()
     }
 
-    fn longest(&self, adjacency: model::Adjacency) -> u32 {
-        let runs =
-            crate::placement::free_runs(&self.topology, adjacency, |it| !self.taken[it as usize]);
+    fn longest_free_run(&self, adjacency: model::Adjacency) -> u32 {
+        let runs = crate::placement::free_runs(&self.topology, adjacency, |it| {
+            !self.assigned[it as usize]
+        });
         runs.into_iter().map(|it| it.len()).max().unwrap_or(0)
     }
 
     fn take_block(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
-        let free = |it: u32| !self.taken[it as usize];
+        let free = |it: u32| !self.assigned[it as usize];
         let blocks =
             crate::blocks::choices(&self.topology, shape.accelerators, shape.adjacency, free);
         let block = blocks.into_iter().min_by_key(|it| (it.slack, it.accelerators[0]))?;
         for it in &block.accelerators {
-            self.taken[*it as usize] = true;
+            self.assigned[*it as usize] = true;
         }
         Some(block.accelerators)
     }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -1,9 +1,10 @@
-//! Who holds what: accelerators, cores, memory and slots, and what is promised to whom.
+//! Records which item holds or has reserved accelerators, cores, memory and slots of a hall, and which
+//! accelerators belong to home blocks.
 
 use crate::topology::{self, HallTopology, NONE};
 use crate::work;
 
-/// Cores, memory and slots of one worker, or a share of them.
+/// An amount of cores, memory and slots: capacity of a worker, a share of it, or the use of tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
     pub(crate) cores: i64,
@@ -12,7 +13,7 @@
 }
 
 impl Usage {
-    /// What one task uses.
+    /// The demand of one task.
     pub(crate) fn of(demand: &work::TaskDemand) -> Usage {
         Usage {
             cores: i64::from(demand.cores),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// All of a worker.
+    /// The whole capacity of a worker.
     pub(crate) fn capacity(spec: &topology::WorkerSpec) -> Usage {
         Usage {
             cores: i64::from(spec.cores),
@@ -30,15 +31,15 @@
         }
     }
 
-    /// Share of a worker that goes with some of its accelerators.
+    /// The part of a worker's capacity that belongs to a number of its accelerators, in proportion.
     pub(crate) fn share(spec: &topology::WorkerSpec, accelerators: u32) -> Usage {
-        let whole = Usage::capacity(spec);
+        let capacity_of_worker = Usage::capacity(spec);
         let total = i64::from(spec.accelerators.max(1));
-        let part = i64::from(accelerators);
+        let n_accelerators = i64::from(accelerators);
         Usage {
-            cores: whole.cores * part / total,
-            memory_mb: whole.memory_mb * part / total,
-            slots: whole.slots * part / total,
+            cores: capacity_of_worker.cores * n_accelerators / total,
+            memory_mb: capacity_of_worker.memory_mb * n_accelerators / total,
+            slots: capacity_of_worker.slots * n_accelerators / total,
         }
     }
 
@@ -64,12 +65,12 @@
         Usage { cores: self.cores * n, memory_mb: self.memory_mb * n, slots: self.slots * n }
     }
 
-    /// Whether all of `other` fits in this.
+    /// Whether `other` is no larger in cores, memory and slots.
     pub(crate) fn covers(self, other: Usage) -> bool {
         other.cores <= self.cores && other.memory_mb <= self.memory_mb && other.slots <= self.slots
     }
 
-    /// How many tasks of this demand fit.
+    /// How many tasks of this demand fit in the amount.
     pub(crate) fn max_tasks(self, demand: Usage) -> u32 {
         let fit = |have: i64, need: i64| if need == 0 { i64::from(u32::MAX) } else { have / need };
         fit(self.cores, demand.cores)
@@ -79,59 +80,59 @@
     }
 }
 
-/// One task where it is held.
+/// One task and the worker and accelerators it is placed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlacedTask {
     pub(crate) worker: u32,
-    /// Accelerators by index in the hall.
+    /// Indexes, in the hall, of its accelerators.
     pub(crate) accelerators: Vec<u32>,
 }
 
-/// What stands on one worker.
+/// Use and reservations of one worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct WorkerLedger {
     pub(crate) free: Usage,
-    /// Used by work that can't be reclaimed in time and claims no home there.
+    /// Used by items that can't be reclaimed within the reclaim bound and claim no home block.
     pub(crate) non_reclaimable: Usage,
-    /// Wanted by reservations.
+    /// Cores, memory and slots that reservations need.
     pub(crate) reserved: Usage,
-    /// Work that reserves something here, once for each task.
+    /// Items with a reservation on this worker, once for each task.
     pub(crate) reservations: Vec<u32>,
     pub(crate) free_accelerators: u32,
-    /// Accelerators inside home blocks.
+    /// Number of the worker's accelerators inside home blocks.
     pub(crate) home_accelerators: u32,
-    /// Work with tasks here, once for each task.
+    /// Items that hold tasks on this worker, once for each task.
     pub(crate) items: Vec<u32>,
 }
 
-/// How work is booked on its accelerators.
+/// Whether the accelerators that an item holds can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Booking {
-    /// Can be reclaimed within the bound.
+    /// They can be reclaimed within the reclaim bound.
     Reclaimable,
-    /// Cannot.
+    /// They can't be reclaimed within the reclaim bound, so the item must stay outside home blocks.
     NonReclaimable,
-    /// Claims the home block that it is in.
+    /// The item claims the home block that it lies in.
     Claim,
 }
 
-/// Every accelerator and worker of the hall.
+/// Holders, reservations and home blocks of every accelerator and worker of a hall.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct HallLedger {
-    /// Work that holds each accelerator.
+    /// Item that holds each accelerator, or `NONE`.
     pub(crate) holder: Vec<u32>,
-    /// Work for which each accelerator is reserved.
+    /// Item for which each accelerator is reserved, or `NONE`.
     pub(crate) reserved_for: Vec<u32>,
-    /// Home block in which each accelerator lies.
+    /// Index of the home whose block each accelerator lies in, or `NONE`.
     pub(crate) home: Vec<u32>,
     pub(crate) workers: Vec<WorkerLedger>,
 }
 
 impl HallLedger {
-    /// A hall with nothing held.
+    /// A ledger in which nothing is held, reserved or part of a home block.
     pub(crate) fn new(topology: &HallTopology) -> HallLedger {
         let n = topology.worker_of.len();
-        let book = |spec: &topology::WorkerSpec| WorkerLedger {
+        let worker_ledger = |spec: &topology::WorkerSpec| WorkerLedger {
             free: Usage::capacity(spec),
             free_accelerators: spec.accelerators,
             ..WorkerLedger::default()
@@ -140,11 +141,12 @@
             holder: vec![NONE; n],
             reserved_for: vec![NONE; n],
             home: vec![NONE; n],
-            workers: topology.workers.iter().map(book).collect(),
+            workers: topology.workers.iter().map(worker_ledger).collect(),
         }
     }
 
-    /// Books the tasks of work; false, and nothing booked, where an accelerator is held already.
+    /// Books the tasks of an item on their workers and accelerators. If an accelerator is held already,
+    /// books nothing and returns false.
     pub(crate) fn hold(
         &mut self,
         item: u32,
@@ -152,26 +154,26 @@
         usage: Usage,
         booking: Booking,
     ) -> bool {
-        let taken = |it: &u32| self.holder[*it as usize] != NONE;
-        if tasks.iter().flat_map(|it| &it.accelerators).any(taken) {
+        let is_held = |it: &u32| self.holder[*it as usize] != NONE;
+        if tasks.iter().flat_map(|it| &it.accelerators).any(is_held) {
             return false;
         }
         for it in tasks {
             for accelerator in &it.accelerators {
                 self.holder[*accelerator as usize] = item;
             }
-            let book = &mut self.workers[it.worker as usize];
-            book.free_accelerators -= it.accelerators.len() as u32;
-            book.free.sub(usage);
-            book.items.push(item);
+            let worker_ledger = &mut self.workers[it.worker as usize];
+            worker_ledger.free_accelerators -= it.accelerators.len() as u32;
+            worker_ledger.free.sub(usage);
+            worker_ledger.items.push(item);
             if booking == Booking::NonReclaimable {
-                book.non_reclaimable.add(usage);
+                worker_ledger.non_reclaimable.add(usage);
             }
         }
         true
     }
 
-    /// Gives back what `hold` booked.
+    /// Reverses `hold`, which must have been called with the same arguments or rebooked to `booking`.
     pub(crate) fn release(
         &mut self,
         item: u32,
@@ -183,19 +185,19 @@
             for accelerator in &it.accelerators {
                 self.holder[*accelerator as usize] = NONE;
             }
-            let book = &mut self.workers[it.worker as usize];
-            book.free_accelerators += it.accelerators.len() as u32;
-            book.free.add(usage);
-            if let Some(at) = book.items.iter().position(|other| *other == item) {
-                book.items.swap_remove(at);
+            let worker_ledger = &mut self.workers[it.worker as usize];
+            worker_ledger.free_accelerators += it.accelerators.len() as u32;
+            worker_ledger.free.add(usage);
+            if let Some(at) = worker_ledger.items.iter().position(|other| *other == item) {
+                worker_ledger.items.swap_remove(at);
             }
             if booking == Booking::NonReclaimable {
-                book.non_reclaimable.sub(usage);
+                worker_ledger.non_reclaimable.sub(usage);
             }
         }
     }
 
-    /// Changes how held work is booked.
+    /// Changes the booking of held tasks from one kind to another.
     pub(crate) fn rebook(
         &mut self,
         tasks: &[PlacedTask],
@@ -204,43 +206,43 @@
         to: Booking,
     ) {
         for it in tasks {
-            let book = &mut self.workers[it.worker as usize];
+            let worker_ledger = &mut self.workers[it.worker as usize];
             if from == Booking::NonReclaimable {
-                book.non_reclaimable.sub(usage);
+                worker_ledger.non_reclaimable.sub(usage);
             }
             if to == Booking::NonReclaimable {
-                book.non_reclaimable.add(usage);
+                worker_ledger.non_reclaimable.add(usage);
             }
         }
     }
 
-    /// Reserves accelerators and shares for work that will start there.
+    /// Reserves accelerators, cores, memory and slots for an item that will start there.
     pub(crate) fn reserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
         for it in tasks {
             for accelerator in &it.accelerators {
                 self.reserved_for[*accelerator as usize] = item;
             }
-            let book = &mut self.workers[it.worker as usize];
-            book.reserved.add(usage);
-            book.reservations.push(item);
+            let worker_ledger = &mut self.workers[it.worker as usize];
+            worker_ledger.reserved.add(usage);
+            worker_ledger.reservations.push(item);
         }
     }
 
-    /// Gives a reservation up.
+    /// Reverses `reserve`.
     pub(crate) fn unreserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
         for it in tasks {
             for accelerator in &it.accelerators {
                 self.reserved_for[*accelerator as usize] = NONE;
             }
-            let book = &mut self.workers[it.worker as usize];
-            book.reserved.sub(usage);
-            if let Some(at) = book.reservations.iter().position(|other| *other == item) {
-                book.reservations.swap_remove(at);
+            let worker_ledger = &mut self.workers[it.worker as usize];
+            worker_ledger.reserved.sub(usage);
+            if let Some(at) = worker_ledger.reservations.iter().position(|other| *other == item) {
+                worker_ledger.reservations.swap_remove(at);
             }
         }
     }
 
-    /// Makes accelerators a home block.
+    /// Records the accelerators of `block` as the block of a home.
     pub(crate) fn add_home_block(&mut self, home: u32, block: &[u32], topology: &HallTopology) {
         for it in block {
             self.home[*it as usize] = home;
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Takes a home block away.
+    /// Reverses `add_home_block`.
     pub(crate) fn remove_home_block(&mut self, block: &[u32], topology: &HallTopology) {
         for it in block {
             self.home[*it as usize] = NONE;
@@ -256,13 +258,15 @@
         }
     }
 
-    /// What work that can't be reclaimed may still use of a worker, whatever else runs there now.
+    /// What further non-reclaimable items may use of a worker, not counting reclaimable items that run
+    /// there now.
     pub(crate) fn free_for_non_reclaimable(&self, worker: u32, topology: &HallTopology) -> Usage {
         self.capacity_for_non_reclaimable(worker, topology)
             .minus(self.workers[worker as usize].non_reclaimable)
     }
 
-    /// What work that can't be reclaimed may use of a worker at most.
+    /// What non-reclaimable items together may use of a worker: its capacity without the share of its
+    /// home blocks.
     pub(crate) fn capacity_for_non_reclaimable(
         &self,
         worker: u32,
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaim: whose accelerators are taken back, and how.
+//! Reclaim: chooses the items to preempt for a claim or for urgent work, and stops them.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::reserve;
 use crate::topology::NONE;
 
-/// Added to the lost work of each victim, in accelerator seconds.
+/// Cost of stopping a victim in addition to the work it loses, in accelerator seconds.
 const STOP_COST: f64 = 5.0;
-/// Added for each of its accelerators, in seconds: even where a checkpoint saves the run, a gang has
-/// to wait for its place again, the longer the wider it is.
+/// Cost of a restart for each accelerator of the victim, in seconds. Even if a checkpoint saves its
+/// run, a gang has to wait for a place again, and a wider gang waits longer.
 const RESTART_COST: f64 = 30.0;
-/// Work that was a victim before counts as dearer by this part each time, so that the same job is
-/// not sent away again and again.
+/// The cost of a victim rises by this fraction with each earlier preemption, so that the same job is not
+/// preempted over and over.
 const REPEAT_COST: f64 = 1.0;
 
-/// The place among allowed accelerators that costs least, whole gangs counted. `starts` are the
-/// accelerators at which a run may begin.
+/// The allowed place whose holders cost least to preempt, where a gang that holds any part of the place
+/// counts whole. `starts` are the accelerators at which a run may begin.
 pub(crate) fn cheapest_placement(
     core: &HallCore,
     request: &PlacementRequest,
@@ -55,7 +55,7 @@
     Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &tasks))
 }
 
-/// Task by task; victims already chosen cost nothing more.
+/// Chooses the cheapest place for one task after the other; victims of earlier tasks cost nothing more.
 fn cheapest_scattered(
     core: &HallCore,
     request: &PlacementRequest,
@@ -104,7 +104,8 @@
     Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen))
 }
 
-/// What it costs to free the tasks that begin at `tasks`, or `limit` where it is no less.
+/// Cost of preempting the holders of the tasks that begin at `tasks`, without those in `victims`; at
+/// most `limit`, since a higher cost is of no interest.
 fn cost(
     core: &HallCore,
     width: u32,
@@ -113,14 +114,14 @@
     limit: f64,
     grace: Duration,
 ) -> f64 {
-    let mut seen: Vec<u32> = Vec::new();
+    let mut counted: Vec<u32> = Vec::new();
     let mut sum = 0.0;
     for it in tasks.iter().flat_map(|at| *at..at + width) {
         let holder = core.ledger.holder[it as usize];
-        if holder == NONE || victims.contains(&holder) || seen.contains(&holder) {
+        if holder == NONE || victims.contains(&holder) || counted.contains(&holder) {
             continue;
         }
-        seen.push(holder);
+        counted.push(holder);
         sum += core.victim_cost(core.items.at(holder), grace);
         if limit <= sum {
             return limit;
@@ -130,23 +131,26 @@
 }
 
 impl HallCore {
-    /// What sending a gang away costs.
+    /// Cost of preempting an item, in accelerator seconds weighted by priority and earlier preemptions.
     pub(crate) fn victim_cost(&self, item: &QueueItem, grace: Duration) -> f64 {
         if matches!(item.state, ItemState::Stopping) {
             return 0.1;
         }
         let rule = &self.catalog.classes[item.class as usize];
-        // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.parameters.grace <= grace;
-        let lost =
-            if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
-        let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
+        // A checkpoint saves the run up to the stop if the grace time suffices for one.
+        let saves_run = rule.checkpoint && self.parameters.grace <= grace;
+        let lost = if saves_run && item.state == ItemState::Running {
+            0.0
+        } else {
+            item.lost_work(self.now)
+        };
+        let repeat_factor = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
         let width = f64::from(item.n_accelerators().max(1));
-        (lost + width * RESTART_COST + STOP_COST) * repeat * weight
+        (lost + width * RESTART_COST + STOP_COST) * repeat_factor * weight
     }
 
-    /// Sends away whoever is in the place reserved for an item.
+    /// Preempts the holders of the place that is reserved for an item.
     pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReserveKind) {
         let grace = match kind {
             ReserveKind::Urgent => self.parameters.urgent_grace(),
@@ -162,7 +166,8 @@
     fn preempt_victim(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
-        // Requests and what is not repeatable end by themselves, within the bound.
+        // Requests and non-repeatable items are not stopped: they end by themselves within the reclaim
+        // bound.
         let stoppable = !rule.request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
             if item.claimed_home.is_some() {
@@ -174,7 +179,8 @@
         }
     }
 
-    /// Who holds the accelerators, and as many others as must go for the cores, memory and slots.
+    /// Items to preempt for a reserved place: the holders of its accelerators, and further items on the
+    /// same workers until cores, memory and slots suffice.
     fn victims(&self, index: u32) -> Vec<u32> {
         let item = self.items.at(index);
         let usage = self.usage_of(index);
@@ -188,22 +194,23 @@
             .collect();
         victims.sort_unstable();
         victims.dedup();
-        for (worker, here) in reserve::by_worker(&item.tasks) {
-            self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
+        for (worker, worker_tasks) in reserve::by_worker(&item.tasks) {
+            self.add_victims(worker, usage.times(worker_tasks.len() as u32), &mut victims);
         }
         victims
     }
 
-    /// Adds the cheapest other work on a worker until its cores, memory and slots suffice.
+    /// Adds the cheapest other items on a worker to the victims until its cores, memory and slots
+    /// suffice.
     fn add_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
-        let book = &self.ledger.workers[worker as usize];
-        let mut free = book.free;
-        let leaves = |it: &&u32| victims.contains(it) || self.is_ending(**it);
-        book.items.iter().filter(leaves).for_each(|it| free.add(self.usage_of(*it)));
+        let worker_ledger = &self.ledger.workers[worker as usize];
+        let mut free = worker_ledger.free;
+        let will_leave = |it: &&u32| victims.contains(it) || self.is_ending(**it);
+        worker_ledger.items.iter().filter(will_leave).for_each(|it| free.add(self.usage_of(*it)));
         if free.covers(needed) {
             return;
         }
-        let mut others: Vec<u32> = book
+        let mut candidates: Vec<u32> = worker_ledger
             .items
             .iter()
             .copied()
@@ -213,16 +220,16 @@
                 item.claimed_home.is_none() && self.freeable(item)
             })
             .collect();
-        others.sort_by(|a, b| {
+        candidates.sort_by(|a, b| {
             let cost = |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
-        others.dedup();
-        for it in others {
+        candidates.dedup();
+        for it in candidates {
             if free.covers(needed) {
                 return;
             }
-            let n = book.items.iter().filter(|other| **other == it).count();
+            let n = worker_ledger.items.iter().filter(|other| **other == it).count();
             free.add(self.usage_of(it).times(n as u32));
             victims.push(it);
         }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -1,19 +1,19 @@
-//! A hall as an order of racks, workers and accelerators, with dense indexes.
+//! Layout of a hall: its racks, workers and accelerators in a fixed order, addressed by dense indexes.
 
 use std::collections::HashMap;
 
 use almondpass_schema::{ids, model};
 
-/// Marks the absence of an index.
+/// Stands for "no index" where an index of a rack, worker, accelerator or item is stored.
 pub(crate) const NONE: u32 = u32::MAX;
 
-/// A worker's place and capacity.
+/// Position and capacity of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct WorkerSpec {
     pub(crate) name: ids::WorkerId,
-    /// Rack index; `NONE` for a worker that the configuration no longer has.
+    /// Rack index; `NONE` for a worker that is no longer in the configuration.
     pub(crate) rack: u32,
-    /// Index of its first accelerator in the hall.
+    /// Index, in the hall, of the worker's first accelerator.
     pub(crate) first_accelerator: u32,
     pub(crate) accelerators: u32,
     pub(crate) cores: u32,
@@ -22,24 +22,25 @@
 }
 
 impl WorkerSpec {
-    /// Index behind its last accelerator.
+    /// Index after the worker's last accelerator.
     pub(crate) fn accelerators_end(&self) -> u32 {
         self.first_accelerator + self.accelerators
     }
 }
 
-/// Every worker of a hall in the order in which they stand.
+/// Workers and racks of a hall, in the order of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct HallTopology {
     pub(crate) workers: Vec<WorkerSpec>,
     pub(crate) racks: Vec<ids::RackName>,
-    /// Worker of each accelerator.
+    /// Worker index of each accelerator.
     pub(crate) worker_of: Vec<u32>,
     index: HashMap<ids::WorkerId, u32>,
 }
 
 impl HallTopology {
-    /// Lays out the hall of a configuration. A rack of an unknown kind has no capacity.
+    /// Builds the topology of a hall from its configuration. Workers of an unknown kind have no
+    /// capacity.
     pub(crate) fn new(layout: &model::HallLayout, kinds: &[model::WorkerKind]) -> HallTopology {
         let mut topology = HallTopology::default();
         for (rack, it) in layout.racks.iter().enumerate() {
@@ -60,7 +61,7 @@
         topology
     }
 
-    /// Adds a worker behind all others.
+    /// Appends a worker and returns its index.
     pub(crate) fn push(&mut self, mut spec: WorkerSpec) -> u32 {
         let index = self.workers.len() as u32;
         spec.first_accelerator = self.worker_of.len() as u32;
@@ -70,28 +71,29 @@
         index
     }
 
-    /// Index of a worker.
+    /// Index of the worker with this name.
     pub(crate) fn find_worker(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
-    /// Accelerators of the hall.
+    /// Number of accelerators in the hall, including those of workers that were removed from the
+    /// configuration.
     pub(crate) fn n_accelerators(&self) -> u32 {
         self.worker_of.len() as u32
     }
 
-    /// The worker of an accelerator.
+    /// The worker that has this accelerator.
     pub(crate) fn host(&self, accelerator: u32) -> &WorkerSpec {
         &self.workers[self.worker_of[accelerator as usize] as usize]
     }
 
-    /// Rack name of a worker, for people.
+    /// Name of a worker's rack for messages; `(removed)` if the worker is no longer configured.
     pub(crate) fn rack_name(&self, worker: u32) -> &str {
         let rack = self.workers[worker as usize].rack;
         self.racks.get(rack as usize).map_or("(removed)", |it| it.as_str())
     }
 
-    /// Whether a run that begins on one worker may go on to another.
+    /// Whether a run with this adjacency may continue from one worker to the next.
     pub(crate) fn run_may_span(&self, from: u32, to: u32, adjacency: model::Adjacency) -> bool {
         let (from_rack, to_rack) =
             (self.workers[from as usize].rack, self.workers[to as usize].rack);
