--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -4,13 +4,13 @@
 
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask};
 use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::ClaimRule;
 use crate::queue::GroupKey;
 use crate::reasons;
 use crate::reclaim;
-use crate::rules::ClaimRule;
 
 /// Most claims that are served in one scheduling round; the rest follows in the next round.
 const MAX_CLAIMS_PER_ROUND: usize = 64;
@@ -61,7 +61,7 @@
         let rule = &self.catalog.classes[key.class as usize];
         let leaves_most_unused =
             shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
-        self.is_hard(rule) && (shape.claimed_by_name || leaves_most_unused)
+        self.is_non_reclaimable(rule) && (shape.claimed_by_name || leaves_most_unused)
     }
 
     /// Accelerators of a home whose claims do not yield to an item of this group.
@@ -85,7 +85,7 @@
             && item.work.guarantee.is_none()
             && !rule.urgent
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && rule.priority <= other.priority
     }
 
@@ -170,8 +170,8 @@
         let rule = ClaimRule { core: self, home, key, request, reclaims: true, exclude };
         let Some(tasks) = self.cheapest_home_place(request, &rule, home) else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Claim, Some(home));
-        self.preempt_holders(index, ReserveKind::Claim);
+        self.reserve(index, tasks, ReservationKind::Claim, Some(home));
+        self.preempt_holders(index, ReservationKind::Claim);
         true
     }
 
@@ -182,6 +182,6 @@
         home: u32,
     ) -> Option<Vec<PlacedTask>> {
         let block = &self.homes[home as usize].block;
-        reclaim::cheapest_placement(self, request, rule, block, self.parameters.grace)
+        reclaim::cheapest_placement(self, request, rule, block, self.parameters.checkpoint_grace)
     }
 }
--- a/crates/policy/src/deadlines.rs
+++ b/crates/policy/src/deadlines.rs
@@ -24,10 +24,11 @@
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         let deadline = item.work.deadline;
-        if !rule.request {
+        if !rule.is_request {
             let left = |limit: Duration| limit.saturating_sub(item.work.saved_run);
             let throttle = item.saved_at + left(rule.max_run);
-            let overrun = item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun));
+            let overrun =
+                item.saved_at + left(rule.max_run.mul_f64(self.parameters.overrun_factor));
             let saves = rule.checkpoint;
             self.set_timer(throttle, TimerKind::Throttle, index);
             self.set_timer(overrun, TimerKind::Overrun, index);
@@ -74,7 +75,8 @@
     /// worker dies.
     fn save(&mut self, index: u32) {
         let item = self.items.at(index);
-        let interval = if self.urgent_about() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
+        let interval =
+            if self.has_recent_urgent_demand() { EXPOSED_INTERVAL } else { SAVE_INTERVAL };
         let due = item.saved_at.max(item.checkpoint_requested_at) + interval;
         if self.now < due {
             // Urgent work may come before the long interval is over.
@@ -106,12 +108,12 @@
     fn overrun(&mut self, index: u32) {
         let total = self.total_run(index);
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        if total < rule.max_run.mul_f64(self.parameters.overrun) {
+        if total < rule.max_run.mul_f64(self.parameters.overrun_factor) {
             return;
         }
         let reason = reasons::overran(rule);
         self.items.at_mut(index).overran = true;
-        self.checkpoint_and_stop(index, self.parameters.grace, AfterStop::End, reason);
+        self.checkpoint_and_stop(index, self.parameters.checkpoint_grace, AfterStop::End, reason);
     }
 
     /// Run time over all attempts that counts.
@@ -127,7 +129,7 @@
         let Some(deadline) = item.work.deadline else { return };
         let rule = &self.catalog.classes[item.class as usize];
         match item.state {
-            ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
+            ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
                 let least = self.estimate(item).low.saturating_sub(item.work.saved_run);
                 let latest = deadline - least;
                 if latest < self.now || deadline <= self.now {
@@ -138,7 +140,7 @@
                     self.set_timer(at, TimerKind::Deadline, index);
                 }
             }
-            ItemState::Running if rule.repeatable && !rule.request && deadline <= self.now => {
+            ItemState::Running if rule.repeatable && !rule.is_request && deadline <= self.now => {
                 self.stop(index, AfterStop::End, reasons::deadline(deadline, Duration::ZERO));
             }
             _ => {}
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -34,9 +34,11 @@
             }
             HallEvent::WorkerLost(name) => self.worker_changed(&name, |it| it.present = false),
             HallEvent::WorkerBack(name) => self.worker_changed(&name, |it| it.present = true),
-            HallEvent::WorkerDraining(name) => self.worker_changed(&name, |it| it.draining = true),
+            HallEvent::WorkerDraining(name) => {
+                self.worker_changed(&name, |it| it.drained_by_event = true)
+            }
             HallEvent::WorkerUndrained(name) => {
-                self.worker_changed(&name, |it| it.draining = false);
+                self.worker_changed(&name, |it| it.drained_by_event = false);
             }
         }
     }
@@ -90,7 +92,7 @@
             saved_at: started_at,
             expected_free_at: self.now,
             stop_by: self.now,
-            urgent_width: 0,
+            urgent_accelerators: 0,
             checkpoint_requested_at: started_at,
             after_stop: AfterStop::Requeue,
             start_reported: false,
@@ -112,7 +114,7 @@
     fn adopt(
         &mut self,
         work: work::WorkItem,
-        placement: &[work::TaskSlot],
+        placement: &[work::TaskAssignment],
         started_at: time::WallTime,
     ) {
         if let Some(known) = self.items.find(&work.id) {
@@ -135,7 +137,7 @@
         self.homes_dirty = true;
     }
 
-    fn adopted_task(&mut self, slot: &work::TaskSlot) -> PlacedTask {
+    fn adopted_task(&mut self, slot: &work::TaskAssignment) -> PlacedTask {
         let most = slot.accelerators.iter().max().map_or(0, |it| it + 1);
         let known = self.topology.find_worker(&slot.worker);
         let worker = match known {
@@ -175,7 +177,7 @@
         item.cancelled = true;
         item.after_stop = AfterStop::End;
         match item.state {
-            ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
+            ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
                 self.finish_unplaced(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
@@ -209,14 +211,14 @@
             return;
         }
         let work = self.items.at(index).work.id;
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         if let Some(worker) = worker {
             match fault {
                 StartFault::Refused => self.pause_worker(worker),
                 StartFault::Unreachable | StartFault::Failed => {
                     self.pause_worker(worker);
-                    self.blame(index, worker, work);
+                    self.record_failure(index, worker, work);
                 }
                 StartFault::Withdrawn => {}
             }
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -14,13 +14,13 @@
 
 use crate::core::HallCore;
 use crate::decision::AfterStop;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::placement::{self, PlacementRequest, PlacementRule};
+use crate::placement_rules::FreeCapacityRule;
 use crate::queue::GroupKey;
 use crate::reasons;
-use crate::reserve;
-use crate::rules::OpenRule;
+use crate::reservations;
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
@@ -89,7 +89,7 @@
 impl GangBlockRule<'_> {
     /// Whether `other` is a gang with a reserved block that was submitted later than this gang.
     fn precedes(&self, other: u32) -> bool {
-        let gang_reservation = ItemState::Reserving(ReserveKind::Clearing);
+        let gang_reservation = ItemState::Reserved(ReservationKind::Gang);
         let core = self.core;
         core.items.at(other).state == gang_reservation
             && core.submitted_at(self.index) < core.submitted_at(other)
@@ -113,9 +113,9 @@
     /// Reserves blocks for the gangs that have waited long enough, up to the configured number of blocks;
     /// overdue gangs are not subject to this limit.
     pub(crate) fn reserve_gang_blocks(&mut self) {
-        let gang_reservation = ItemState::Reserving(ReserveKind::Clearing);
+        let gang_reservation = ItemState::Reserved(ReservationKind::Gang);
         let mut n_reserved = self
-            .reserving
+            .reserved_items
             .iter()
             .filter(|it| self.items.at(**it).state == gang_reservation)
             .count();
@@ -131,13 +131,13 @@
                 continue;
             }
             let Some(entry) = it.entries.first().copied() else { continue };
-            let due = entry.submitted_at + self.parameters.clearing_after();
+            let due = entry.submitted_at + self.parameters.gang_reservation_delay();
             if self.now < due {
                 next_check = Some(next_check.map_or(due, |it| it.min(due)));
                 continue;
             }
-            let limit_reached =
-                self.parameters.clearings() <= n_reserved && !self.is_overdue(entry.item);
+            let limit_reached = self.parameters.max_gang_reservations() <= n_reserved
+                && !self.is_overdue(entry.item);
             if limit_reached || self.ineligibility(entry.item).is_some() {
                 continue;
             }
@@ -167,7 +167,7 @@
             index,
             usage: request.usage,
             non_reclaimable: self.booking_of(index) == Booking::NonReclaimable,
-            homes_only: self.crowds(index) && !self.is_overdue(index),
+            homes_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
             overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
@@ -183,7 +183,7 @@
         };
         let Some(tasks) = found else { return false };
         self.dequeue(index);
-        self.reserve(index, tasks, ReserveKind::Clearing, None);
+        self.reserve(index, tasks, ReservationKind::Gang, None);
         let overdue = self.is_overdue(index);
         self.items.at_mut(index).chosen_overdue = overdue;
         if overdue {
@@ -203,7 +203,8 @@
                 return self.now;
             }
             if holder != cached.0 {
-                let preempted_by = self.now + self.parameters.grace + self.parameters.margin;
+                let preempted_by =
+                    self.now + self.parameters.checkpoint_grace + self.parameters.stop_margin;
                 let yields = self.yields_to_gang(holder, index);
                 let end = self.expected_end(self.items.at(holder));
                 cached = (holder, if yields { end.min(preempted_by) } else { end });
@@ -273,7 +274,7 @@
                 0
             };
             let task_counts = if on_one_worker { request.tasks..=n_allowed } else { 1..=n_allowed };
-            let at = |n: u32| (self.usage_opening(worker, request.usage.times(n)), worker);
+            let at = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
             places.extend(task_counts.map(at));
         }
         places.sort_unstable();
@@ -353,23 +354,24 @@
     pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
-        let rule = OpenRule { homes_only: false, ..OpenRule::new(self, index) };
+        let rule =
+            FreeCapacityRule { home_blocks_only: false, ..FreeCapacityRule::new(self, index) };
         if let Some(tasks) = placement::best(&self.topology, &request, &rule) {
             let reason = self.start_reason(&tasks);
             self.unreserve(index);
             self.start(index, tasks, None, reason);
             return;
         }
-        let opening = self.opening(index, &item.tasks);
+        let opening = self.expected_free_at(index, &item.tasks);
         if self.is_overdue(index) && !item.chosen_overdue {
             // The next search takes into account that younger items now yield to the gang.
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
             return;
         }
         let planned_wait = item.expected_free_at.since(item.state_since);
         let slip = opening.since(item.expected_free_at);
         if planned_wait.mul_f64(MAX_SLIP) < slip && !self.is_overdue(index) {
-            self.withdraw(index);
+            self.unreserve_and_enqueue(index);
         } else {
             self.items.at_mut(index).expected_free_at = opening;
         }
@@ -384,7 +386,7 @@
         self.is_overdue(index)
             && rule.checkpoint
             && rule.repeatable
-            && !rule.request
+            && !rule.is_request
             && !rule.urgent
             && rule.priority <= other.priority
             && item.claimed_home.is_none()
@@ -407,7 +409,12 @@
             if running && self.yields_to_gang(it, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
-                self.checkpoint_and_stop(it, self.parameters.grace, AfterStop::Requeue, reason);
+                self.checkpoint_and_stop(
+                    it,
+                    self.parameters.checkpoint_grace,
+                    AfterStop::Requeue,
+                    reason,
+                );
             }
         }
     }
@@ -422,8 +429,10 @@
             worker_tasks.iter().flat_map(|it| &it.accelerators).any(is_held)
                 || !self.ledger.workers[*worker as usize].free.covers(needed)
         };
-        let workers: Vec<u32> =
-            reserve::by_worker(&item.tasks).filter(is_missing).map(|(worker, _)| worker).collect();
+        let workers: Vec<u32> = reservations::tasks_by_worker(&item.tasks)
+            .filter(is_missing)
+            .map(|(worker, _)| worker)
+            .collect();
         let first = workers.first().or(item.tasks.first().map(|it| &it.worker)).copied();
         let rack = first.map_or("", |it| self.topology.rack_name(it));
         let n = reasons::count(workers.len(), "more adjacent worker");
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -10,7 +10,7 @@
 use crate::guarantee::HomeBlock;
 use crate::ledger::{Booking, Usage};
 use crate::placement::{self, PlacementRequest};
-use crate::rules::BlockRule;
+use crate::placement_rules::EmptyBlockRule;
 use crate::topology::NONE;
 
 /// A home moves to another block if a claim there costs less than this fraction of its cost in the present
@@ -82,7 +82,7 @@
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
                 } else {
-                    self.withdraw(*claim);
+                    self.unreserve_and_enqueue(*claim);
                 }
             }
             self.ledger.remove_home_block(&it.block, &self.topology);
@@ -270,7 +270,7 @@
             return true;
         }
         let item = self.items.at(holder);
-        self.freeable(item) || item.account == self.homes[home as usize].account
+        self.frees_within_reclaim_bound(item) || item.account == self.homes[home as usize].account
     }
 
     /// Whether non-reclaimable items leave on each worker of a block the cores, memory and slots that belong
@@ -301,7 +301,7 @@
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
         let exclude = &item.exclude;
-        let rule = BlockRule { topology: &self.topology, block, request: &request, exclude };
+        let rule = EmptyBlockRule { topology: &self.topology, block, request: &request, exclude };
         placement::best(&self.topology, &request, &rule).is_some()
     }
 
@@ -330,7 +330,7 @@
             }
             last = holder;
             let item = self.items.at(holder);
-            if self.freeable(item) || item.claimed_home == Some(home) {
+            if self.frees_within_reclaim_bound(item) || item.claimed_home == Some(home) {
                 return true;
             }
             let is_inside = |it: &u32| block.binary_search(it).is_ok();
@@ -371,7 +371,7 @@
             if is_own && own_items_free {
                 0.0
             } else {
-                self.victim_cost(item, self.parameters.grace)
+                self.victim_cost(item, self.parameters.checkpoint_grace)
             }
         };
         HomeCost {
@@ -419,7 +419,7 @@
             self.ledger.holder[at] == NONE
                 && self.ledger.home[at] == NONE
                 && self.ledger.reserved_for[at] == NONE
-                && self.health[self.topology.worker_of[at] as usize].open(self.now)
+                && self.health[self.topology.worker_of[at] as usize].accepts_new_work(self.now)
         };
         let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, free);
         let choice = choices
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -66,7 +66,7 @@
     ) {
         let usage = self.usage_of(index);
         self.ledger.hold(index, &tasks, usage, booking);
-        let request = self.catalog.classes[self.items.at(index).class as usize].request;
+        let request = self.catalog.classes[self.items.at(index).class as usize].is_request;
         let item = self.items.at_mut(index);
         let width = item.n_accelerators();
         let account = &mut self.account_usage[item.account as usize];
@@ -74,7 +74,7 @@
         account.usage.add(usage.times(item.work.tasks));
         account.requests += u32::from(request);
         if self.catalog.classes[item.class as usize].urgent {
-            item.urgent_width = width;
+            item.urgent_accelerators = width;
             self.headroom.urgent_held += width;
         }
         item.tasks = tasks;
@@ -88,7 +88,7 @@
     pub(crate) fn release(&mut self, index: u32) {
         self.detach_claim(index);
         let usage = self.usage_of(index);
-        let request = self.catalog.classes[self.items.at(index).class as usize].request;
+        let request = self.catalog.classes[self.items.at(index).class as usize].is_request;
         let item = self.items.at_mut(index);
         let tasks = std::mem::take(&mut item.tasks);
         let width = item.n_accelerators();
@@ -96,8 +96,8 @@
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
         account.requests -= u32::from(request);
-        self.headroom.urgent_held -= item.urgent_width;
-        item.urgent_width = 0;
+        self.headroom.urgent_held -= item.urgent_accelerators;
+        item.urgent_accelerators = 0;
         let booking = item.booking;
         self.ledger.release(index, &tasks, usage, booking);
         self.note_capacity_change();
@@ -115,8 +115,8 @@
             Some(_) => Booking::Claim,
             None => self.booking_of(index),
         };
-        self.spend(index, &tasks);
-        let placement = self.task_slots(&tasks);
+        self.spend_headroom(index, &tasks);
+        let placement = self.task_assignments(&tasks);
         self.hold(index, tasks, booking, claim);
         let now = self.now;
         let item = self.items.at_mut(index);
@@ -132,10 +132,10 @@
     }
 
     /// Tasks as the scheduler knows them.
-    pub(crate) fn task_slots(&self, tasks: &[PlacedTask]) -> Vec<work::TaskSlot> {
+    pub(crate) fn task_assignments(&self, tasks: &[PlacedTask]) -> Vec<work::TaskAssignment> {
         let slot = |(rank, it): (usize, &PlacedTask)| {
             let spec = &self.topology.workers[it.worker as usize];
-            work::TaskSlot {
+            work::TaskAssignment {
                 rank: rank as u32,
                 worker: spec.name.clone(),
                 accelerators: it
@@ -226,7 +226,7 @@
         };
         match self.items.at(index).state {
             ItemState::Waiting => self.dequeue(index),
-            ItemState::Reserving(_) => self.unreserve(index),
+            ItemState::Reserved(_) => self.unreserve(index),
             _ => {}
         }
         self.finish(index, outcome, reason);
@@ -248,13 +248,13 @@
         let run = item.work.saved_run + self.now.since(item.saved_at);
         let (account, class, declared) = (item.account, item.class, item.work.declared_run);
         self.estimates.record(account, class, run, declared);
-        self.credit(index);
+        self.record_success(index);
         self.release(index);
         self.finish(index, model::RequestOutcome::Done, reasons::done());
     }
 
     pub(crate) fn stopped(&mut self, index: u32) {
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let item = self.items.at(index);
         let asked = matches!(item.state, ItemState::Stopping | ItemState::Checkpointing);
@@ -273,15 +273,15 @@
     /// body, under the entry's budget.
     fn retries(&self, index: u32) -> bool {
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        rule.repeatable && !rule.request
+        rule.repeatable && !rule.is_request
     }
 
     pub(crate) fn failed(&mut self, index: u32, worker: Option<u32>) {
         let work = self.items.at(index).work.id;
         if let Some(worker) = worker {
-            self.blame(index, worker, work);
+            self.record_failure(index, worker, work);
         }
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let healthy = |it: &&u32| self.health[**it as usize].usable();
         let item = self.items.at(index);
@@ -291,7 +291,7 @@
             self.finish(index, model::RequestOutcome::Failed, reasons::failed());
         } else if faulty {
             let reason = reasons::faulty(n_workers, item.failures);
-            self.forgive_all(index);
+            self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
             let doubled = FIRST_PAUSE * (1 << (item.failures.min(6)));
@@ -300,7 +300,7 @@
     }
 
     pub(crate) fn lost(&mut self, index: u32, worker: &str) {
-        self.unprobe(index);
+        self.abandon_probe(index);
         self.release(index);
         let reason = reasons::worker_lost(worker);
         if self.items.at(index).cancelled {
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
-use crate::item::{ItemState, QueueItem, ReserveKind};
+use crate::item::{ItemState, QueueItem, ReservationKind};
 use crate::placement;
 use crate::reasons;
 use crate::topology::NONE;
@@ -22,7 +22,7 @@
                 model::WaitCode::Queued,
                 format!("pauses after {}", reasons::count(item.failures as usize, "failure")),
             ),
-            ItemState::Reserving(kind) => self.explain_reserving(index, kind),
+            ItemState::Reserved(kind) => self.explain_reserving(index, kind),
             ItemState::Starting => reasons::plain(
                 model::WaitCode::Queued,
                 format!("starts on {}", self.where_is(item)),
@@ -33,7 +33,7 @@
             ItemState::Checkpointing => reasons::until(
                 model::WaitCode::Reclaiming,
                 "makes a checkpoint, and is stopped then",
-                item.state_since + self.parameters.grace,
+                item.state_since + self.parameters.checkpoint_grace,
             ),
             ItemState::Stopping => reasons::plain(model::WaitCode::Reclaiming, "is being stopped"),
         }
@@ -53,17 +53,17 @@
         }
     }
 
-    fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
+    fn explain_reserving(&self, index: u32, kind: ReservationKind) -> model::WaitReason {
         let opening = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(opening);
         match kind {
-            ReserveKind::Clearing => reasons::until(
+            ReservationKind::Gang => reasons::until(
                 model::WaitCode::ClearingBlock,
                 format!("waiting for {missing}, cleared by {by}"),
                 opening,
             ),
-            ReserveKind::Claim | ReserveKind::Urgent => reasons::until(
+            ReservationKind::Claim | ReservationKind::Urgent => reasons::until(
                 model::WaitCode::Reclaiming,
                 format!("waiting for {missing}, being reclaimed by {by}"),
                 opening,
@@ -122,7 +122,8 @@
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
         let need = item.n_accelerators();
-        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_open(it));
+        let runs =
+            placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_available(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -178,7 +179,7 @@
     }
 
     /// Whether an accelerator is free on a worker that takes work.
-    pub(crate) fn is_open(&self, accelerator: u32) -> bool {
+    pub(crate) fn is_available(&self, accelerator: u32) -> bool {
         let worker = self.topology.worker_of[accelerator as usize];
         self.ledger.holder[accelerator as usize] == NONE && self.health[worker as usize].usable()
     }
@@ -193,21 +194,21 @@
             .filter_map(|it| self.queue.group(it))
             .map(|it| (it.key.tasks * it.key.demand.accelerators, it.key.adjacency));
         let reserving = self
-            .reserving
+            .reserved_items
             .iter()
             .map(|it| self.items.at(*it))
             .map(|it| (it.n_accelerators(), it.work.adjacency));
         let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_open(it));
+        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_available(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
     }
 
     /// The picture for operators.
-    pub(crate) fn draw(&self, now: time::WallTime) -> model::HallPicture {
+    pub(crate) fn build_picture(&self, now: time::WallTime) -> model::HallPicture {
         model::HallPicture {
             epoch: 0,
             fragmentation: self.fragmentation(),
@@ -245,7 +246,7 @@
                 since: item.work.submitted_at,
             }
         };
-        self.reserving.iter().copied().chain(waiting).take(QUEUE_PAGE).map(view).collect()
+        self.reserved_items.iter().copied().chain(waiting).take(QUEUE_PAGE).map(view).collect()
     }
 
     fn draw_worker(&self, worker: usize, now: time::WallTime) -> model::WorkerView {
@@ -274,7 +275,7 @@
             holder => holder,
         };
         let item = (holder != NONE).then(|| self.items.at(holder));
-        let request = item.is_some_and(|it| self.catalog.classes[it.class as usize].request);
+        let request = item.is_some_and(|it| self.catalog.classes[it.class as usize].is_request);
         let state = match item {
             _ if !self.health[worker].present => model::AcceleratorState::Lost,
             None => model::AcceleratorState::Free,
