--- a/crates/policy/src/blocks.rs
+++ b/crates/policy/src/blocks.rs
@@ -26,12 +26,12 @@
     topology: &HallTopology,
     size: u32,
     adjacency: model::Adjacency,
-    allows: impl Fn(u32) -> bool,
+    allows_accelerator: impl Fn(u32) -> bool,
 ) -> Vec<BlockChoice> {
     if size == 0 {
         return Vec::new();
     }
-    let runs = placement::free_runs(topology, adjacency, allows);
+    let runs = placement::free_runs(topology, adjacency, allows_accelerator);
     if adjacency == model::Adjacency::Any {
         return scattered_block(runs, size).into_iter().collect();
     }
--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -40,32 +40,33 @@
     /// Whether a guaranteed shape of the account has enough unclaimed accelerators for an item of this
     /// group.
     fn may_claim(&self, key: &GroupKey) -> bool {
-        let width = key.tasks * key.demand.accelerators;
-        0 < width && (0..self.homes.len() as u32).any(|it| self.home_fits(it, key, width))
+        let n_accelerators = key.tasks * key.demand.accelerators;
+        0 < n_accelerators
+            && (0..self.homes.len() as u32).any(|it| self.home_fits(it, key, n_accelerators))
     }
 
-    /// Whether an item of this group, which needs `width` accelerators, may claim the home.
-    fn home_fits(&self, home: u32, key: &GroupKey, width: u32) -> bool {
+    /// Whether an item of this group, which needs `n_accelerators`, may claim the home.
+    fn home_fits(&self, home: u32, key: &GroupKey, n_accelerators: u32) -> bool {
         let shape = &self.homes[home as usize];
         shape.account == key.account
             && shape.has_block()
             && key.guarantee.as_ref().is_none_or(|it| *it == shape.guarantee)
-            && self.unyielding_width(home, key) + width <= shape.size
-            && (key.guarantee.is_some() || !self.blocks_shape(shape, key, width))
+            && self.unyielding_accelerators(home, key) + n_accelerators <= shape.size
+            && (key.guarantee.is_some() || !self.blocks_shape(shape, key, n_accelerators))
     }
 
     /// Whether an item that does not name the guarantee would keep its account from claiming the whole
     /// shape within the reclaim bound. A non-reclaimable item may only take a shape that no item has
     /// named, and a shape that can span workers only if the item fills at least half of it.
-    fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, width: u32) -> bool {
+    fn blocks_shape(&self, shape: &HomeBlock, key: &GroupKey, n_accelerators: u32) -> bool {
         let rule = &self.catalog.classes[key.class as usize];
         let leaves_most_unused =
-            shape.adjacency != model::Adjacency::Worker && 2 * width < shape.size;
+            shape.adjacency != model::Adjacency::Worker && 2 * n_accelerators < shape.size;
         self.is_non_reclaimable(rule) && (shape.claimed_by_name || leaves_most_unused)
     }
 
     /// Accelerators of a home whose claims do not yield to an item of this group.
-    fn unyielding_width(&self, home: u32, key: &GroupKey) -> u32 {
+    fn unyielding_accelerators(&self, home: u32, key: &GroupKey) -> u32 {
         let is_kept = |it: &&u32| !self.claim_yields(**it, key);
         let claims = self.homes[home as usize].claims.iter().filter(is_kept);
         claims.map(|it| self.items.at(*it).n_accelerators()).sum()
@@ -78,9 +79,9 @@
         let item = self.items.at(claim);
         let rule = &self.catalog.classes[item.class as usize];
         let other = &self.catalog.classes[key.class as usize];
-        let running = matches!(item.state, ItemState::Starting | ItemState::Running);
+        let is_active = matches!(item.state, ItemState::Starting | ItemState::Running);
         let takes_precedence = key.guarantee.is_some() || other.urgent;
-        running
+        is_active
             && takes_precedence
             && item.work.guarantee.is_none()
             && !rule.urgent
@@ -91,16 +92,17 @@
 
     /// Starts the first item of a group or reserves a place for it; false if neither is possible now.
     fn serve_claim(&mut self, group: u32) -> bool {
-        let Some(it) = self.queue.group(group) else { return false };
-        let key = it.key.clone();
-        let Some(entry) = it.entries.first().copied() else { return false };
+        let Some(queue_group) = self.queue.group(group) else { return false };
+        let key = queue_group.key.clone();
+        let Some(entry) = queue_group.entries.first().copied() else { return false };
         let index = entry.item;
         if self.ineligibility(index).is_some() {
             return false;
         }
-        let width = key.tasks * key.demand.accelerators;
-        let homes: Vec<u32> =
-            (0..self.homes.len() as u32).filter(|it| self.home_fits(*it, &key, width)).collect();
+        let n_accelerators = key.tasks * key.demand.accelerators;
+        let homes: Vec<u32> = (0..self.homes.len() as u32)
+            .filter(|it| self.home_fits(*it, &key, n_accelerators))
+            .collect();
         let request = PlacementRequest::of(&self.items.at(index).work);
         // A non-reclaimable item is never preempted, so it is as safe outside the home block. Inside, it
         // would prevent a claim of the whole shape.
@@ -117,7 +119,7 @@
         // or uses at least half of the shape, so that the item runs in a home block and is not reclaimed.
         for home in &homes {
             let moves_home =
-                self.homes[*home as usize].size <= 2 * width || key.guarantee.is_some();
+                self.homes[*home as usize].size <= 2 * n_accelerators || key.guarantee.is_some();
             if moves_home
                 && self.move_home_to_free_block(*home, index)
                 && let Some(tasks) = self.place_claim(index, *home, &request, &key)
@@ -131,16 +133,20 @@
         homes.iter().any(|it| self.reclaim_home(index, *it, &request, &key))
     }
 
-    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, way: &str) -> bool {
-        let reason = self.claim_reason(home, way);
+    /// Starts an item as a claim of a home; `detail` says in the wait reason how it got its place.
+    fn start_claim(&mut self, index: u32, home: u32, tasks: Vec<PlacedTask>, detail: &str) -> bool {
+        let reason = self.claim_reason(home, detail);
         self.dequeue(index);
         self.start(index, tasks, Some(home), reason);
         true
     }
 
-    pub(crate) fn claim_reason(&self, home: u32, way: &str) -> model::WaitReason {
+    pub(crate) fn claim_reason(&self, home: u32, detail: &str) -> model::WaitReason {
         let label = self.homes[home as usize].label();
-        reasons::plain(model::WaitCode::GuaranteeKept, format!("claims guarantee {label}: {way}"))
+        reasons::plain(
+            model::WaitCode::GuaranteeKept,
+            format!("claims guarantee {label}: {detail}"),
+        )
     }
 
     /// The best free place in the home block.
@@ -175,6 +181,7 @@
         true
     }
 
+    /// The place in the home block whose holders cost least to preempt.
     fn cheapest_home_place(
         &self,
         request: &PlacementRequest,
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -1,4 +1,4 @@
-//! Reserves blocks for waiting gangs, which become free as the items on them end.
+//! Reserves blocks for waiting gangs. A reserved block becomes free as the items on it end.
 //!
 //! Small items spread over the hall, so a gang that needs a run could wait forever for adjacent
 //! accelerators to be free at the same time. The scheduler therefore reserves the run whose holders are
@@ -26,11 +26,12 @@
 
 /// Most gangs for which a block is searched in one scheduling round.
 const MAX_SEARCHES_PER_ROUND: usize = 4;
-/// Added to the expected opening of a block for each accelerator outside home blocks when blocks are
-/// compared. Blocks inside home blocks are preferred because non-reclaimable items can't use them.
+/// When blocks are compared, this is added for each accelerator outside home blocks to the time at which a
+/// block is expected to be free. Blocks inside home blocks are preferred because non-reclaimable items
+/// can't use them.
 const OUTSIDE_DELAY: Duration = Duration::from_secs(60);
-/// A block is chosen again if its expected opening slips by more than this fraction of the wait that was
-/// expected when it was reserved.
+/// A block is chosen again if the time at which it is expected to be free slips by more than this fraction
+/// of the wait that was expected when it was reserved.
 const MAX_SLIP: f64 = 0.25;
 
 /// Allows accelerators whose holders will end at some time and are not claims of a guarantee.
@@ -41,7 +42,7 @@
     /// Whether the gang is non-reclaimable and must stay outside home blocks.
     non_reclaimable: bool,
     /// Whether all accelerators outside home blocks are needed by non-reclaimable items.
-    homes_only: bool,
+    home_blocks_only: bool,
     /// Whether the gang has waited `gang_wait` and may take blocks that are reserved for younger gangs.
     overdue: bool,
     exclude: &'a [u32],
@@ -63,7 +64,7 @@
         self.core.health[worker as usize].usable()
             && !self.exclude.contains(&worker)
             && (!self.non_reclaimable || ledger.home[at] == NONE)
-            && (!self.homes_only || ledger.home[at] != NONE)
+            && (!self.home_blocks_only || ledger.home[at] != NONE)
             && (reserved == NONE || self.overdue && self.precedes(reserved))
             && (ledger.holder[at] == NONE
                 || self.core.items.at(ledger.holder[at]).claimed_home.is_none())
@@ -96,10 +97,11 @@
     }
 }
 
-/// Order of candidate blocks: by expected opening, then by the number of held accelerators.
+/// Order of candidate blocks: by the time at which they are expected to be free, then by the number of held
+/// accelerators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GangBlockScore {
-    opening: time::WallTime,
+    free_at: time::WallTime,
     n_held: usize,
     start: u32,
 }
@@ -126,11 +128,11 @@
         let mut next_check: Option<time::WallTime> = None;
         let mut searches = 0;
         for group in self.ranked_groups(may_reserve) {
-            let Some(it) = self.queue.group(group) else { continue };
-            if it.blocked_at_version != Some(self.capacity_version) {
+            let Some(queue_group) = self.queue.group(group) else { continue };
+            if queue_group.blocked_at_version != Some(self.capacity_version) {
                 continue;
             }
-            let Some(entry) = it.entries.first().copied() else { continue };
+            let Some(entry) = queue_group.entries.first().copied() else { continue };
             let due = entry.submitted_at + self.parameters.gang_reservation_delay();
             if self.now < due {
                 next_check = Some(next_check.map_or(due, |it| it.min(due)));
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Reserves the block for a gang that is expected to be free first; false if there is none.
+    /// Reserves for a gang the block that is expected to be free first; false if no block fits.
     fn reserve_gang_block(&mut self, index: u32) -> bool {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
@@ -167,7 +169,7 @@
             index,
             usage: request.usage,
             non_reclaimable: self.booking_of(index) == Booking::NonReclaimable,
-            homes_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
+            home_blocks_only: self.crowds_out_non_reclaimable(index) && !self.is_overdue(index),
             overdue: self.is_overdue(index),
             exclude: &item.exclude,
         };
@@ -238,7 +240,7 @@
                 let range = start as usize..end as usize;
                 let holders = &self.ledger.holder[range.clone()];
                 let score = GangBlockScore {
-                    opening: holder_ends[range].iter().copied().max().unwrap_or(self.now)
+                    free_at: holder_ends[range].iter().copied().max().unwrap_or(self.now)
                         + OUTSIDE_DELAY * self.n_outside(start, end),
                     n_held: holders.iter().filter(|it| **it != NONE).count(),
                     start,
@@ -274,8 +276,8 @@
                 0
             };
             let task_counts = if on_one_worker { request.tasks..=n_allowed } else { 1..=n_allowed };
-            let at = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
-            places.extend(task_counts.map(at));
+            let place = |n: u32| (self.worker_free_at(worker, request.usage.times(n)), worker);
+            places.extend(task_counts.map(place));
         }
         places.sort_unstable();
         let task = |worker: u32| PlacedTask { worker, accelerators: Vec::new() };
@@ -315,14 +317,20 @@
         rule: &GangBlockRule<'_>,
         holder_ends: &[time::WallTime],
     ) -> Option<Vec<PlacedTask>> {
-        let single = PlacementRequest { tasks: 1, ..*request };
-        let mut task = Vec::new();
+        let single_task = PlacementRequest { tasks: 1, ..*request };
+        let mut task_starts = Vec::new();
         let mut places = Vec::new();
         for spec in self.topology.workers.iter().filter(|it| 0 < it.accelerators) {
             let mut start = spec.first_accelerator;
             while start + request.accelerators_per_task <= spec.accelerators_end() {
-                if placement::place_run_at(&self.topology, &single, rule, start, &mut task)
-                    .is_none()
+                if placement::place_run_at(
+                    &self.topology,
+                    &single_task,
+                    rule,
+                    start,
+                    &mut task_starts,
+                )
+                .is_none()
                 {
                     start += 1;
                     continue;
@@ -333,13 +341,13 @@
             }
         }
         places.sort_unstable();
-        let mut used = vec![0; self.topology.workers.len()];
+        let mut n_placed = vec![0; self.topology.workers.len()];
         let mut chosen_starts: Vec<u32> = Vec::new();
         for (_, start) in places {
             let worker = self.topology.worker_of[start as usize];
-            let limit_reached = request.tasks <= chosen_starts.len() as u32;
-            if !limit_reached && used[worker as usize] < rule.task_capacity(worker) {
-                used[worker as usize] += 1;
+            let all_placed = request.tasks <= chosen_starts.len() as u32;
+            if !all_placed && n_placed[worker as usize] < rule.task_capacity(worker) {
+                n_placed[worker as usize] += 1;
                 chosen_starts.push(start);
             }
         }
@@ -350,7 +358,7 @@
     }
 
     /// Checks the reservation of a gang again: starts the gang if a place elsewhere is free, and withdraws
-    /// the reservation if its expected opening has slipped or the gang has become overdue.
+    /// the reservation if its block will be free much later than expected or the gang has become overdue.
     pub(crate) fn refresh_gang_reservation(&mut self, index: u32) {
         let item = self.items.at(index);
         let request = PlacementRequest::of(&item.work);
@@ -362,18 +370,18 @@
             self.start(index, tasks, None, reason);
             return;
         }
-        let opening = self.expected_free_at(index, &item.tasks);
+        let free_at = self.expected_free_at(index, &item.tasks);
         if self.is_overdue(index) && !item.chosen_overdue {
             // The next search takes into account that younger items now yield to the gang.
             self.unreserve_and_enqueue(index);
             return;
         }
         let planned_wait = item.expected_free_at.since(item.state_since);
-        let slip = opening.since(item.expected_free_at);
+        let slip = free_at.since(item.expected_free_at);
         if planned_wait.mul_f64(MAX_SLIP) < slip && !self.is_overdue(index) {
             self.unreserve_and_enqueue(index);
         } else {
-            self.items.at_mut(index).expected_free_at = opening;
+            self.items.at_mut(index).expected_free_at = free_at;
         }
     }
 
@@ -404,13 +412,13 @@
             .map(|it| self.ledger.holder[*it as usize])
             .filter(|it| *it != NONE)
             .collect();
-        for it in holders {
-            let running = self.items.at(it).state == ItemState::Running;
-            if running && self.yields_to_gang(it, index) {
+        for holder in holders {
+            let running = self.items.at(holder).state == ItemState::Running;
+            if running && self.yields_to_gang(holder, index) {
                 let text = "makes way for a gang that waited beyond its bound";
                 let reason = reasons::plain(model::WaitCode::ClearingBlock, text);
                 self.checkpoint_and_stop(
-                    it,
+                    holder,
                     self.parameters.checkpoint_grace,
                     AfterStop::Requeue,
                     reason,
--- a/crates/policy/src/guarantee.rs
+++ b/crates/policy/src/guarantee.rs
@@ -25,7 +25,7 @@
     pub(crate) relocation_tried_at: Option<time::WallTime>,
     /// Whether the last report to operators said that the guarantee has a block; `None` before the
     /// first report.
-    pub(crate) last_reported_block: Option<bool>,
+    pub(crate) last_reported_has_block: Option<bool>,
 }
 
 impl HomeBlock {
@@ -41,7 +41,7 @@
             claims: Vec::new(),
             claimed_by_name: false,
             relocation_tried_at: None,
-            last_reported_block: None,
+            last_reported_has_block: None,
         }
     }
 
--- a/crates/policy/src/home_placement.rs
+++ b/crates/policy/src/home_placement.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct HomeCost {
     lost_work: f64,
-    moved: bool,
+    differs_from_canonical: bool,
     slack: u32,
-    first: u32,
+    first_accelerator: u32,
 }
 
 impl HallCore {
@@ -49,7 +49,7 @@
                     && it.adjacency == old_home.adjacency
             };
             let Some(home) = self.homes.iter().position(is_same_guarantee) else { continue };
-            self.homes[home].last_reported_block = old_home.last_reported_block;
+            self.homes[home].last_reported_has_block = old_home.last_reported_has_block;
             self.homes[home].claimed_by_name = old_home.claimed_by_name;
             if old_home.has_block() {
                 self.assign_block(home as u32, old_home.block);
@@ -62,9 +62,9 @@
     pub(crate) fn remove_all_blocks(&mut self) {
         let mut homes = std::mem::take(&mut self.homes);
         self.release_blocks(&homes);
-        for it in &mut homes {
-            it.block.clear();
-            it.claims.clear();
+        for home in &mut homes {
+            home.block.clear();
+            home.claims.clear();
         }
         self.homes = homes;
     }
@@ -72,12 +72,12 @@
     /// Releases blocks in the ledger. Their running claims become ordinary items, and claims that only
     /// reserve a place return to the queue.
     fn release_blocks(&mut self, homes: &[HomeBlock]) {
-        for it in homes {
-            for claim in &it.claims {
+        for home in homes {
+            for claim in &home.claims {
                 let item = self.items.at_mut(*claim);
                 item.claimed_home = None;
-                let width = item.n_accelerators();
-                self.account_usage[item.account as usize].claimed -= width;
+                let n_accelerators = item.n_accelerators();
+                self.account_usage[item.account as usize].claimed -= n_accelerators;
                 if self.items.at(*claim).state.holds_accelerators() {
                     let booking = self.booking_of(*claim);
                     self.rebook(*claim, booking);
@@ -85,7 +85,7 @@
                     self.unreserve_and_enqueue(*claim);
                 }
             }
-            self.ledger.remove_home_block(&it.block, &self.topology);
+            self.ledger.remove_home_block(&home.block, &self.topology);
         }
     }
 
@@ -104,12 +104,14 @@
         let holders: BTreeSet<u32> =
             block.iter().map(|it| self.ledger.holder[*it as usize]).collect();
         self.homes[home as usize].block = block;
-        for it in holders.into_iter().filter(|it| *it != NONE) {
-            let item = self.items.at(it);
-            if item.account == account && item.claimed_home.is_none() && self.lies_in_home(it, home)
+        for holder in holders.into_iter().filter(|it| *it != NONE) {
+            let item = self.items.at(holder);
+            if item.account == account
+                && item.claimed_home.is_none()
+                && self.lies_in_home(holder, home)
             {
-                self.rebook(it, Booking::Claim);
-                self.attach_claim(it, home);
+                self.rebook(holder, Booking::Claim);
+                self.attach_claim(holder, home);
             }
         }
         self.homes_version += 1;
@@ -139,24 +141,24 @@
         }
         claims.push(index);
         let item = self.items.at(index);
-        let width = item.n_accelerators();
-        self.account_usage[item.account as usize].claimed += width;
+        let n_accelerators = item.n_accelerators();
+        self.account_usage[item.account as usize].claimed += n_accelerators;
     }
 
     /// Removes the claim of an item, if it has one.
     pub(crate) fn detach_claim(&mut self, index: u32) {
         let item = self.items.at_mut(index);
         let Some(home) = item.claimed_home.take() else { return };
-        let width = item.n_accelerators();
+        let n_accelerators = item.n_accelerators();
         let account = item.account as usize;
-        self.account_usage[account].claimed -= width;
+        self.account_usage[account].claimed -= n_accelerators;
         self.homes[home as usize].claims.retain(|it| *it != index);
     }
 
-    /// Number of accelerators of a home that are claimed.
+    /// Sum of the accelerators of all claims of a home, whether they run or reserve a place.
     pub(crate) fn claimed_accelerators(&self, home: u32) -> u32 {
-        let width = |it: &u32| self.items.at(*it).n_accelerators();
-        self.homes[home as usize].claims.iter().map(width).sum()
+        let n_accelerators = |it: &u32| self.items.at(*it).n_accelerators();
+        self.homes[home as usize].claims.iter().map(n_accelerators).sum()
     }
 
     /// Assigns another block to every shape whose block is no longer valid, and reports the changes.
@@ -181,14 +183,14 @@
     /// Homes without a block, in the order in which blocks are chosen: contiguous shapes, which fit in
     /// fewer places, come first, and large shapes come before small ones.
     fn homes_without_block(&self) -> Vec<u32> {
-        let mut lost: Vec<u32> = (0..self.homes.len() as u32)
+        let mut missing: Vec<u32> = (0..self.homes.len() as u32)
             .filter(|it| !self.homes[*it as usize].has_block())
             .collect();
-        lost.sort_by_key(|it| {
+        missing.sort_by_key(|it| {
             let home = &self.homes[*it as usize];
             (home.adjacency == model::Adjacency::Any, Reverse(home.size), *it)
         });
-        lost
+        missing
     }
 
     /// Assigns the cheapest block to every home that has none, where one exists.
@@ -204,21 +206,21 @@
     /// home without a block. Restores the earlier blocks if this gives no more homes a block.
     fn reassign_unclaimed_blocks(&mut self) {
         let n_before = self.homes.iter().filter(|it| it.has_block()).count();
-        let moved: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
+        let unclaimed: Vec<(u32, Vec<u32>)> = (0..self.homes.len() as u32)
             .filter(|it| {
                 let home = &self.homes[*it as usize];
                 home.has_block() && home.claims.is_empty()
             })
             .map(|it| (it, self.homes[it as usize].block.clone()))
             .collect();
-        if moved.is_empty() {
+        if unclaimed.is_empty() {
             return;
         }
-        let unmoved: Vec<u32> = (0..self.homes.len() as u32)
+        let claimed_homes: Vec<u32> = (0..self.homes.len() as u32)
             .filter(|it| self.homes[*it as usize].has_block())
-            .filter(|it| moved.iter().all(|(home, _)| home != it))
+            .filter(|it| unclaimed.iter().all(|(home, _)| home != it))
             .collect();
-        moved.iter().for_each(|(home, _)| self.remove_block(*home));
+        unclaimed.iter().for_each(|(home, _)| self.remove_block(*home));
         self.assign_missing_blocks();
         if n_before < self.homes.iter().filter(|it| it.has_block()).count() {
             return;
@@ -226,11 +228,11 @@
         // A home that was assigned a block just now may already have a claim, because an item of its account
         // lay there. If it kept the block for that reason, the block would overlap those that are restored.
         for home in 0..self.homes.len() as u32 {
-            if self.homes[home as usize].has_block() && !unmoved.contains(&home) {
+            if self.homes[home as usize].has_block() && !claimed_homes.contains(&home) {
                 self.remove_block(home);
             }
         }
-        for (home, block) in moved {
+        for (home, block) in unclaimed {
             // A home that was claimed in the meantime keeps its block, which may overlap this one.
             if !self.homes[home as usize].has_block() && self.can_assign_block(home, &block) {
                 self.assign_block(home, block);
@@ -239,8 +241,8 @@
         self.assign_missing_blocks();
     }
 
-    /// Whether the block of a home is still reclaimable: its workers are usable and every holder in it can
-    /// be preempted or belongs to the home's account.
+    /// Whether the block of a home is still reclaimable: its workers are usable, and every holder in it can
+    /// be preempted, claims this home, or is an item of the home's account that lies in the block entirely.
     fn block_is_valid(&self, home: u32) -> bool {
         let block = &self.homes[home as usize].block;
         let is_allowed = |it: &u32| self.home_allows(home, *it);
@@ -279,8 +281,8 @@
         self.accelerators_by_worker(block).into_iter().all(|(worker, n)| {
             let spec = &self.topology.workers[worker as usize];
             let worker_ledger = &self.ledger.workers[worker as usize];
-            let homes = worker_ledger.home_accelerators + if is_new { n } else { 0 };
-            let remaining = Usage::capacity(spec).minus(Usage::share(spec, homes));
+            let n_home_accelerators = worker_ledger.home_accelerators + if is_new { n } else { 0 };
+            let remaining = Usage::capacity(spec).minus(Usage::share(spec, n_home_accelerators));
             remaining.covers(worker_ledger.non_reclaimable)
         })
     }
@@ -311,7 +313,7 @@
         for it in block {
             let worker = self.topology.worker_of[*it as usize];
             match counts.last_mut() {
-                Some((last, n)) if *last == worker => *n += 1,
+                Some((last_worker, n)) if *last_worker == worker => *n += 1,
                 _ => counts.push((worker, 1)),
             }
         }
@@ -322,13 +324,13 @@
     /// account that lies in the block entirely.
     fn holders_fit(&self, home: u32, block: &[u32]) -> bool {
         let account = self.homes[home as usize].account;
-        let mut last = NONE;
+        let mut last_holder = NONE;
         block.iter().all(|it| {
             let holder = self.ledger.holder[*it as usize];
-            if holder == NONE || holder == last {
+            if holder == NONE || holder == last_holder {
                 return true;
             }
-            last = holder;
+            last_holder = holder;
             let item = self.items.at(holder);
             if self.frees_within_reclaim_bound(item) || item.claimed_home == Some(home) {
                 return true;
@@ -353,8 +355,8 @@
             .map(|(cost, it)| (cost, it.accelerators))
     }
 
-    /// Cost of a block for a home. With `own_items_free`, items of the home's account cost nothing, because they
-    /// become claims.
+    /// Cost of a block for a home. With `own_items_free`, items of the home's account cost nothing, because
+    /// they become claims.
     fn home_cost(&self, home: u32, choice: &blocks::BlockChoice, own_items_free: bool) -> HomeCost {
         let shape = &self.homes[home as usize];
         let mut holders: Vec<u32> = choice
@@ -376,9 +378,9 @@
         };
         HomeCost {
             lost_work: holders.iter().map(cost).sum(),
-            moved: choice.accelerators != shape.canonical,
+            differs_from_canonical: choice.accelerators != shape.canonical,
             slack: choice.slack,
-            first: choice.accelerators[0],
+            first_accelerator: choice.accelerators[0],
         }
     }
 
@@ -414,14 +416,14 @@
         if !shape.claims.is_empty() {
             return false;
         }
-        let free = |it: u32| {
+        let is_free = |it: u32| {
             let at = it as usize;
             self.ledger.holder[at] == NONE
                 && self.ledger.home[at] == NONE
                 && self.ledger.reserved_for[at] == NONE
                 && self.health[self.topology.worker_of[at] as usize].accepts_new_work(self.now)
         };
-        let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, free);
+        let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, is_free);
         let choice = choices
             .into_iter()
             .filter(|it| self.leaves_home_shares(&it.accelerators, true))
--- a/crates/policy/src/home_relocation.rs
+++ b/crates/policy/src/home_relocation.rs
@@ -23,7 +23,7 @@
     n_free: usize,
     /// Items that a claim would have to preempt.
     n_holders: usize,
-    first: u32,
+    first_accelerator: u32,
 }
 
 impl HallCore {
@@ -93,14 +93,15 @@
     /// The block with the fewest free accelerators, if these are less than half of `n_free_now`.
     fn occupied_block(&self, home: u32, n_free_now: usize) -> Option<Vec<u32>> {
         let shape = &self.homes[home as usize];
-        let allows = |it: u32| {
+        let allows_accelerator = |it: u32| {
             let at = it as usize;
             let holder = self.ledger.holder[at];
             // An item of the home's own account is not allowed: it would become a claim of the guarantee and
             // use it up.
-            let is_reclaimable =
+            let is_reclaimable_from_others =
                 |it: &QueueItem| it.booking == Booking::Reclaimable && it.account != shape.account;
-            let holder_allowed = holder == NONE || is_reclaimable(self.items.at(holder));
+            let holder_allowed =
+                holder == NONE || is_reclaimable_from_others(self.items.at(holder));
             self.ledger.home[at] == NONE
                 && self.ledger.reserved_for[at] == NONE
                 && holder_allowed
@@ -113,10 +114,11 @@
             RelocationScore {
                 n_free: self.n_free(block),
                 n_holders: holders.len(),
-                first: block[0],
+                first_accelerator: block[0],
             }
         };
-        let choices = blocks::choices(&self.topology, shape.size, shape.adjacency, allows);
+        let choices =
+            blocks::choices(&self.topology, shape.size, shape.adjacency, allows_accelerator);
         let found = choices
             .into_iter()
             .map(|it| (score(&it.accelerators), it.accelerators))
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -14,7 +14,7 @@
         let starting_up = self.now.since(self.created_at) < SETTLE_TIME;
         for home in 0..self.homes.len() as u32 {
             let has_block_now = self.homes[home as usize].has_block();
-            let last_reported = self.homes[home as usize].last_reported_block;
+            let last_reported = self.homes[home as usize].last_reported_has_block;
             if has_block_now {
                 if last_reported == Some(true)
                     && before[home as usize] != self.homes[home as usize].block
@@ -26,9 +26,9 @@
                 } else if last_reported == Some(false) {
                     self.report_home_moved(home, "whole again");
                 }
-                self.homes[home as usize].last_reported_block = Some(true);
+                self.homes[home as usize].last_reported_has_block = Some(true);
             } else if last_reported != Some(false) && !starting_up {
-                self.homes[home as usize].last_reported_block = Some(false);
+                self.homes[home as usize].last_reported_has_block = Some(false);
                 self.report_home_lost(home);
             }
         }
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -15,7 +15,7 @@
 pub struct Home {
     /// Account that the shape is guaranteed to.
     pub account: ids::AccountId,
-    /// Name of the guarantee, unique within the account.
+    /// Name of the guarantee within the account.
     pub guarantee: ids::GuaranteeName,
     /// Hall that contains the block.
     pub hall: ids::HallName,
@@ -51,11 +51,11 @@
     shapes.iter().map(|it| it.assign(&mut halls)).collect()
 }
 
-/// Whether the block of a shape has to be contiguous.
 fn is_contiguous(adjacency: model::Adjacency) -> bool {
     adjacency != model::Adjacency::Any
 }
 
+/// A guaranteed shape that needs a home, with its account.
 struct WantedShape<'a> {
     account: &'a model::ClientAccount,
     shape: &'a model::GuaranteedShape,
@@ -70,8 +70,8 @@
         // Tries the hall with the most unassigned accelerators first, so that guarantees are spread over
         // failure domains.
         candidate_halls.sort_by_key(|it| (Reverse(halls[*it].n_unassigned()), *it));
-        for it in &candidate_halls {
-            let plan = &mut halls[*it];
+        for hall in &candidate_halls {
+            let plan = &mut halls[*hall];
             if let Some(block) = plan.take_block(shape) {
                 return Ok(Home {
                     account: self.account.id.clone(),
@@ -140,10 +140,11 @@
         runs.into_iter().map(|it| it.len()).max().unwrap_or(0)
     }
 
+    /// Marks the tightest free block for the shape as assigned; `None` if there is no free block.
     fn take_block(&mut self, shape: &model::GuaranteedShape) -> Option<Vec<u32>> {
-        let free = |it: u32| !self.assigned[it as usize];
+        let is_free = |it: u32| !self.assigned[it as usize];
         let blocks =
-            crate::blocks::choices(&self.topology, shape.accelerators, shape.adjacency, free);
+            crate::blocks::choices(&self.topology, shape.accelerators, shape.adjacency, is_free);
         let block = blocks.into_iter().min_by_key(|it| (it.slack, it.accelerators[0]))?;
         for it in &block.accelerators {
             self.assigned[*it as usize] = true;
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -22,7 +22,6 @@
         }
     }
 
-    /// The whole capacity of a worker.
     pub(crate) fn capacity(spec: &topology::WorkerSpec) -> Usage {
         Usage {
             cores: i64::from(spec.cores),
@@ -33,13 +32,13 @@
 
     /// The part of a worker's capacity that belongs to a number of its accelerators, in proportion.
     pub(crate) fn share(spec: &topology::WorkerSpec, accelerators: u32) -> Usage {
-        let capacity_of_worker = Usage::capacity(spec);
+        let worker_capacity = Usage::capacity(spec);
         let total = i64::from(spec.accelerators.max(1));
         let n_accelerators = i64::from(accelerators);
         Usage {
-            cores: capacity_of_worker.cores * n_accelerators / total,
-            memory_mb: capacity_of_worker.memory_mb * n_accelerators / total,
-            slots: capacity_of_worker.slots * n_accelerators / total,
+            cores: worker_capacity.cores * n_accelerators / total,
+            memory_mb: worker_capacity.memory_mb * n_accelerators / total,
+            slots: worker_capacity.slots * n_accelerators / total,
         }
     }
 
@@ -72,10 +71,12 @@
 
     /// How many tasks of this demand fit in the amount.
     pub(crate) fn max_tasks(self, demand: Usage) -> u32 {
-        let fit = |have: i64, need: i64| if need == 0 { i64::from(u32::MAX) } else { have / need };
-        fit(self.cores, demand.cores)
-            .min(fit(self.memory_mb, demand.memory_mb))
-            .min(fit(self.slots, demand.slots))
+        let n_fitting = |available: i64, needed: i64| {
+            if needed == 0 { i64::from(u32::MAX) } else { available / needed }
+        };
+        n_fitting(self.cores, demand.cores)
+            .min(n_fitting(self.memory_mb, demand.memory_mb))
+            .min(n_fitting(self.slots, demand.slots))
             .clamp(0, i64::from(u32::MAX)) as u32
     }
 }
@@ -158,12 +159,12 @@
         if tasks.iter().flat_map(|it| &it.accelerators).any(is_held) {
             return false;
         }
-        for it in tasks {
-            for accelerator in &it.accelerators {
+        for task in tasks {
+            for accelerator in &task.accelerators {
                 self.holder[*accelerator as usize] = item;
             }
-            let worker_ledger = &mut self.workers[it.worker as usize];
-            worker_ledger.free_accelerators -= it.accelerators.len() as u32;
+            let worker_ledger = &mut self.workers[task.worker as usize];
+            worker_ledger.free_accelerators -= task.accelerators.len() as u32;
             worker_ledger.free.sub(usage);
             worker_ledger.items.push(item);
             if booking == Booking::NonReclaimable {
@@ -181,12 +182,12 @@
         usage: Usage,
         booking: Booking,
     ) {
-        for it in tasks {
-            for accelerator in &it.accelerators {
+        for task in tasks {
+            for accelerator in &task.accelerators {
                 self.holder[*accelerator as usize] = NONE;
             }
-            let worker_ledger = &mut self.workers[it.worker as usize];
-            worker_ledger.free_accelerators += it.accelerators.len() as u32;
+            let worker_ledger = &mut self.workers[task.worker as usize];
+            worker_ledger.free_accelerators += task.accelerators.len() as u32;
             worker_ledger.free.add(usage);
             if let Some(at) = worker_ledger.items.iter().position(|other| *other == item) {
                 worker_ledger.items.swap_remove(at);
@@ -205,8 +206,8 @@
         from: Booking,
         to: Booking,
     ) {
-        for it in tasks {
-            let worker_ledger = &mut self.workers[it.worker as usize];
+        for task in tasks {
+            let worker_ledger = &mut self.workers[task.worker as usize];
             if from == Booking::NonReclaimable {
                 worker_ledger.non_reclaimable.sub(usage);
             }
@@ -218,11 +219,11 @@
 
     /// Reserves accelerators, cores, memory and slots for an item that will start there.
     pub(crate) fn reserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
-        for it in tasks {
-            for accelerator in &it.accelerators {
+        for task in tasks {
+            for accelerator in &task.accelerators {
                 self.reserved_for[*accelerator as usize] = item;
             }
-            let worker_ledger = &mut self.workers[it.worker as usize];
+            let worker_ledger = &mut self.workers[task.worker as usize];
             worker_ledger.reserved.add(usage);
             worker_ledger.reservations.push(item);
         }
@@ -230,11 +231,11 @@
 
     /// Reverses `reserve`.
     pub(crate) fn unreserve(&mut self, item: u32, tasks: &[PlacedTask], usage: Usage) {
-        for it in tasks {
-            for accelerator in &it.accelerators {
+        for task in tasks {
+            for accelerator in &task.accelerators {
                 self.reserved_for[*accelerator as usize] = NONE;
             }
-            let worker_ledger = &mut self.workers[it.worker as usize];
+            let worker_ledger = &mut self.workers[task.worker as usize];
             worker_ledger.reserved.sub(usage);
             if let Some(at) = worker_ledger.reservations.iter().position(|other| *other == item) {
                 worker_ledger.reservations.swap_remove(at);
@@ -244,17 +245,17 @@
 
     /// Records the accelerators of `block` as the block of a home.
     pub(crate) fn add_home_block(&mut self, home: u32, block: &[u32], topology: &HallTopology) {
-        for it in block {
-            self.home[*it as usize] = home;
-            self.workers[topology.worker_of[*it as usize] as usize].home_accelerators += 1;
+        for accelerator in block {
+            self.home[*accelerator as usize] = home;
+            self.workers[topology.worker_of[*accelerator as usize] as usize].home_accelerators += 1;
         }
     }
 
     /// Reverses `add_home_block`.
     pub(crate) fn remove_home_block(&mut self, block: &[u32], topology: &HallTopology) {
-        for it in block {
-            self.home[*it as usize] = NONE;
-            self.workers[topology.worker_of[*it as usize] as usize].home_accelerators -= 1;
+        for accelerator in block {
+            self.home[*accelerator as usize] = NONE;
+            self.workers[topology.worker_of[*accelerator as usize] as usize].home_accelerators -= 1;
         }
     }
 
@@ -273,7 +274,7 @@
         topology: &HallTopology,
     ) -> Usage {
         let spec = &topology.workers[worker as usize];
-        let homes = self.workers[worker as usize].home_accelerators;
-        Usage::capacity(spec).minus(Usage::share(spec, homes))
+        let n_home_accelerators = self.workers[worker as usize].home_accelerators;
+        Usage::capacity(spec).minus(Usage::share(spec, n_home_accelerators))
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -101,8 +101,8 @@
             runs.extend(current.take().map(|(run, _)| run));
             continue;
         }
-        for at in spec.first_accelerator..spec.accelerators_end() {
-            if !allows_accelerator(at) {
+        for accelerator in spec.first_accelerator..spec.accelerators_end() {
+            if !allows_accelerator(accelerator) {
                 runs.extend(current.take().map(|(run, _)| run));
                 continue;
             }
@@ -110,11 +110,11 @@
                 Some((run, last))
                     if last == worker || topology.run_may_span(last, worker, adjacency) =>
                 {
-                    Some((FreeRun { end: at + 1, ..run }, worker))
+                    Some((FreeRun { end: accelerator + 1, ..run }, worker))
                 }
                 other => {
                     runs.extend(other.map(|(run, _)| run));
-                    Some((FreeRun { start: at, end: at + 1 }, worker))
+                    Some((FreeRun { start: accelerator, end: accelerator + 1 }, worker))
                 }
             };
         }
@@ -134,43 +134,44 @@
     tasks: &mut Vec<u32>,
 ) -> Option<u32> {
     tasks.clear();
-    let n = topology.n_accelerators();
-    if n <= start || request.accelerators_per_task == 0 {
+    let n_accelerators = topology.n_accelerators();
+    if n_accelerators <= start || request.accelerators_per_task == 0 {
         return None;
     }
-    let mut at = start;
+    let mut accelerator = start;
     let mut worker = topology.worker_of[start as usize];
     let mut n_placed = 0;
     while (tasks.len() as u32) < request.tasks {
         let spec = &topology.workers[worker as usize];
-        let worker_full = spec.accelerators_end() < at + request.accelerators_per_task
+        let worker_full = spec.accelerators_end() < accelerator + request.accelerators_per_task
             || request.tasks_per_empty_worker(spec) <= n_placed;
         if worker_full {
             if n_placed == 0 {
                 return None;
             }
-            at = spec.accelerators_end();
-            if n <= at {
+            accelerator = spec.accelerators_end();
+            if n_accelerators <= accelerator {
                 return None;
             }
-            let next = topology.worker_of[at as usize];
-            if !topology.run_may_span(worker, next, request.adjacency) {
+            let next_worker = topology.worker_of[accelerator as usize];
+            if !topology.run_may_span(worker, next_worker, request.adjacency) {
                 return None;
             }
-            worker = next;
+            worker = next_worker;
             n_placed = 0;
             continue;
         }
         if rule.task_capacity(worker) <= n_placed
-            || (at..at + request.accelerators_per_task).any(|it| !rule.allows_accelerator(it))
+            || (accelerator..accelerator + request.accelerators_per_task)
+                .any(|it| !rule.allows_accelerator(it))
         {
             return None;
         }
-        tasks.push(at);
-        at += request.accelerators_per_task;
+        tasks.push(accelerator);
+        accelerator += request.accelerators_per_task;
         n_placed += 1;
     }
-    Some(at)
+    Some(accelerator)
 }
 
 /// The tasks whose first accelerators are `starts`.
@@ -179,9 +180,9 @@
     accelerators_per_task: u32,
     starts: &[u32],
 ) -> Vec<PlacedTask> {
-    let task = |at: &u32| PlacedTask {
-        worker: topology.worker_of[*at as usize],
-        accelerators: (*at..at + accelerators_per_task).collect(),
+    let task = |start: &u32| PlacedTask {
+        worker: topology.worker_of[*start as usize],
+        accelerators: (*start..start + accelerators_per_task).collect(),
     };
     starts.iter().map(task).collect()
 }
@@ -255,6 +256,7 @@
     Some(placed_tasks(topology, request.accelerators_per_task, &starts))
 }
 
+/// Order of candidate places; the lowest is best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RunScore {
     penalty: u32,
@@ -313,20 +315,21 @@
     let mut n_placed = vec![0; topology.workers.len()];
     let mut starts = Vec::new();
     for run in runs {
-        let mut at = run.start;
-        while at + request.accelerators_per_task <= run.end && (starts.len() as u32) < request.tasks
+        let mut accelerator = run.start;
+        while accelerator + request.accelerators_per_task <= run.end
+            && (starts.len() as u32) < request.tasks
         {
-            let worker = topology.worker_of[at as usize];
+            let worker = topology.worker_of[accelerator as usize];
             let end = topology.workers[worker as usize].accelerators_end();
-            if end < at + request.accelerators_per_task
+            if end < accelerator + request.accelerators_per_task
                 || rule.task_capacity(worker) <= n_placed[worker as usize]
             {
-                at = end;
+                accelerator = end;
                 continue;
             }
-            starts.push(at);
+            starts.push(accelerator);
             n_placed[worker as usize] += 1;
-            at += request.accelerators_per_task;
+            accelerator += request.accelerators_per_task;
         }
     }
     (starts.len() as u32 == request.tasks)
@@ -339,8 +342,8 @@
     request: &PlacementRequest,
     rule: &impl PlacementRule,
 ) -> Option<Vec<PlacedTask>> {
-    let n = topology.workers.len() as u32;
-    let mut capacities: Vec<(i64, u32, u32)> = (0..n)
+    let n_workers = topology.workers.len() as u32;
+    let mut capacities: Vec<(i64, u32, u32)> = (0..n_workers)
         .map(|it| (rule.cpu_only_rank(it), it, rule.task_capacity(it).min(request.tasks)))
         .filter(|(_, _, capacity)| 0 < *capacity)
         .collect();
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -63,12 +63,12 @@
     starts: &[u32],
     grace: Duration,
 ) -> Option<Vec<PlacedTask>> {
-    let single = PlacementRequest { tasks: 1, ..*request };
+    let single_task = PlacementRequest { tasks: 1, ..*request };
     let mut victims: Vec<u32> = Vec::new();
-    let mut chosen: Vec<u32> = Vec::new();
-    let mut used = vec![0; core.topology.workers.len()];
-    let mut task = Vec::new();
-    while (chosen.len() as u32) < request.tasks {
+    let mut chosen_starts: Vec<u32> = Vec::new();
+    let mut n_placed = vec![0; core.topology.workers.len()];
+    let mut task_starts = Vec::new();
+    while (chosen_starts.len() as u32) < request.tasks {
         let mut best: Option<(f64, u32)> = None;
         for start in starts {
             let worker = core.topology.worker_of[*start as usize];
@@ -76,15 +76,22 @@
                 *it < start + request.accelerators_per_task
                     && *start < it + request.accelerators_per_task
             };
-            if rule.task_capacity(worker) <= used[worker as usize]
-                || chosen.iter().any(overlaps)
-                || placement::place_run_at(&core.topology, &single, rule, *start, &mut task)
-                    .is_none()
+            if rule.task_capacity(worker) <= n_placed[worker as usize]
+                || chosen_starts.iter().any(overlaps)
+                || placement::place_run_at(
+                    &core.topology,
+                    &single_task,
+                    rule,
+                    *start,
+                    &mut task_starts,
+                )
+                .is_none()
             {
                 continue;
             }
             let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-            let cost = cost(core, request.accelerators_per_task, &task, &victims, limit, grace);
+            let cost =
+                cost(core, request.accelerators_per_task, &task_starts, &victims, limit, grace);
             if cost < limit {
                 best = Some((cost, *start));
             }
@@ -93,22 +100,22 @@
             }
         }
         let (_, start) = best?;
-        used[core.topology.worker_of[start as usize] as usize] += 1;
+        n_placed[core.topology.worker_of[start as usize] as usize] += 1;
         victims.extend(
             (start..start + request.accelerators_per_task)
                 .map(|it| core.ledger.holder[it as usize]),
         );
-        chosen.push(start);
+        chosen_starts.push(start);
     }
-    chosen.sort_unstable();
-    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen))
+    chosen_starts.sort_unstable();
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen_starts))
 }
 
 /// Cost of preempting the holders of the tasks that begin at `tasks`, without those in `victims`; at
 /// most `limit`, since a higher cost is of no interest.
 fn cost(
     core: &HallCore,
-    width: u32,
+    accelerators_per_task: u32,
     tasks: &[u32],
     victims: &[u32],
     limit: f64,
@@ -116,8 +123,8 @@
 ) -> f64 {
     let mut counted: Vec<u32> = Vec::new();
     let mut sum = 0.0;
-    for it in tasks.iter().flat_map(|at| *at..at + width) {
-        let holder = core.ledger.holder[it as usize];
+    for accelerator in tasks.iter().flat_map(|start| *start..start + accelerators_per_task) {
+        let holder = core.ledger.holder[accelerator as usize];
         if holder == NONE || victims.contains(&holder) || counted.contains(&holder) {
             continue;
         }
@@ -131,7 +138,8 @@
 }
 
 impl HallCore {
-    /// Cost of preempting an item, in accelerator seconds weighted by priority and earlier preemptions.
+    /// Cost of preempting an item that is given `grace` for its checkpoint, in accelerator seconds weighted
+    /// by priority and earlier preemptions.
     pub(crate) fn victim_cost(&self, item: &QueueItem, grace: Duration) -> f64 {
         if matches!(item.state, ItemState::Stopping) {
             return 0.1;
@@ -139,15 +147,15 @@
         let rule = &self.catalog.classes[item.class as usize];
         // A checkpoint saves the run up to the stop if the grace time suffices for one.
         let saves_run = rule.checkpoint && self.parameters.checkpoint_grace <= grace;
-        let lost = if saves_run && item.state == ItemState::Running {
+        let lost_work = if saves_run && item.state == ItemState::Running {
             0.0
         } else {
             item.lost_work(self.now)
         };
         let repeat_factor = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
-        let width = f64::from(item.n_accelerators().max(1));
-        (lost + width * RESTART_COST + STOP_COST) * repeat_factor * weight
+        let n_accelerators = f64::from(item.n_accelerators().max(1));
+        (lost_work + n_accelerators * RESTART_COST + STOP_COST) * repeat_factor * weight
     }
 
     /// Preempts the holders of the place that is reserved for an item.
@@ -157,12 +165,13 @@
             ReservationKind::Claim | ReservationKind::Gang => self.parameters.checkpoint_grace,
         };
         let text = self.reclaim_text(index);
-        for it in self.victims(index) {
+        for victim in self.victims(index) {
             let reason = reasons::plain(model::WaitCode::Reclaiming, text.clone());
-            self.preempt_victim(it, grace, reason);
+            self.preempt_victim(victim, grace, reason);
         }
     }
 
+    /// Stops a victim and queues it again, if it can be stopped.
     fn preempt_victim(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
@@ -226,13 +235,13 @@
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
         candidates.dedup();
-        for it in candidates {
+        for candidate in candidates {
             if free.covers(needed) {
                 return;
             }
-            let n = worker_ledger.items.iter().filter(|other| **other == it).count();
-            free.add(self.usage_of(it).times(n as u32));
-            victims.push(it);
+            let n = worker_ledger.items.iter().filter(|it| **it == candidate).count();
+            free.add(self.usage_of(candidate).times(n as u32));
+            victims.push(candidate);
         }
     }
 
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -61,7 +61,7 @@
         topology
     }
 
-    /// Appends a worker and returns its index.
+    /// Appends a worker, numbers its accelerators after all others and returns its index.
     pub(crate) fn push(&mut self, mut spec: WorkerSpec) -> u32 {
         let index = self.workers.len() as u32;
         spec.first_accelerator = self.worker_of.len() as u32;
@@ -71,7 +71,6 @@
         index
     }
 
-    /// Index of the worker with this name.
     pub(crate) fn find_worker(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Home halls and blocks of a whole configuration.
+//! Assignment of home halls and home blocks to the guarantees of a configuration.
 
 mod common;
 
@@ -7,8 +7,9 @@
 use almondpass_schema::model;
 use common::{config, shape};
 
-/// Gives the guarantees of one account homes in a hall of one rack of eight workers of eight.
-fn check(shapes: &[(u32, model::Adjacency)], fits: bool) {
+/// Assigns homes to guarantees of one account, in a hall of one rack with eight workers of eight accelerators
+/// each. Checks whether all of them fit, and that their blocks don't overlap.
+fn check_assignment(shapes: &[(u32, model::Adjacency)], fits: bool) {
     let mut config = config(1);
     config.accounts[1].guarantees = shapes
         .iter()
@@ -28,13 +29,13 @@
     }
 }
 
-/// Names each case: shapes, and whether they fit together.
+/// Defines a test for each case: its guaranteed shapes, and whether they fit together.
 macro_rules! cases {
     ($($name:ident: [$(($size:expr, $adjacency:ident)),*] => $fits:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                check(&[$(($size, model::Adjacency::$adjacency)),*], $fits);
+                check_assignment(&[$(($size, model::Adjacency::$adjacency)),*], $fits);
             }
         )*
     };
@@ -47,12 +48,12 @@
     larger_than_a_worker: [(9, Worker)] => false;
     mixed_sizes: [(8, Worker), (4, Worker), (4, Worker), (16, Rack), (32, Rack)] => true;
     odd_sizes: [(3, Worker), (5, Worker), (7, Worker), (24, Rack)] => true;
-    scattered_takes_what_is_left: [(3, Worker), (3, Worker), (58, Any)] => true;
-    nothing: [(0, Any)] => false;
+    scattered_shape_takes_the_remaining_accelerators: [(3, Worker), (3, Worker), (58, Any)] => true;
+    shape_of_no_accelerators: [(0, Any)] => false;
 }
 
 #[test]
-fn refusal_names_account_and_hall() {
+fn fault_names_account_guarantee_and_hall() {
     let mut config = config(1);
     config.accounts[1].guarantees = vec![shape("rig", 72, model::Adjacency::Hall)];
     let fault = homes::assign(&config).expect_err("a shape that does not fit");
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn workers_of_one_accelerator_house_a_shape_of_128() {
+fn shape_of_128_fits_on_workers_of_one_accelerator() {
     let mut config = config(1);
     config.worker_kinds[0].accelerators = 1;
     config.halls[0].racks[0].workers = 163;
