--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -116,7 +116,8 @@
             }
         }
         // A free block elsewhere needs no preemption. The home moves there if the item names the guarantee
-        // or uses at least half of the shape, so that the item runs in a home block and is not reclaimed.
+        // or uses at least half of the shape, so that the item runs in a home block and is not
+        // reclaimed for other accounts.
         for home in &homes {
             let moves_home =
                 self.homes[*home as usize].size <= 2 * n_accelerators || key.guarantee.is_some();
--- a/crates/policy/src/gang_reservations.rs
+++ b/crates/policy/src/gang_reservations.rs
@@ -34,7 +34,8 @@
 /// of the wait that was expected when it was reserved.
 const MAX_SLIP: f64 = 0.25;
 
-/// Allows accelerators whose holders will end at some time and are not claims of a guarantee.
+/// Accelerators and workers that a gang may reserve, free or held; those held by claims of a guarantee are
+/// excluded.
 struct GangBlockRule<'a> {
     core: &'a HallCore,
     index: u32,
--- a/crates/policy/src/home_reports.rs
+++ b/crates/policy/src/home_reports.rs
@@ -37,10 +37,10 @@
     /// Reports a change of a home that has a block; `change` completes the sentence "guarantee X ...".
     pub(crate) fn report_home_moved(&mut self, home: u32, change: &str) {
         let shape = &self.homes[home as usize];
-        let first = self.topology.host(shape.block[0]);
+        let first_worker = self.topology.host(shape.block[0]);
         let reason = reasons::plain(
             model::WaitCode::GuaranteeKept,
-            format!("guarantee {} {change}; now at home from {}", shape.label(), first.name),
+            format!("guarantee {} {change}; now at home from {}", shape.label(), first_worker.name),
         );
         self.push_guarantee(home, reason);
     }
@@ -65,6 +65,7 @@
         self.push_guarantee(home, reason);
     }
 
+    /// Adds the current state of a guarantee, with the reason of its change, to the decisions of the round.
     fn push_guarantee(&mut self, home: u32, reason: model::WaitReason) {
         let state = self.home_state(home);
         let shape = &self.homes[home as usize];
@@ -79,12 +80,12 @@
     /// State of a guarantee, from its block, its claims and the holders of the block.
     pub(crate) fn home_state(&self, home: u32) -> model::GuaranteeState {
         let shape = &self.homes[home as usize];
-        let free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
+        let is_free = |it: &u32| self.ledger.holder[*it as usize] == NONE;
         if !shape.has_block() {
             model::GuaranteeState::Lost
         } else if !shape.claims.is_empty() {
             model::GuaranteeState::Claimed
-        } else if shape.block.iter().all(free) {
+        } else if shape.block.iter().all(is_free) {
             model::GuaranteeState::Free
         } else {
             model::GuaranteeState::Reclaimable
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -174,7 +174,7 @@
         true
     }
 
-    /// Reverses `hold`, which must have been called with the same arguments or rebooked to `booking`.
+    /// Reverses `hold`; `booking` is the present booking of the tasks.
     pub(crate) fn release(
         &mut self,
         item: u32,
@@ -189,8 +189,8 @@
             let worker_ledger = &mut self.workers[task.worker as usize];
             worker_ledger.free_accelerators += task.accelerators.len() as u32;
             worker_ledger.free.add(usage);
-            if let Some(at) = worker_ledger.items.iter().position(|other| *other == item) {
-                worker_ledger.items.swap_remove(at);
+            if let Some(position) = worker_ledger.items.iter().position(|other| *other == item) {
+                worker_ledger.items.swap_remove(position);
             }
             if booking == Booking::NonReclaimable {
                 worker_ledger.non_reclaimable.sub(usage);
@@ -237,8 +237,10 @@
             }
             let worker_ledger = &mut self.workers[task.worker as usize];
             worker_ledger.reserved.sub(usage);
-            if let Some(at) = worker_ledger.reservations.iter().position(|other| *other == item) {
-                worker_ledger.reservations.swap_remove(at);
+            if let Some(position) =
+                worker_ledger.reservations.iter().position(|other| *other == item)
+            {
+                worker_ledger.reservations.swap_remove(position);
             }
         }
     }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// Workers and racks of a hall, in the order of the configuration.
+/// Workers and racks of a hall in the order of the configuration, followed by workers that were removed
+/// from it while items still run on them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct HallTopology {
     pub(crate) workers: Vec<WorkerSpec>,
--- a/crates/policy/tests/homes.rs
+++ b/crates/policy/tests/homes.rs
@@ -19,11 +19,11 @@
     match homes::assign(&config) {
         Ok(homes) => {
             assert!(fits, "expected a refusal, found {homes:?}");
-            let mut all: Vec<u32> = homes.iter().flat_map(|it| it.block.clone()).collect();
-            let n = all.len();
-            all.sort_unstable();
-            all.dedup();
-            assert_eq!(all.len(), n, "blocks overlap");
+            let mut accelerators: Vec<u32> = homes.iter().flat_map(|it| it.block.clone()).collect();
+            let n_accelerators = accelerators.len();
+            accelerators.sort_unstable();
+            accelerators.dedup();
+            assert_eq!(accelerators.len(), n_accelerators, "blocks overlap");
         }
         Err(fault) => assert!(!fits, "expected homes, found {fault}"),
     }
