--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaim: whose accelerators are taken back, and how.
+//! Reclaim: chooses the items to preempt for a claim or for urgent work, and stops them.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::reservations;
 use crate::topology::NONE;
 
-/// Added to the lost work of each victim, in accelerator seconds.
+/// Cost of stopping a victim in addition to the work it loses, in accelerator seconds.
 const STOP_COST: f64 = 5.0;
-/// Added for each of its accelerators, in seconds: even where a checkpoint saves the run, a gang has
-/// to wait for its place again, the longer the wider it is.
+/// Cost of a restart for each accelerator of the victim, in seconds. Even if a checkpoint saves its
+/// run, a gang has to wait for a place again, and a wider gang waits longer.
 const RESTART_COST: f64 = 30.0;
-/// Work that was a victim before counts as dearer by this part each time, so that the same job is
-/// not sent away again and again.
+/// The cost of a victim rises by this fraction with each earlier preemption, so that the same job is not
+/// preempted over and over.
 const REPEAT_COST: f64 = 1.0;
 
-/// The place among allowed accelerators that costs least, whole gangs counted. `starts` are the
-/// accelerators at which a run may begin.
+/// The allowed place whose holders cost least to preempt, where a gang that holds any part of the place
+/// counts whole. `starts` are the accelerators at which a run may begin.
 pub(crate) fn cheapest_placement(
     core: &HallCore,
     request: &PlacementRequest,
@@ -55,7 +55,7 @@
     Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &tasks))
 }
 
-/// Task by task; victims already chosen cost nothing more.
+/// Chooses the cheapest place for one task after the other; victims of earlier tasks cost nothing more.
 fn cheapest_scattered(
     core: &HallCore,
     request: &PlacementRequest,
@@ -63,12 +63,12 @@
     starts: &[u32],
     grace: Duration,
 ) -> Option<Vec<PlacedTask>> {
-    let single = PlacementRequest { tasks: 1, ..*request };
+    let single_task = PlacementRequest { tasks: 1, ..*request };
     let mut victims: Vec<u32> = Vec::new();
-    let mut chosen: Vec<u32> = Vec::new();
-    let mut used = vec![0; core.topology.workers.len()];
-    let mut task = Vec::new();
-    while (chosen.len() as u32) < request.tasks {
+    let mut chosen_starts: Vec<u32> = Vec::new();
+    let mut n_placed = vec![0; core.topology.workers.len()];
+    let mut task_starts = Vec::new();
+    while (chosen_starts.len() as u32) < request.tasks {
         let mut best: Option<(f64, u32)> = None;
         for start in starts {
             let worker = core.topology.worker_of[*start as usize];
@@ -76,15 +76,22 @@
                 *it < start + request.accelerators_per_task
                     && *start < it + request.accelerators_per_task
             };
-            if rule.task_capacity(worker) <= used[worker as usize]
-                || chosen.iter().any(overlaps)
-                || placement::place_run_at(&core.topology, &single, rule, *start, &mut task)
-                    .is_none()
+            if rule.task_capacity(worker) <= n_placed[worker as usize]
+                || chosen_starts.iter().any(overlaps)
+                || placement::place_run_at(
+                    &core.topology,
+                    &single_task,
+                    rule,
+                    *start,
+                    &mut task_starts,
+                )
+                .is_none()
             {
                 continue;
             }
             let limit = best.map_or(f64::INFINITY, |(cost, _)| cost);
-            let cost = cost(core, request.accelerators_per_task, &task, &victims, limit, grace);
+            let cost =
+                cost(core, request.accelerators_per_task, &task_starts, &victims, limit, grace);
             if cost < limit {
                 best = Some((cost, *start));
             }
@@ -93,34 +100,35 @@
             }
         }
         let (_, start) = best?;
-        used[core.topology.worker_of[start as usize] as usize] += 1;
+        n_placed[core.topology.worker_of[start as usize] as usize] += 1;
         victims.extend(
             (start..start + request.accelerators_per_task)
                 .map(|it| core.ledger.holder[it as usize]),
         );
-        chosen.push(start);
+        chosen_starts.push(start);
     }
-    chosen.sort_unstable();
-    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen))
+    chosen_starts.sort_unstable();
+    Some(placement::placed_tasks(&core.topology, request.accelerators_per_task, &chosen_starts))
 }
 
-/// What it costs to free the tasks that begin at `tasks`, or `limit` where it is no less.
+/// Cost of preempting the holders of the tasks that begin at `tasks`, without those in `victims`; at
+/// most `limit`, since a higher cost is of no interest.
 fn cost(
     core: &HallCore,
-    width: u32,
+    accelerators_per_task: u32,
     tasks: &[u32],
     victims: &[u32],
     limit: f64,
     grace: Duration,
 ) -> f64 {
-    let mut seen: Vec<u32> = Vec::new();
+    let mut counted: Vec<u32> = Vec::new();
     let mut sum = 0.0;
-    for it in tasks.iter().flat_map(|at| *at..at + width) {
-        let holder = core.ledger.holder[it as usize];
-        if holder == NONE || victims.contains(&holder) || seen.contains(&holder) {
+    for accelerator in tasks.iter().flat_map(|start| *start..start + accelerators_per_task) {
+        let holder = core.ledger.holder[accelerator as usize];
+        if holder == NONE || victims.contains(&holder) || counted.contains(&holder) {
             continue;
         }
-        seen.push(holder);
+        counted.push(holder);
         sum += core.victim_cost(core.items.at(holder), grace);
         if limit <= sum {
             return limit;
@@ -130,39 +138,45 @@
 }
 
 impl HallCore {
-    /// What sending a gang away costs.
+    /// Cost of preempting an item that is given `grace` for its checkpoint, in accelerator seconds weighted
+    /// by priority and earlier preemptions.
     pub(crate) fn victim_cost(&self, item: &QueueItem, grace: Duration) -> f64 {
         if matches!(item.state, ItemState::Stopping) {
             return 0.1;
         }
         let rule = &self.catalog.classes[item.class as usize];
-        // A checkpoint saves the run up to the stop, where there is time for one.
-        let saves = rule.checkpoint && self.parameters.checkpoint_grace <= grace;
-        let lost =
-            if saves && item.state == ItemState::Running { 0.0 } else { item.lost_work(self.now) };
-        let repeat = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
+        // A checkpoint saves the run up to the stop if the grace time suffices for one.
+        let saves_run = rule.checkpoint && self.parameters.checkpoint_grace <= grace;
+        let lost_work = if saves_run && item.state == ItemState::Running {
+            0.0
+        } else {
+            item.lost_work(self.now)
+        };
+        let repeat_factor = 1.0 + REPEAT_COST * f64::from(item.n_reclaims);
         let weight = 1.0 + f64::from(rule.priority) / 10.0;
-        let width = f64::from(item.n_accelerators().max(1));
-        (lost + width * RESTART_COST + STOP_COST) * repeat * weight
+        let n_accelerators = f64::from(item.n_accelerators().max(1));
+        (lost_work + n_accelerators * RESTART_COST + STOP_COST) * repeat_factor * weight
     }
 
-    /// Sends away whoever is in the place reserved for an item.
+    /// Preempts the holders of the place that is reserved for an item.
     pub(crate) fn preempt_holders(&mut self, index: u32, kind: ReservationKind) {
         let grace = match kind {
             ReservationKind::Urgent => self.parameters.urgent_grace(),
             ReservationKind::Claim | ReservationKind::Gang => self.parameters.checkpoint_grace,
         };
         let text = self.reclaim_text(index);
-        for it in self.victims(index) {
+        for victim in self.victims(index) {
             let reason = reasons::plain(model::WaitCode::Reclaiming, text.clone());
-            self.preempt_victim(it, grace, reason);
+            self.preempt_victim(victim, grace, reason);
         }
     }
 
+    /// Stops a victim and queues it again, if it can be stopped.
     fn preempt_victim(&mut self, victim: u32, grace: Duration, reason: model::WaitReason) {
         let item = self.items.at(victim);
         let rule = &self.catalog.classes[item.class as usize];
-        // Requests and what is not repeatable end by themselves, within the bound.
+        // Requests and non-repeatable items are not stopped: they end by themselves within the reclaim
+        // bound.
         let stoppable = !rule.is_request && rule.repeatable;
         if stoppable && matches!(item.state, ItemState::Starting | ItemState::Running) {
             if item.claimed_home.is_some() {
@@ -174,7 +188,8 @@
         }
     }
 
-    /// Who holds the accelerators, and as many others as must go for the cores, memory and slots.
+    /// Items to preempt for a reserved place: the holders of its accelerators, and further items on the
+    /// same workers until cores, memory and slots suffice.
     fn victims(&self, index: u32) -> Vec<u32> {
         let item = self.items.at(index);
         let usage = self.usage_of(index);
@@ -188,22 +203,23 @@
             .collect();
         victims.sort_unstable();
         victims.dedup();
-        for (worker, here) in reservations::tasks_by_worker(&item.tasks) {
-            self.add_victims(worker, usage.times(here.len() as u32), &mut victims);
+        for (worker, worker_tasks) in reservations::tasks_by_worker(&item.tasks) {
+            self.add_victims(worker, usage.times(worker_tasks.len() as u32), &mut victims);
         }
         victims
     }
 
-    /// Adds the cheapest other work on a worker until its cores, memory and slots suffice.
+    /// Adds the cheapest other items on a worker to the victims until its cores, memory and slots
+    /// suffice.
     fn add_victims(&self, worker: u32, needed: crate::ledger::Usage, victims: &mut Vec<u32>) {
-        let book = &self.ledger.workers[worker as usize];
-        let mut free = book.free;
-        let leaves = |it: &&u32| victims.contains(it) || self.is_ending(**it);
-        book.items.iter().filter(leaves).for_each(|it| free.add(self.usage_of(*it)));
+        let worker_ledger = &self.ledger.workers[worker as usize];
+        let mut free = worker_ledger.free;
+        let will_leave = |it: &&u32| victims.contains(it) || self.is_ending(**it);
+        worker_ledger.items.iter().filter(will_leave).for_each(|it| free.add(self.usage_of(*it)));
         if free.covers(needed) {
             return;
         }
-        let mut others: Vec<u32> = book
+        let mut candidates: Vec<u32> = worker_ledger
             .items
             .iter()
             .copied()
@@ -213,19 +229,19 @@
                 item.claimed_home.is_none() && self.frees_within_reclaim_bound(item)
             })
             .collect();
-        others.sort_by(|a, b| {
+        candidates.sort_by(|a, b| {
             let cost =
                 |it: &u32| self.victim_cost(self.items.at(*it), self.parameters.checkpoint_grace);
             cost(a).total_cmp(&cost(b)).then(a.cmp(b))
         });
-        others.dedup();
-        for it in others {
+        candidates.dedup();
+        for candidate in candidates {
             if free.covers(needed) {
                 return;
             }
-            let n = book.items.iter().filter(|other| **other == it).count();
-            free.add(self.usage_of(it).times(n as u32));
-            victims.push(it);
+            let n = worker_ledger.items.iter().filter(|it| **it == candidate).count();
+            free.add(self.usage_of(candidate).times(n as u32));
+            victims.push(candidate);
         }
     }
 
