--- a/crates/policy/src/account_usage.rs
+++ b/crates/policy/src/account_usage.rs
@@ -1,18 +1,18 @@
-//! What each account uses, and its dominant share above the guarantee.
+//! Resources that each client account holds, and its dominant share outside its guarantees.
 
 use crate::ledger::Usage;
 
-/// Use of one account.
+/// Resources held by one client account.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AccountUsage {
     pub(crate) accelerators: u32,
-    /// Accelerators that it holds as claims of its guarantees.
+    /// Accelerators attached to claims of its guarantees, reserved ones included.
     pub(crate) claimed: u32,
     pub(crate) usage: Usage,
     pub(crate) requests: u32,
 }
 
-/// Capacity of a hall.
+/// Capacity of all workers of a hall.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HallCapacity {
     pub(crate) accelerators: u32,
@@ -20,8 +20,9 @@
 }
 
 impl AccountUsage {
-    /// The largest of its shares of the hall above what it claims, in thousandths. Claims are its
-    /// own and cost it nothing in the order of the others.
+    /// The largest of the account's shares of the hall's accelerators, cores, memory and slots, in
+    /// thousandths. The share of accelerators that it claims is subtracted from each: claims of its own
+    /// guarantees don't lower its place in the order of accounts.
     pub(crate) fn dominant_share(&self, capacity: &HallCapacity) -> u32 {
         let above = self.accelerators.saturating_sub(self.claimed);
         let claimed = f64::from(self.claimed) / f64::from(capacity.accelerators.max(1));
--- a/crates/policy/src/catalog.rs
+++ b/crates/policy/src/catalog.rs
@@ -1,16 +1,16 @@
-//! Classes and accounts by dense index. An index never changes: what a newer configuration drops
-//! stays as unknown, since work of it may still run.
+//! Job classes and client accounts by dense index. An index never changes: a class or account that a newer
+//! configuration no longer has stays in the catalog as unknown, because its work may still run.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use almondpass_schema::{ids, model};
 
-/// What the core needs to know of a job class.
+/// Properties of a job class that decide on scheduling.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ClassRule {
     pub(crate) name: ids::ClassName,
-    /// Whether the configuration in force has it.
+    /// Whether the configuration in force has the class.
     pub(crate) known: bool,
     pub(crate) is_request: bool,
     pub(crate) priority: u8,
@@ -20,9 +20,9 @@
     pub(crate) expected_run: Duration,
     pub(crate) max_run: Duration,
     pub(crate) upstream: ids::UpstreamName,
-    /// Whether its upstream is in this hall.
+    /// Whether the class's upstream is in this hall.
     pub(crate) upstream_in_hall: bool,
-    /// Whether its upstream is drained everywhere.
+    /// Whether the class's upstream is drained everywhere.
     pub(crate) upstream_drained: bool,
 }
 
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Rule for adopted work whose class nobody knows any more: the most careful one.
+    /// Rule for adopted work whose class the configuration no longer has. Assumes the worst case: lowest
+    /// priority, not repeatable, no checkpoints, and runs of up to a day.
     fn unknown(name: &str, request: bool) -> ClassRule {
         ClassRule {
             name: name.to_owned(),
@@ -71,16 +72,17 @@
     }
 }
 
-/// What the core needs to know of a client account.
+/// Limits of a client account that decide on scheduling.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AccountRule {
     pub(crate) id: ids::AccountId,
+    /// Whether the configuration in force has the account.
     pub(crate) known: bool,
     pub(crate) max_running_requests: u32,
     pub(crate) max_accelerators: Option<u32>,
 }
 
-/// Classes and accounts of the configuration in force.
+/// Classes and accounts of the configuration in force and of earlier ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RuleCatalog {
     pub(crate) classes: Vec<ClassRule>,
@@ -90,7 +92,7 @@
 }
 
 impl RuleCatalog {
-    /// Takes over a configuration.
+    /// Applies a configuration; classes and accounts that it does not have become unknown.
     pub(crate) fn configure(&mut self, hall: &str, config: &model::ConfigDocument) {
         self.classes.iter_mut().for_each(|it| it.known = false);
         self.accounts.iter_mut().for_each(|it| it.known = false);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Index of a class, a new one where it is unknown.
+    /// Index of a class. A class that was never configured is added as unknown.
     pub(crate) fn class(&mut self, name: &str, request: bool) -> u32 {
         if let Some(index) = self.class_index.get(name) {
             return *index;
@@ -120,7 +122,7 @@
         index
     }
 
-    /// Index of an account, a new one where it is unknown.
+    /// Index of an account. An account that was never configured is added as unknown, without limits.
     pub(crate) fn account(&mut self, id: &str) -> u32 {
         if let Some(index) = self.account_index.get(id) {
             return *index;
@@ -136,13 +138,13 @@
         index
     }
 
-    /// A class that the configuration in force has.
+    /// The class, if the configuration in force has it.
     pub(crate) fn known_class(&self, name: &str) -> Option<&ClassRule> {
         let rule = &self.classes[*self.class_index.get(name)? as usize];
         rule.known.then_some(rule)
     }
 
-    /// An account that the configuration in force has.
+    /// Index of the account, if the configuration in force has it.
     pub(crate) fn known_account(&self, id: &str) -> Option<u32> {
         let index = *self.account_index.get(id)?;
         self.accounts[index as usize].known.then_some(index)
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -1,26 +1,27 @@
-//! Run times learned for each account and class.
+//! Run time estimates, learned for each pair of account and class.
 //!
-//! Declared run times are often far off, so they are only a prior: once enough runs were seen, the
-//! ratio of actual to declared corrects the next declaration, and without one the seen run times
-//! count. Each pair keeps two small histograms, so memory is bounded by accounts times classes.
+//! Declared run times are often far off, so they are only a prior. Once enough runs have been recorded,
+//! the ratios of actual to declared run time correct a new declaration, and work without a declaration
+//! is estimated from the recorded run times. Each pair keeps two small histograms, so memory is bounded
+//! by accounts times classes.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Runs seen before what was learned counts more than the prior.
-const ENOUGH_RUNS: u64 = 8;
-/// Runs after which old ones count half.
-const MEMORY_RUNS: u64 = 512;
-/// Longest run time that is told apart, in milliseconds: 30 days.
-const LONGEST_MS: u64 = 30 * 24 * 3600 * 1000;
-/// Ratios of actual to declared run time are kept in thousandths, up to this.
-const LARGEST_RATIO: u64 = 1_000_000;
-/// One significant digit: estimates are good to a tenth at best.
-const DIGITS: u8 = 1;
-
-/// Quantiles in use, cached since every placement asks for them.
+/// Number of recorded runs from which a histogram replaces the prior.
+const MIN_RUNS: u64 = 8;
+/// When a histogram holds this many runs, all its counts are halved.
+const MAX_RUNS: u64 = 512;
+/// Longest run time that a histogram distinguishes, in milliseconds: 30 days.
+const MAX_RUN_MS: u64 = 30 * 24 * 3600 * 1000;
+/// Largest recorded ratio of actual to declared run time, in thousandths.
+const MAX_RATIO_PER_MILLE: u64 = 1_000_000;
+/// Significant digits of the histograms: estimates are accurate to a tenth at best.
+const SIGNIFICANT_DIGITS: u8 = 1;
+
+/// Quantiles of a histogram: 5%, 50% and 95%. Cached because every placement reads them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Quantiles {
     low: u64,
@@ -36,13 +37,14 @@
 
 impl RunHistogram {
     fn new(largest: u64) -> RunHistogram {
-        let histogram = Histogram::new_with_bounds(1, largest, DIGITS).expect("fixed bounds");
+        let histogram =
+            Histogram::new_with_bounds(1, largest, SIGNIFICANT_DIGITS).expect("fixed bounds");
         RunHistogram { histogram, quantiles: Quantiles::default() }
     }
 
     fn record(&mut self, value: u64) {
-        if MEMORY_RUNS <= self.histogram.len() {
-            self.halve();
+        if MAX_RUNS <= self.histogram.len() {
+            self.halve_counts();
         }
         self.histogram.saturating_record(value.max(1));
         self.quantiles = Quantiles {
@@ -52,8 +54,8 @@
         };
     }
 
-    /// Forgets half of the past, so that a class whose runs change is believed soon.
-    fn halve(&mut self) {
+    /// Halves all counts, so that the estimates soon follow a class whose run times change.
+    fn halve_counts(&mut self) {
         let old = self.histogram.clone();
         self.histogram.reset();
         for it in old.iter_recorded() {
@@ -62,35 +64,35 @@
         }
     }
 
-    fn enough(&self) -> bool {
-        ENOUGH_RUNS <= self.histogram.len()
+    fn has_enough_runs(&self) -> bool {
+        MIN_RUNS <= self.histogram.len()
     }
 }
 
-/// How long a run is expected to take.
+/// Estimated duration of a whole run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RunEstimate {
-    /// Nearly every run takes longer; zero while nothing was learned.
+    /// About 95% of runs take longer; zero as long as the estimate rests on the prior.
     pub(crate) low: Duration,
     pub(crate) median: Duration,
-    /// Nearly every run is over by then.
+    /// About 95% of runs have ended by then.
     pub(crate) high: Duration,
 }
 
 #[derive(Clone, Debug)]
-struct PairEstimate {
+struct PairHistograms {
     runs: RunHistogram,
     ratios: RunHistogram,
 }
 
-/// What was learned so far.
+/// Histograms of each pair of account and class index. Lives in memory only.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EstimateTable {
-    pairs: HashMap<(u32, u32), PairEstimate>,
+    pairs: HashMap<(u32, u32), PairHistograms>,
 }
 
 impl EstimateTable {
-    /// Learns from a run that ended well.
+    /// Records the run time of an item that succeeded.
     pub(crate) fn record(
         &mut self,
         account: u32,
@@ -98,9 +100,9 @@
         run: Duration,
         declared: Option<Duration>,
     ) {
-        let pair = self.pairs.entry((account, class)).or_insert_with(|| PairEstimate {
-            runs: RunHistogram::new(LONGEST_MS),
-            ratios: RunHistogram::new(LARGEST_RATIO),
+        let pair = self.pairs.entry((account, class)).or_insert_with(|| PairHistograms {
+            runs: RunHistogram::new(MAX_RUN_MS),
+            ratios: RunHistogram::new(MAX_RATIO_PER_MILLE),
         });
         let run_ms = run.as_millis() as u64;
         pair.runs.record(run_ms);
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Estimates a whole run. `expected` and `longest` are the class's.
+    /// Estimates a whole run. `expected` and `longest` are the expected and the maximal run time of the
+    /// class.
     pub(crate) fn estimate(
         &self,
         account: u32,
@@ -122,13 +125,13 @@
         let pair = self.pairs.get(&(account, class));
         let declared = declared.filter(|it| !it.is_zero());
         if let (Some(pair), Some(declared)) = (pair, declared)
-            && pair.ratios.enough()
+            && pair.ratios.has_enough_runs()
         {
             let scale = |ratio: u64| declared.mul_f64(ratio as f64 / 1000.0);
             return RunEstimate::of(pair.ratios.quantiles, scale, longest);
         }
         if let Some(pair) = pair
-            && pair.runs.enough()
+            && pair.runs.has_enough_runs()
         {
             return RunEstimate::of(pair.runs.quantiles, Duration::from_millis, longest);
         }
@@ -137,7 +140,7 @@
         RunEstimate { low: Duration::ZERO, median: prior, high }
     }
 
-    /// Pairs with something learned.
+    /// Number of pairs with at least one recorded run.
     pub(crate) fn len(&self) -> usize {
         self.pairs.len()
     }
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -1,10 +1,11 @@
-//! Room kept beside the home blocks for work that has nowhere else to go.
+//! Headroom: accelerators outside the home blocks that are kept free for urgent and for non-reclaimable work.
 //!
-//! Two kinds of work suffer where everything is full. Urgent work stops gangs, which then wait for
-//! their place again and lose what they ran since their last checkpoint. And work that can't be
-//! reclaimed may not run in home blocks: a gang that spreads beside them for hours leaves it
-//! nothing, though the gang could run in a home block as well. So as many accelerators beside the
-//! blocks stay free of other new work as each kind was seen to need lately, up to a bound.
+//! In a full hall, urgent work stops gangs, which then wait for a block again and lose what they ran
+//! since their last checkpoint. Non-reclaimable work, which can neither be stopped nor is sure to end
+//! within the reclaim bound, may not run in home blocks: a reclaimable gang that occupies the accelerators
+//! outside them for hours leaves none for it, although the gang could run in a home block as well. So
+//! other new work leaves as many accelerators outside the home blocks free as each of the two kinds needed
+//! recently, up to a bound.
 
 use std::time::Duration;
 
@@ -15,161 +16,175 @@
 use crate::timers::TimerKind;
 use crate::topology::NONE;
 
-/// Time over which needs are averaged.
-const AVERAGED_OVER: Duration = Duration::from_secs(20 * 60);
-/// Deviations above the mean that are kept where only completion time counts.
-const MOST_DEVIATIONS: f64 = 2.0;
-/// Part of the hall that is kept for urgent work at most.
-const MOST_KEPT: f64 = 0.1;
-/// Runs of this many urgent start bounds are short.
-const SHORT_RUN: u32 = 20;
-/// Accelerators that urgent work needs on average where it is about.
-const URGENT_ABOUT: f64 = 1.0;
-/// When nothing else happens, work that was held back is looked at again after this.
-const LOOK_AGAIN: Duration = Duration::from_secs(15);
-
-/// Average and spread of a need, in accelerators.
+/// Time constant of the moving averages of demand.
+const AVERAGING_TIME: Duration = Duration::from_secs(20 * 60);
+/// Standard deviations above the mean demand that are kept free if only completion time has weight.
+const MAX_DEVIATIONS: f64 = 2.0;
+/// Largest fraction of the hall's accelerators that is kept for urgent work.
+const MAX_URGENT_FRACTION: f64 = 0.1;
+/// Requests whose expected run is at most this many urgent start bounds count as short.
+const SHORT_RUN_START_BOUNDS: u32 = 20;
+/// Mean demand, in accelerators, from which urgent work counts as recent.
+const RECENT_URGENT_DEMAND: f64 = 1.0;
+/// Work that was held back is considered again after this time if no event causes a round earlier.
+const RETRY_INTERVAL: Duration = Duration::from_secs(15);
+
+/// Exponential moving mean and variance of a demand, in accelerators.
 #[derive(Clone, Copy, Debug, Default)]
-struct NeedAverage {
+struct DemandAverage {
     mean: f64,
     variance: f64,
-    seen_at: time::WallTime,
+    updated_at: time::WallTime,
 }
 
-impl NeedAverage {
-    /// Learns what is needed now.
-    fn see(&mut self, need: u32, now: time::WallTime) {
-        let passed = now.since(self.seen_at).as_secs_f64();
-        self.seen_at = now;
-        let part = 1.0 - (-passed / AVERAGED_OVER.as_secs_f64()).exp();
-        let distance = f64::from(need) - self.mean;
-        self.mean += part * distance;
-        self.variance = (1.0 - part) * (self.variance + part * distance * distance);
+impl DemandAverage {
+    /// Adds the current demand. The sample's weight grows with the time since the previous update.
+    fn update(&mut self, demand: u32, now: time::WallTime) {
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let weight = 1.0 - (-elapsed / AVERAGING_TIME.as_secs_f64()).exp();
+        let deviation = f64::from(demand) - self.mean;
+        self.mean += weight * deviation;
+        self.variance = (1.0 - weight) * (self.variance + weight * deviation * deviation);
     }
 
-    /// Accelerators to keep free beside those held.
-    fn kept(&self, held: u32, deviations: f64, most: f64) -> i64 {
-        let need = self.mean + deviations * self.variance.sqrt();
-        (need - f64::from(held)).clamp(0.0, most).ceil() as i64
+    /// Accelerators to keep free in addition to the `held` ones: 0 to `max`.
+    fn to_keep_free(&self, held: u32, deviations: f64, max: f64) -> i64 {
+        let demand = self.mean + deviations * self.variance.sqrt();
+        (demand - f64::from(held)).clamp(0.0, max).ceil() as i64
     }
 }
 
-/// What may still be used beside the home blocks in a turn.
+/// How many accelerators outside the home blocks may still be used in a round.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeadroomBudget {
-    urgent: NeedAverage,
-    hard: NeedAverage,
+    urgent: DemandAverage,
+    non_reclaimable: DemandAverage,
     /// Accelerators held by urgent work.
     pub(crate) urgent_held: u32,
-    /// Accelerators beside home blocks.
-    outside: u32,
-    /// Free accelerators beyond those kept for urgent work.
-    spare: i64,
-    /// Free accelerators beyond those kept for all work that can't be reclaimed.
-    soft_spare: i64,
+    /// Accelerators outside home blocks, held ones included.
+    outside_homes: u32,
+    /// Free accelerators outside home blocks, less those kept for urgent work.
+    for_non_urgent: i64,
+    /// Free accelerators outside home blocks, less the larger of those kept for urgent and for
+    /// non-reclaimable work.
+    for_reclaimable: i64,
 }
 
 impl HallCore {
-    /// Finds out how much may be used in this turn.
+    /// Updates the averages of demand, and the accelerators that may be used in this round.
     pub(crate) fn update_headroom(&mut self) {
         let mut free = 0;
-        let mut outside = 0;
-        let mut hard_held = 0;
+        let mut outside_homes = 0;
+        let mut non_reclaimable_held = 0;
         for at in 0..self.topology.n_accelerators() {
             if self.ledger.home[at as usize] != NONE {
                 continue;
             }
-            outside += 1;
+            outside_homes += 1;
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
                 free += i64::from(self.is_available(at));
             } else if self.items.at(holder).booking == Booking::NonReclaimable {
-                hard_held += 1;
+                non_reclaimable_held += 1;
             }
         }
-        let (urgent_waits, hard_waits) = self.waiting_needs();
-        let deviations = MOST_DEVIATIONS * (1.0 - self.parameters.fragmentation_weight);
-        let most = MOST_KEPT * f64::from(self.capacity.accelerators);
-        let book = &mut self.headroom;
-        let urgent_need = book.urgent_held.saturating_add(urgent_waits).min(outside);
-        book.urgent.see(urgent_need, self.now);
-        book.hard.see(hard_waits.saturating_add(hard_held).min(outside), self.now);
-        let urgent_kept = book.urgent.kept(book.urgent_held, deviations, most);
-        let hard_kept = book.hard.kept(hard_held, deviations, f64::from(outside));
-        book.outside = outside;
-        book.spare = free - urgent_kept;
-        book.soft_spare = free - urgent_kept.max(hard_kept);
+        let (urgent_waiting, non_reclaimable_waiting) = self.waiting_demand();
+        let deviations = MAX_DEVIATIONS * (1.0 - self.parameters.fragmentation_weight);
+        let max_urgent_kept = MAX_URGENT_FRACTION * f64::from(self.capacity.accelerators);
+        let budget = &mut self.headroom;
+        let urgent_demand = budget.urgent_held.saturating_add(urgent_waiting).min(outside_homes);
+        budget.urgent.update(urgent_demand, self.now);
+        budget.non_reclaimable.update(
+            non_reclaimable_waiting.saturating_add(non_reclaimable_held).min(outside_homes),
+            self.now,
+        );
+        let urgent_kept =
+            budget.urgent.to_keep_free(budget.urgent_held, deviations, max_urgent_kept);
+        let non_reclaimable_kept = budget.non_reclaimable.to_keep_free(
+            non_reclaimable_held,
+            deviations,
+            f64::from(outside_homes),
+        );
+        budget.outside_homes = outside_homes;
+        budget.for_non_urgent = free - urgent_kept;
+        budget.for_reclaimable = free - urgent_kept.max(non_reclaimable_kept);
     }
 
-    /// Whether urgent work, which may stop gangs, was about lately.
+    /// Whether urgent work, which may stop gangs, ran or waited recently.
     pub(crate) fn has_recent_urgent_demand(&self) -> bool {
-        URGENT_ABOUT <= self.headroom.urgent.mean
+        RECENT_URGENT_DEMAND <= self.headroom.urgent.mean
     }
 
-    /// Accelerators that waiting urgent work, and waiting work that can't be reclaimed, wants.
-    fn waiting_needs(&self) -> (u32, u32) {
+    /// Accelerators wanted by waiting urgent work, and by waiting non-reclaimable work.
+    fn waiting_demand(&self) -> (u32, u32) {
         let mut urgent = 0_u32;
-        let mut hard = 0_u32;
+        let mut non_reclaimable = 0_u32;
         for it in self.queue.active().filter_map(|it| self.queue.group(it)) {
             let rule = &self.catalog.classes[it.key.class as usize];
-            let one = it.key.tasks.saturating_mul(it.key.demand.accelerators);
-            let width = one.saturating_mul(it.entries.len() as u32);
+            let per_item = it.key.tasks.saturating_mul(it.key.demand.accelerators);
+            let n_accelerators = per_item.saturating_mul(it.entries.len() as u32);
             if rule.urgent {
-                urgent = urgent.saturating_add(width);
+                urgent = urgent.saturating_add(n_accelerators);
             }
             if self.is_non_reclaimable(rule) {
-                hard = hard.saturating_add(width);
+                non_reclaimable = non_reclaimable.saturating_add(n_accelerators);
             }
         }
-        (urgent, hard)
+        (urgent, non_reclaimable)
     }
 
-    /// Counts accelerators beside home blocks that a start takes.
+    /// Subtracts the accelerators outside home blocks that a started item holds from what this round may use.
     pub(crate) fn spend_headroom(&mut self, index: u32, tasks: &[PlacedTask]) {
-        let outside = |it: &&u32| self.ledger.home[**it as usize] == NONE;
-        let n = tasks.iter().flat_map(|it| &it.accelerators).filter(outside).count() as i64;
+        let outside_homes = |it: &&u32| self.ledger.home[**it as usize] == NONE;
+        let n = tasks.iter().flat_map(|it| &it.accelerators).filter(outside_homes).count() as i64;
         let rule = &self.catalog.classes[self.items.at(index).class as usize];
-        let (urgent, hard) = (rule.urgent, self.is_non_reclaimable(rule));
+        let (urgent, non_reclaimable) = (rule.urgent, self.is_non_reclaimable(rule));
         if !urgent {
-            self.headroom.spare -= n;
+            self.headroom.for_non_urgent -= n;
         }
-        if !urgent && !hard {
-            self.headroom.soft_spare -= n;
+        if !urgent && !non_reclaimable {
+            self.headroom.for_reclaimable -= n;
         }
     }
 
-    /// Whether what is free beside home blocks is kept for other work.
+    /// Whether an item may use home blocks only, because the free accelerators outside them are kept for
+    /// urgent or non-reclaimable work. Never for urgent items, and short requests are exempt.
     pub(crate) fn limited_to_home_blocks(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        let width = i64::from(item.n_accelerators());
-        let spare = match self.is_non_reclaimable(rule) {
-            true => self.headroom.spare,
-            false => self.headroom.spare.min(self.headroom.soft_spare),
+        let n_accelerators = i64::from(item.n_accelerators());
+        let usable = match self.is_non_reclaimable(rule) {
+            true => self.headroom.for_non_urgent,
+            false => self.headroom.for_non_urgent.min(self.headroom.for_reclaimable),
         };
-        !rule.urgent && 0 < width && spare < width && !self.ends_soon(index)
+        !rule.urgent
+            && 0 < n_accelerators
+            && usable < n_accelerators
+            && !self.is_short_request(index)
     }
 
-    /// Whether work is so short that urgent work need not mind it: many such runs end within its
-    /// start bound.
-    fn ends_soon(&self, index: u32) -> bool {
+    /// Whether an item is a request so short that it does not delay urgent work: among many such runs, enough
+    /// end within the urgent start bound.
+    fn is_short_request(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
         rule.is_request
-            && self.estimate(item).median <= self.parameters.urgent_start_bound * SHORT_RUN
+            && self.estimate(item).median
+                <= self.parameters.urgent_start_bound * SHORT_RUN_START_BOUNDS
     }
 
-    /// Whether work that can be reclaimed would crowd out work that can't, if a block beside the
-    /// homes were cleared for it.
+    /// Whether a reclaimable item, in a block reserved for it outside the home blocks, would leave too few
+    /// accelerators for the mean demand of non-reclaimable work.
     pub(crate) fn crowds_out_non_reclaimable(&self, index: u32) -> bool {
         let item = self.items.at(index);
         let rule = &self.catalog.classes[item.class as usize];
-        let left = f64::from(self.headroom.outside) - self.headroom.hard.mean;
+        let left = f64::from(self.headroom.outside_homes) - self.headroom.non_reclaimable.mean;
         !self.is_non_reclaimable(rule) && left < f64::from(item.n_accelerators())
     }
 
-    /// Has work that was held back looked at again soon.
+    /// Sets a timer after which work that was held back is considered again.
     pub(crate) fn retry_soon(&mut self) {
-        self.set_timer(self.now + LOOK_AGAIN, TimerKind::WaitOver, NONE);
+        self.set_timer(self.now + RETRY_INTERVAL, TimerKind::WaitOver, NONE);
     }
 }
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every turn, checked naively for tests and fuzzers.
+//! Invariants that hold after every round, checked by brute force in tests and fuzzers.
 
 use std::collections::BTreeMap;
 
@@ -10,69 +10,70 @@
 use crate::topology::NONE;
 use crate::work;
 
-/// What does not hold.
+/// The invariant that is violated, with the objects that violate it.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum InvariantBreach {
-    /// Two pieces of work hold one accelerator.
+    /// Two work items hold the same accelerator.
     #[error(
         "expected one holder of accelerator {accelerator} of {worker}, found {first} and {second}"
     )]
     HeldTwice {
-        /// The worker.
+        /// Worker of the accelerator.
         worker: ids::WorkerId,
-        /// Index on it.
+        /// Index of the accelerator on the worker, from 0.
         accelerator: u32,
-        /// One holder.
+        /// Holder that was found first.
         first: work::WorkId,
-        /// The other.
+        /// Holder that was found second.
         second: work::WorkId,
     },
-    /// The ledger and the items disagree.
+    /// The ledger and the items disagree; the text says where.
     #[error("expected the ledger to agree with the items, found {0}")]
     Ledger(String),
-    /// Some of a gang's tasks hold accelerators, some do not.
+    /// Only some of a gang's tasks are placed although the gang holds accelerators.
     #[error("expected {tasks} tasks of {work} to be held, found {held}")]
     PartialGang {
-        /// The gang.
+        /// Id of the gang.
         work: work::WorkId,
-        /// Tasks that it has.
+        /// Number of tasks of the gang.
         tasks: u32,
-        /// Tasks that are held.
+        /// Number of its tasks that are placed.
         held: u32,
     },
-    /// A worker gives more than it has.
-    #[error("expected {worker} to have what it gives, found {detail}")]
+    /// More cores, memory or slots of a worker are in use than it has.
+    #[error("expected the use of {worker} within its capacity, found {detail}")]
     Overcommitted {
-        /// The worker.
+        /// Worker that is overcommitted.
         worker: ids::WorkerId,
-        /// How much too much.
+        /// Free resources of the worker, some of them negative.
         detail: String,
     },
-    /// Two home blocks overlap, or a block has the wrong size.
-    #[error("expected a block of its own for {home}, found {detail}")]
+    /// Two home blocks overlap, a block has the wrong size, more of it is claimed than it has, or
+    /// non-reclaimable work uses the block's share of a worker.
+    #[error("expected a valid home block for {home}, found {detail}")]
     HomeBlock {
-        /// `account/name`.
+        /// Home as `account/guarantee`.
         home: String,
-        /// What is wrong.
+        /// Description of the fault.
         detail: String,
     },
-    /// A home block that can't be reclaimed in time.
+    /// A home block holds work that can't be reclaimed within the reclaim bound.
     #[error("expected the home block of {home} to be reclaimable, found {work} on {worker}")]
     NotReclaimable {
-        /// `account/name`.
+        /// Home as `account/guarantee`.
         home: String,
-        /// Who is in the way.
+        /// Work that holds an accelerator of the block.
         work: work::WorkId,
-        /// Where.
+        /// Worker of that accelerator.
         worker: ids::WorkerId,
     },
 }
 
 impl HallCore {
-    /// Checks everything that must hold between turns.
+    /// Checks all invariants that hold between rounds. Takes time in proportion to workers times items.
     ///
     /// # Errors
-    /// The first breach found.
+    /// The first violation found.
     pub fn check_invariants(&self, now: time::WallTime) -> Result<(), InvariantBreach> {
         self.check_holders()?;
         self.check_workers()?;
@@ -119,22 +120,27 @@
                 continue;
             }
             let mut used = Usage::default();
-            let mut hard = Usage::default();
+            let mut non_reclaimable = Usage::default();
             for (_, item) in self.items.iter().filter(|(_, it)| it.state.holds_accelerators()) {
                 let n = item.tasks.iter().filter(|it| it.worker as usize == worker).count() as u32;
-                let here = Usage::of(&item.work.demand).times(n);
-                used.add(here);
+                let item_usage = Usage::of(&item.work.demand).times(n);
+                used.add(item_usage);
                 if item.booking == Booking::NonReclaimable {
-                    hard.add(here);
+                    non_reclaimable.add(item_usage);
                 }
             }
-            let book = &self.ledger.workers[worker];
-            if book.free != Usage::capacity(spec).minus(used) || book.non_reclaimable != hard {
-                let text = format!("{book:?} on {}, used {used:?}, hard {hard:?}", spec.name);
+            let ledger = &self.ledger.workers[worker];
+            if ledger.free != Usage::capacity(spec).minus(used)
+                || ledger.non_reclaimable != non_reclaimable
+            {
+                let text = format!(
+                    "{ledger:?} on {}, used {used:?}, non-reclaimable {non_reclaimable:?}",
+                    spec.name
+                );
                 return Err(InvariantBreach::Ledger(text));
             }
-            if !book.free.covers(Usage::default()) {
-                let detail = format!("{:?} left", book.free);
+            if !ledger.free.covers(Usage::default()) {
+                let detail = format!("{:?} left", ledger.free);
                 let worker = spec.name.clone();
                 return Err(InvariantBreach::Overcommitted { worker, detail });
             }
@@ -162,9 +168,11 @@
                 }
             }
         }
-        let settled = self.ledger.home.iter().filter(|it| **it != NONE).count();
-        if settled != owners.len() {
-            return Err(InvariantBreach::Ledger(format!("{settled} home accelerators")));
+        let n_home_accelerators = self.ledger.home.iter().filter(|it| **it != NONE).count();
+        if n_home_accelerators != owners.len() {
+            return Err(InvariantBreach::Ledger(format!(
+                "{n_home_accelerators} home accelerators"
+            )));
         }
         Ok(())
     }
@@ -179,10 +187,11 @@
                 }
                 let item = self.items.at(holder);
                 let rule = &self.catalog.classes[item.class as usize];
-                let claims = item.claimed_home == Some(home as u32);
-                let stops = !rule.is_request && (rule.repeatable || item.cancelled || item.overran);
-                let ends = self.latest_end(item) <= now + self.parameters.reclaim_bound;
-                if !(claims || stops || ends) {
+                let is_claim = item.claimed_home == Some(home as u32);
+                let stoppable =
+                    !rule.is_request && (rule.repeatable || item.cancelled || item.overran);
+                let ends_in_time = self.latest_end(item) <= now + self.parameters.reclaim_bound;
+                if !(is_claim || stoppable || ends_in_time) {
                     return Err(InvariantBreach::NotReclaimable {
                         home: shape.label(),
                         work: item.work.id,
@@ -193,15 +202,15 @@
             let workers: BTreeMap<u32, ()> =
                 shape.block.iter().map(|it| (self.topology.worker_of[*it as usize], ())).collect();
             for worker in workers.keys() {
-                self.check_share(*worker, &shape.label())?;
+                self.check_home_share(*worker, &shape.label())?;
             }
         }
         Ok(())
     }
 
-    fn check_share(&self, worker: u32, home: &str) -> Result<(), InvariantBreach> {
-        let room = self.ledger.free_for_non_reclaimable(worker, &self.topology);
-        if room.covers(Usage::default()) {
+    fn check_home_share(&self, worker: u32, home: &str) -> Result<(), InvariantBreach> {
+        let free = self.ledger.free_for_non_reclaimable(worker, &self.topology);
+        if free.covers(Usage::default()) {
             return Ok(());
         }
         let name = &self.topology.workers[worker as usize].name;
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -1,4 +1,4 @@
-//! Why work waits, and the hall as operators see it.
+//! Reasons why work waits, and the picture of the hall for operators.
 
 use almondpass_schema::{model, time};
 
@@ -9,11 +9,11 @@
 use crate::reasons;
 use crate::topology::NONE;
 
-/// Waiting work shown in a picture.
-const QUEUE_PAGE: usize = 100;
+/// Most waiting items that a picture lists.
+const MAX_QUEUE_VIEWS: usize = 100;
 
 impl HallCore {
-    /// Where an item stands, and why.
+    /// The reason for an item's state, as operators and callers read it.
     pub(crate) fn explain(&self, index: u32, now: time::WallTime) -> model::WaitReason {
         let item = self.items.at(index);
         match item.state {
@@ -25,11 +25,12 @@
             ItemState::Reserving(kind) => self.explain_reserving(index, kind),
             ItemState::Starting => reasons::plain(
                 model::WaitCode::Queued,
-                format!("starts on {}", self.where_is(item)),
+                format!("starts on {}", self.worker_range(item)),
+            ),
+            ItemState::Running => reasons::plain(
+                model::WaitCode::Queued,
+                format!("runs on {}", self.worker_range(item)),
             ),
-            ItemState::Running => {
-                reasons::plain(model::WaitCode::Queued, format!("runs on {}", self.where_is(item)))
-            }
             ItemState::Checkpointing => reasons::until(
                 model::WaitCode::Reclaiming,
                 "makes a checkpoint, and is stopped then",
@@ -39,7 +40,7 @@
         }
     }
 
-    fn where_is(&self, item: &QueueItem) -> String {
+    fn worker_range(&self, item: &QueueItem) -> String {
         let mut workers: Vec<u32> = item.tasks.iter().map(|it| it.worker).collect();
         workers.dedup();
         let name = |it: &u32| self.topology.workers[*it as usize].name.as_str();
@@ -54,19 +55,19 @@
     }
 
     fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
-        let opening = self.items.at(index).expected_free_at;
+        let expected_free_at = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
-        let by = reasons::clock(opening);
+        let by = reasons::clock(expected_free_at);
         match kind {
             ReserveKind::Clearing => reasons::until(
                 model::WaitCode::ClearingBlock,
                 format!("waiting for {missing}, cleared by {by}"),
-                opening,
+                expected_free_at,
             ),
             ReserveKind::Claim | ReserveKind::Urgent => reasons::until(
                 model::WaitCode::Reclaiming,
                 format!("waiting for {missing}, being reclaimed by {by}"),
-                opening,
+                expected_free_at,
             ),
         }
     }
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Why work that names a guarantee does not have it.
+    /// Why an item that names a guarantee can't run in its home block.
     fn explain_claim(&self, item: &QueueItem) -> model::WaitReason {
-        let named = |it: &&HomeBlock| {
+        let is_named = |it: &&HomeBlock| {
             it.account == item.account && Some(&it.guarantee) == item.work.guarantee.as_ref()
         };
-        let Some(shape) = self.homes.iter().find(named) else {
+        let Some(shape) = self.homes.iter().find(is_named) else {
             let text = format!("its guarantee is not at home in {} now", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         };
@@ -121,17 +122,17 @@
     }
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
-        let need = item.n_accelerators();
+        let needed = item.n_accelerators();
         let runs =
             placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_available(it));
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
-                "needs {need} adjacent accelerators ({}); none is free in {}",
+                "needs {needed} adjacent accelerators ({}); none is free in {}",
                 item.work.adjacency, self.hall
             ),
             Some(run) => format!(
-                "needs {need} adjacent accelerators ({}); the longest free run in {} has {}, from {}",
+                "needs {needed} adjacent accelerators ({}); the longest free run in {} has {}, from {}",
                 item.work.adjacency,
                 self.hall,
                 run.len(),
@@ -145,12 +146,12 @@
         let rule = &self.catalog.classes[item.class as usize];
         match code {
             model::WaitCode::AccountLimit => {
-                let uses = &self.account_usage[item.account as usize];
+                let usage = &self.account_usage[item.account as usize];
                 format!(
                     "{} is at its limit, with {} accelerators and {} running",
                     item.work.account,
-                    uses.accelerators,
-                    reasons::count(uses.requests as usize, "request")
+                    usage.accelerators,
+                    reasons::count(usage.requests as usize, "request")
                 )
             }
             model::WaitCode::GuaranteeKept => format!(
@@ -178,14 +179,15 @@
         }
     }
 
-    /// Whether an accelerator is free on a worker that takes work.
+    /// Whether an accelerator is free and its worker usable.
     pub(crate) fn is_available(&self, accelerator: u32) -> bool {
         let worker = self.topology.worker_of[accelerator as usize];
         self.ledger.holder[accelerator as usize] == NONE && self.health[worker as usize].usable()
     }
 
-    /// Share of the free accelerators that lie in no free run of the largest shape wanted: the
-    /// largest guaranteed or waiting one that must be one run.
+    /// Fragmentation of the hall, 0 to 1: the share of the free accelerators that lie in free runs shorter
+    /// than the largest wanted shape, which is the largest guaranteed, waiting or reserving one that needs
+    /// adjacent accelerators.
     pub fn fragmentation(&self) -> f64 {
         let guaranteed = self.homes.iter().map(|it| (it.size, it.adjacency));
         let waiting = self
@@ -198,29 +200,29 @@
             .iter()
             .map(|it| self.items.at(*it))
             .map(|it| (it.n_accelerators(), it.work.adjacency));
-        let strict = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
-        let largest = guaranteed.chain(waiting).chain(reserving).filter(strict).max();
+        let is_adjacent = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
+        let largest = guaranteed.chain(waiting).chain(reserving).filter(is_adjacent).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
         let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_available(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
-        let whole: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
-        if total == 0 { 0.0 } else { f64::from(total - whole) / f64::from(total) }
+        let fitting: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
+        if total == 0 { 0.0 } else { f64::from(total - fitting) / f64::from(total) }
     }
 
-    /// The picture for operators.
+    /// The hall's picture for operators. The epoch is 0 and the holder empty until the caller sets them.
     pub(crate) fn build_picture(&self, now: time::WallTime) -> model::HallPicture {
         model::HallPicture {
             epoch: 0,
             fragmentation: self.fragmentation(),
-            guarantees: (0..self.homes.len() as u32).map(|it| self.draw_home(it)).collect(),
+            guarantees: (0..self.homes.len() as u32).map(|it| self.guarantee_view(it)).collect(),
             hall: self.hall.clone(),
             holder: String::new(),
-            queue: self.draw_queue(now),
-            workers: (0..self.topology.workers.len()).map(|it| self.draw_worker(it, now)).collect(),
+            queue: self.queue_views(now),
+            workers: (0..self.topology.workers.len()).map(|it| self.worker_view(it, now)).collect(),
         }
     }
 
-    fn draw_home(&self, home: u32) -> model::GuaranteeView {
+    fn guarantee_view(&self, home: u32) -> model::GuaranteeView {
         let shape = &self.homes[home as usize];
         model::GuaranteeView {
             account: shape.account_id.clone(),
@@ -230,13 +232,13 @@
         }
     }
 
-    fn draw_queue(&self, now: time::WallTime) -> Vec<model::QueueView> {
+    fn queue_views(&self, now: time::WallTime) -> Vec<model::QueueView> {
         let groups = self.ranked_groups(|_, _| true);
         let waiting = groups
             .iter()
             .filter_map(|it| self.queue.group(*it))
             .flat_map(|it| it.entries.iter().map(|entry| entry.item));
-        let view = |index: u32| {
+        let queue_view = |index: u32| {
             let item = self.items.at(index);
             model::QueueView {
                 account: item.work.account.clone(),
@@ -246,26 +248,32 @@
                 since: item.work.submitted_at,
             }
         };
-        self.reserving.iter().copied().chain(waiting).take(QUEUE_PAGE).map(view).collect()
+        self.reserving
+            .iter()
+            .copied()
+            .chain(waiting)
+            .take(MAX_QUEUE_VIEWS)
+            .map(queue_view)
+            .collect()
     }
 
-    fn draw_worker(&self, worker: usize, now: time::WallTime) -> model::WorkerView {
+    fn worker_view(&self, worker: usize, now: time::WallTime) -> model::WorkerView {
         let spec = &self.topology.workers[worker];
-        let book = &self.ledger.workers[worker];
+        let ledger = &self.ledger.workers[worker];
         model::WorkerView {
             accelerators: (spec.first_accelerator..spec.accelerators_end())
-                .map(|it| self.draw_accelerator(it))
+                .map(|it| self.accelerator_view(it))
                 .collect(),
-            cores_free: book.free.cores.max(0) as u32,
-            memory_free_mb: book.free.memory_mb.max(0) as u64,
+            cores_free: ledger.free.cores.max(0) as u32,
+            memory_free_mb: ledger.free.memory_mb.max(0) as u64,
             rack: self.topology.rack_name(worker as u32).to_owned(),
-            slots_used: (i64::from(spec.slots) - book.free.slots).max(0) as u32,
+            slots_used: (i64::from(spec.slots) - ledger.free.slots).max(0) as u32,
             state: self.health[worker].state(now),
             worker: spec.name.clone(),
         }
     }
 
-    fn draw_accelerator(&self, accelerator: u32) -> model::AcceleratorView {
+    fn accelerator_view(&self, accelerator: u32) -> model::AcceleratorView {
         let at = accelerator as usize;
         let worker = self.topology.worker_of[at] as usize;
         let home = self.ledger.home[at];
@@ -275,18 +283,18 @@
             holder => holder,
         };
         let item = (holder != NONE).then(|| self.items.at(holder));
-        let request = item.is_some_and(|it| self.catalog.classes[it.class as usize].is_request);
+        let is_request = item.is_some_and(|it| self.catalog.classes[it.class as usize].is_request);
         let state = match item {
             _ if !self.health[worker].present => model::AcceleratorState::Lost,
             None => model::AcceleratorState::Free,
             Some(it) if !it.state.holds_accelerators() => model::AcceleratorState::Reserved,
-            Some(_) if request => model::AcceleratorState::Request,
+            Some(_) if is_request => model::AcceleratorState::Request,
             Some(_) => model::AcceleratorState::Job,
         };
         model::AcceleratorView {
             account: item.map(|it| it.work.account.clone()),
             home_of: (home != NONE).then(|| self.homes[home as usize].label()),
-            job: item.filter(|_| !request).map(|it| it.work.id),
+            job: item.filter(|_| !is_request).map(|it| it.work.id),
             state,
         }
     }
--- a/crates/policy/src/placement_rules.rs
+++ b/crates/policy/src/placement_rules.rs
@@ -1,4 +1,4 @@
-//! What a piece of work may use of the hall now.
+//! Placement rules: which accelerators and worker resources an item may use now.
 
 use std::time::Duration;
 
@@ -11,40 +11,43 @@
 use crate::queue::GroupKey;
 use crate::topology::{HallTopology, NONE};
 
-/// Failures on a worker make it less welcome by this, and an accelerator in a home block by one.
-const SUSPECT_PENALTY: u32 = 4;
+/// Placement penalty of a worker with recent failures. For comparison: an accelerator outside home blocks has
+/// a penalty of 1 for a reclaimable item.
+const FAILURE_PENALTY: u32 = 4;
 
-/// Free capacity above the guarantee.
+/// Free capacity for an item that claims no guarantee.
 pub(crate) struct FreeCapacityRule<'a> {
     pub(crate) core: &'a HallCore,
     pub(crate) index: u32,
     pub(crate) usage: Usage,
-    /// Can't be reclaimed, so that home blocks are closed to it.
+    /// The item can't be reclaimed within the reclaim bound, so it may not use home blocks.
     pub(crate) non_reclaimable: bool,
-    /// Whether all that is free beside home blocks is kept for other work.
+    /// Whether the item may use home blocks only, because the free accelerators outside them are kept for
+    /// other work.
     pub(crate) home_blocks_only: bool,
-    /// By when it is expected to be gone, for backfill.
+    /// When the item is expected to end if it starts now; decides on backfill.
     pub(crate) expected_end: time::WallTime,
-    /// By when it is gone in any case.
+    /// When the item has ended in any case if it starts now.
     pub(crate) latest_end: time::WallTime,
     pub(crate) exclude: &'a [u32],
-    /// Whether places reserved for others are closed to it.
+    /// Whether accelerators reserved for other items are excluded, unless the item can backfill them.
     pub(crate) respects_reservations: bool,
-    /// Workers on which it failed.
+    /// Workers on which the item failed.
     pub(crate) failed_on: &'a [u32],
 }
 
 impl<'a> FreeCapacityRule<'a> {
-    /// Rule for an item that claims nothing.
+    /// Creates the rule for the item at `index`, started now.
     pub(crate) fn new(core: &'a HallCore, index: u32) -> FreeCapacityRule<'a> {
         let item = core.items.at(index);
         let rule = &core.catalog.classes[item.class as usize];
         let estimate = core.estimate(item);
-        let left = |whole: Duration| whole.saturating_sub(item.work.saved_run);
-        let bound =
+        let remaining = |whole: Duration| whole.saturating_sub(item.work.saved_run);
+        let max_run =
             if rule.is_request { rule.max_run } else { core.parameters.max_run_time(rule.max_run) };
-        // Where fragmentation counts more, only what is nearly sure to be gone in time goes in.
-        let likely = if 0.5 <= core.parameters.fragmentation_weight {
+        // If fragmentation weighs at least as much as completion time, only items that almost certainly
+        // end in time backfill a reserved block.
+        let expected_run = if 0.5 <= core.parameters.fragmentation_weight {
             estimate.high
         } else {
             estimate.median
@@ -55,16 +58,16 @@
             usage: Usage::of(&item.work.demand),
             non_reclaimable: core.booking_of(index) == Booking::NonReclaimable,
             home_blocks_only: core.limited_to_home_blocks(index),
-            expected_end: core.now + left(likely),
-            latest_end: core.now + left(bound),
+            expected_end: core.now + remaining(expected_run),
+            latest_end: core.now + remaining(max_run),
             exclude: &item.exclude,
             respects_reservations: true,
-
             failed_on: &item.failed_on,
         }
     }
 
-    /// Whether it may run in a block that is cleared for a gang.
+    /// Whether the item may run on accelerators that are reserved for `reserved_for`: only in a block that is
+    /// reserved for a gang, and only if it ends before the gang is expected to start.
     fn backfills(&self, reserved_for: u32) -> bool {
         if reserved_for == self.index || !self.respects_reservations {
             return true;
@@ -73,29 +76,29 @@
         if gang.state != ItemState::Reserving(ReserveKind::Clearing) {
             return false;
         }
-        // A gang past its bound is held up by no run that might outlast the opening.
+        // For a gang past its wait bound the latest end counts, so that no backfilled run delays its start.
         let end =
             if self.core.is_overdue(reserved_for) { self.latest_end } else { self.expected_end };
         end <= gang.expected_free_at
     }
 
-    /// Whether something failed on the worker lately, or this very work did.
+    /// Whether work failed on the worker since its last success, or this item ever failed there.
     fn avoids(&self, worker: u32) -> bool {
         self.core.health[worker as usize].has_failure_streak() || self.failed_on.contains(&worker)
     }
 
-    /// What reservations keep from this work on a worker.
-    fn kept(&self, worker: u32) -> Usage {
+    /// Resources of a worker that are reserved for other items and that this item may not backfill.
+    fn reserved_for_others(&self, worker: u32) -> Usage {
         let reserved = self.core.ledger.workers[worker as usize].reserved;
         if reserved == Usage::default() {
             return reserved;
         }
-        let closed = |it: &u32| !self.backfills(*it);
+        let excluded = |it: &u32| !self.backfills(*it);
         let reservations = &self.core.ledger.workers[worker as usize].reservations;
-        if reservations.iter().any(closed) { reserved } else { Usage::default() }
+        if reservations.iter().any(excluded) { reserved } else { Usage::default() }
     }
 
-    fn open(&self, worker: u32) -> bool {
+    fn accepts(&self, worker: u32) -> bool {
         self.core.health[worker as usize].accepts_new_work(self.core.now)
             && !self.exclude.contains(&worker)
     }
@@ -103,7 +106,7 @@
 
 impl PlacementRule for FreeCapacityRule<'_> {
     fn allows_worker(&self, worker: u32) -> bool {
-        0 < self.core.ledger.workers[worker as usize].free_accelerators && self.open(worker)
+        0 < self.core.ledger.workers[worker as usize].free_accelerators && self.accepts(worker)
     }
 
     fn allows_accelerator(&self, accelerator: u32) -> bool {
@@ -116,44 +119,44 @@
     }
 
     fn task_capacity(&self, worker: u32) -> u32 {
-        if !self.open(worker) {
+        if !self.accepts(worker) {
             return 0;
         }
-        let book = &self.core.ledger.workers[worker as usize];
-        let room = book.free.minus(self.kept(worker)).max_tasks(self.usage);
+        let ledger = &self.core.ledger.workers[worker as usize];
+        let n_tasks = ledger.free.minus(self.reserved_for_others(worker)).max_tasks(self.usage);
         if !self.non_reclaimable {
-            return room;
+            return n_tasks;
         }
         let free_for_non_reclaimable =
             self.core.ledger.free_for_non_reclaimable(worker, &self.core.topology);
-        room.min(free_for_non_reclaimable.max_tasks(self.usage))
+        n_tasks.min(free_for_non_reclaimable.max_tasks(self.usage))
     }
 
     fn penalty(&self, accelerator: u32) -> u32 {
         let at = accelerator as usize;
-        // What can't be reclaimed has only the accelerators beside home blocks, so other work
-        // leaves these to it.
-        let unfit = !self.non_reclaimable && self.core.ledger.home[at] == NONE;
+        // Non-reclaimable work can use only the accelerators outside home blocks, so reclaimable work
+        // prefers those inside.
+        let outside_home = !self.non_reclaimable && self.core.ledger.home[at] == NONE;
         let worker = self.core.topology.worker_of[at];
-        u32::from(unfit) + SUSPECT_PENALTY * u32::from(self.avoids(worker))
+        u32::from(outside_home) + FAILURE_PENALTY * u32::from(self.avoids(worker))
     }
 
-    /// Cores and memory that free accelerators will need are used last, then the fullest worker
-    /// goes first.
+    /// Prefers, in this order, workers without recent failures, workers where the task leaves the share of
+    /// cores, memory and slots that the free accelerators need, and workers with the fewest free cores.
     fn cpu_only_rank(&self, worker: u32) -> i64 {
         let spec = &self.core.topology.workers[worker as usize];
-        let book = &self.core.ledger.workers[worker as usize];
-        let kept = Usage::share(spec, book.free_accelerators);
-        let strands = !book.free.minus(kept).covers(self.usage);
-        let rank = book.free.cores + 10_000 * i64::from(strands);
+        let ledger = &self.core.ledger.workers[worker as usize];
+        let accelerator_share = Usage::share(spec, ledger.free_accelerators);
+        let strands_accelerators = !ledger.free.minus(accelerator_share).covers(self.usage);
+        let rank = ledger.free.cores + 10_000 * i64::from(strands_accelerators);
         rank + 100_000 * i64::from(self.avoids(worker))
     }
 }
 
-/// A block as if it were empty, to see whether work could ever claim it.
+/// A block as if nothing ran in it, to check whether an item could ever run there.
 pub(crate) struct EmptyBlockRule<'a> {
     pub(crate) topology: &'a HallTopology,
-    /// Its accelerators, ascending.
+    /// Accelerators of the block, ascending.
     pub(crate) block: &'a [u32],
     pub(crate) request: &'a PlacementRequest,
     pub(crate) exclude: &'a [u32],
@@ -180,30 +183,31 @@
     }
 }
 
-/// The home block of a claim.
+/// The home block that an item claims.
 pub(crate) struct ClaimRule<'a> {
     pub(crate) core: &'a HallCore,
     pub(crate) home: u32,
     pub(crate) key: &'a GroupKey,
     pub(crate) request: &'a PlacementRequest,
-    /// Whether it may take what others hold, to be reclaimed.
+    /// Whether accelerators that others hold are allowed too, to be reclaimed from them.
     pub(crate) reclaims: bool,
     pub(crate) exclude: &'a [u32],
 }
 
 impl ClaimRule<'_> {
-    /// A claim uses no more of a worker than goes with its accelerators: the same is kept for the
-    /// other guarantees there.
+    /// Whether each task stays within the cores, memory and slots that belong to its accelerators: the other
+    /// guarantees on the worker rely on the remaining shares.
     fn within_share(&self, worker: u32) -> bool {
         let spec = &self.core.topology.workers[worker as usize];
         Usage::share(spec, self.request.accelerators_per_task).covers(self.request.usage)
     }
 
-    /// Whether the holder can be sent away, or leaves by itself in time.
-    fn takes(&self, holder: u32) -> bool {
+    /// Whether the holder can be stopped, or ends by itself, within the reclaim bound. Holders that claim a
+    /// guarantee themselves must yield to this claim.
+    fn can_reclaim_from(&self, holder: u32) -> bool {
         let item = self.core.items.at(holder);
-        let own = item.claimed_home.is_some() && self.core.claim_yields(holder, self.key);
-        (item.claimed_home.is_none() || own) && self.core.frees_within_reclaim_bound(item)
+        let yields = item.claimed_home.is_some() && self.core.claim_yields(holder, self.key);
+        (item.claimed_home.is_none() || yields) && self.core.frees_within_reclaim_bound(item)
     }
 }
 
@@ -224,7 +228,7 @@
         }
         let reservable =
             reserved == NONE || self.core.items.at(reserved).claimed_home != Some(self.home);
-        reservable && (holder == NONE || self.takes(holder))
+        reservable && (holder == NONE || self.can_reclaim_from(holder))
     }
 
     fn task_capacity(&self, worker: u32) -> u32 {
@@ -234,8 +238,8 @@
         if self.reclaims {
             return u32::MAX;
         }
-        let book = &self.core.ledger.workers[worker as usize];
-        book.free.minus(book.reserved).max_tasks(self.request.usage)
+        let ledger = &self.core.ledger.workers[worker as usize];
+        ledger.free.minus(ledger.reserved).max_tasks(self.request.usage)
     }
 
     fn penalty(&self, _accelerator: u32) -> u32 {
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -1,4 +1,4 @@
-//! Telling failing workers from failing work, and probing workers that were taken out.
+//! Attributes failures to workers or to the work itself, and probes workers after their quarantine.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use crate::topology::NONE;
 use crate::work;
 
-/// Part that the newest result has in a failure rate.
-const NEWEST_PART: f64 = 0.2;
-/// A failure never counts for less than this against its worker.
-const LEAST_WEIGHT: f64 = 0.1;
-/// A worker that sat its quarantine out and found no small work to probe it within this takes any.
-/// A gang that needs every worker would otherwise wait for ever in a hall without small work.
-const PROBE_PATIENCE: Duration = Duration::from_secs(60);
-/// Probes started in one turn.
-const PROBES_A_TURN: usize = 4;
-
-/// How often work of each account and class fails, on workers that are not in a streak.
+/// Weight of the newest result in the exponential moving average of a failure rate.
+const NEWEST_RESULT_WEIGHT: f64 = 0.2;
+/// Smallest weight of a failure against its worker, also for classes that nearly always fail.
+const MIN_FAILURE_WEIGHT: f64 = 0.1;
+/// A worker for which no probe is found within this time after its quarantine accepts any work again.
+/// Otherwise a gang that needs every worker would wait forever in a hall without small work.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most probes that are started in one round.
+const MAX_PROBES_PER_ROUND: usize = 4;
+
+/// Failure rate of each pair of account and class, counted on workers that have no failure streak.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureRates {
-    rates: HashMap<(u32, u32), f64>,
+    by_account_and_class: HashMap<(u32, u32), f64>,
 }
 
 impl FailureRates {
     fn rate(&self, account: u32, class: u32) -> f64 {
-        self.rates.get(&(account, class)).copied().unwrap_or(0.0)
+        self.by_account_and_class.get(&(account, class)).copied().unwrap_or(0.0)
     }
 
     fn record(&mut self, account: u32, class: u32, failed: bool) {
-        let rate = self.rates.entry((account, class)).or_insert(0.0);
-        *rate += NEWEST_PART * (f64::from(u8::from(failed)) - *rate);
+        let rate = self.by_account_and_class.entry((account, class)).or_insert(0.0);
+        *rate += NEWEST_RESULT_WEIGHT * (f64::from(u8::from(failed)) - *rate);
     }
 }
 
-/// One worker that is probed; home blocks are elsewhere while it is out.
+/// Allows the free resources of one worker to its probe. Home blocks need no check: a worker in quarantine
+/// has none.
 struct ProbeRule<'a> {
     core: &'a HallCore,
     worker: u32,
@@ -73,7 +74,9 @@
 }
 
 impl HallCore {
-    /// Counts a failure against the worker, as far as it is not the work's own.
+    /// Records a failure of an item on a worker. It counts against the worker only if the item has not failed
+    /// on another worker too or is the worker's probe, and the less the higher the failure rate of the item's
+    /// account and class.
     pub(crate) fn record_failure(&mut self, index: u32, worker: u32, work: work::WorkId) {
         let item = self.items.at_mut(index);
         item.failures += 1;
@@ -81,29 +84,30 @@
             item.failed_on.push(worker);
         }
         let (account, class) = (item.account, item.class);
-        let elsewhere = 1 < item.failed_on.len();
-        let first = !self.health[worker as usize].has_failure_streak();
-        // Only the first failure of a streak counts for the class: a failing worker would otherwise
-        // make every class that it touches look faulty, and so be excused.
+        let failed_elsewhere = 1 < item.failed_on.len();
+        let starts_streak = !self.health[worker as usize].has_failure_streak();
+        // Only the first failure of a worker's streak counts for the class. Otherwise a faulty worker would
+        // raise the failure rates of all classes that run on it, and these would lower the weights of its
+        // failures.
         let rate = self.failures.rate(account, class);
-        if first {
+        if starts_streak {
             self.failures.record(account, class, true);
         }
-        if elsewhere && self.health[worker as usize].probe != Some(work) {
+        if failed_elsewhere && self.health[worker as usize].probe != Some(work) {
             self.withdraw_failures(index);
             return;
         }
-        let weight = (1.0 - rate).max(LEAST_WEIGHT);
+        let weight = (1.0 - rate).max(MIN_FAILURE_WEIGHT);
         if self.health[worker as usize].record_failure(work, weight, self.now) {
             self.homes_dirty = true;
             if let Some(at) = self.health[worker as usize].quarantined_until {
                 self.set_timer(at, TimerKind::CapacityCheck, NONE);
-                self.set_timer(at + PROBE_PATIENCE, TimerKind::CapacityCheck, NONE);
+                self.set_timer(at + PROBE_TIMEOUT, TimerKind::CapacityCheck, NONE);
             }
         }
     }
 
-    /// Takes back what was counted against workers for this work.
+    /// Removes the failures of an item from the streaks of all workers on which it failed.
     pub(crate) fn withdraw_failures(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
@@ -112,23 +116,23 @@
         }
     }
 
-    /// Counts a success for the workers.
+    /// Records that an item succeeded on its workers, which ends their streaks.
     pub(crate) fn record_success(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
         self.failures.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
-            let out = !health.usable();
+            let was_unusable = !health.usable();
             health.record_success(work);
-            if out && health.usable() {
+            if was_unusable && health.usable() {
                 self.homes_dirty = true;
                 self.capacity_version += 1;
             }
         }
     }
 
-    /// Forgets that work is a probe.
+    /// Clears the probe on the item's workers, if the item is one; another item may then probe them.
     pub(crate) fn abandon_probe(&mut self, index: u32) {
         let item = self.items.at(index);
         for it in &item.tasks {
@@ -136,13 +140,13 @@
         }
     }
 
-    /// Leaves a worker alone for a while.
+    /// Gives a worker no new work for a short time, and sets a timer for the end of the pause.
     pub(crate) fn pause_worker(&mut self, worker: u32) {
         let at = self.health[worker as usize].pause(self.now);
         self.set_timer(at, TimerKind::CapacityCheck, NONE);
     }
 
-    /// Reports workers whose state changed.
+    /// Emits a decision for each worker whose state changed since it was last reported.
     pub(crate) fn report_worker_states(&mut self) {
         for worker in 0..self.health.len() {
             let state = self.health[worker].state(self.now);
@@ -180,22 +184,22 @@
         model::WaitReason { code, text, until }
     }
 
-    /// Gives one small piece of work, of the least pressing that waits, to each worker that has sat
-    /// its quarantine out.
+    /// Starts a probe on each worker whose quarantine is over: the lowest-ranked waiting item that is
+    /// repeatable, has one task and fits there.
     pub(crate) fn probe_workers(&mut self) {
-        let due: Vec<u32> = (0..self.health.len() as u32)
+        let awaiting_probe: Vec<u32> = (0..self.health.len() as u32)
             .filter(|it| self.health[*it as usize].awaits_probe(self.now))
-            .take(PROBES_A_TURN)
+            .take(MAX_PROBES_PER_ROUND)
             .collect();
-        if due.is_empty() {
+        if awaiting_probe.is_empty() {
             return;
         }
         let groups = self.ranked_groups(|core, key| {
             key.tasks == 1 && core.catalog.classes[key.class as usize].repeatable
         });
-        for worker in due {
-            let found = groups.iter().rev().find_map(|it| self.probe_with(*it, worker));
-            let Some((index, tasks)) = found else {
+        for worker in awaiting_probe {
+            let probe = groups.iter().rev().find_map(|it| self.find_probe(*it, worker));
+            let Some((index, tasks)) = probe else {
                 self.release_unprobed(worker);
                 continue;
             };
@@ -208,28 +212,29 @@
         }
     }
 
-    /// Lets a worker take any work where nothing small came to probe it.
+    /// Lifts the quarantine of a worker that found no probe within [`PROBE_TIMEOUT`] after the quarantine's
+    /// time was over.
     fn release_unprobed(&mut self, worker: u32) {
         let health = &mut self.health[worker as usize];
-        if health.quarantined_until.is_some_and(|it| it + PROBE_PATIENCE <= self.now) {
+        if health.quarantined_until.is_some_and(|it| it + PROBE_TIMEOUT <= self.now) {
             health.end_quarantine();
             self.homes_dirty = true;
             self.note_capacity_change();
         }
     }
 
-    /// Places the eldest of a group that has never failed on the worker. Work that has failed may be
-    /// at fault itself: as a probe it would take a sound worker out again and again, for longer each
-    /// time, and a gang that needs the worker would wait for it.
-    fn probe_with(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
+    /// Places the oldest item of a group that has never failed on any worker. An item that has failed may be
+    /// at fault itself: as a probe it would put a sound worker in quarantine again and again, for longer each
+    /// time, and a gang that needs the worker would wait for that long.
+    fn find_probe(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
         let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
         let item = self.items.at(index);
-        let able = item.state == ItemState::Waiting
+        let can_probe = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
             && self.booking_of(index) == Booking::Reclaimable
             && self.ineligibility(index).is_none();
-        if !able {
+        if !can_probe {
             return None;
         }
         let request = PlacementRequest::of(&item.work);
