--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hall under test, with a scheduler that does what it is told.
+//! A hall under test: the policy core with a simulated clock and workers that execute its decisions at once.
 #![allow(dead_code, unreachable_pub)]
 
 use std::collections::BTreeMap;
@@ -13,10 +13,9 @@
 use almondpass_schema::{model, time};
 use uuid::Uuid;
 
-/// Start of every test.
+/// Simulated time at the start of every test.
 pub const START: time::WallTime = time::WallTime(Duration::from_secs(1_790_000_000));
 
-/// A span of seconds.
 pub fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
@@ -25,7 +24,8 @@
     time::TimeSpan::from_secs(secs)
 }
 
-/// A job class.
+/// A repeatable job class of upstream `lab` that is not urgent and makes no checkpoints. Runs are expected to
+/// take 10 minutes, and may take an hour.
 pub fn class(name: &str, kind: model::ClassKind, priority: u8) -> model::JobClass {
     model::JobClass {
         name: name.to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A client account without guarantees.
+/// A client account without guarantees and without a limit of accelerators.
 pub fn account(id: &str) -> model::ClientAccount {
     model::ClientAccount {
         id: id.to_owned(),
@@ -61,13 +61,13 @@
     }
 }
 
-/// A guaranteed shape.
+/// A guaranteed shape that may be in any hall.
 pub fn shape(name: &str, accelerators: u32, adjacency: model::Adjacency) -> model::GuaranteedShape {
     model::GuaranteedShape { name: name.to_owned(), accelerators, adjacency, hall: None }
 }
 
-/// A hall `vadodara` of racks of 8 workers with 8 accelerators; accounts `large`, and `small` with
-/// a guarantee `rig` of 8 adjacent accelerators.
+/// A hall `vadodara` whose racks have 8 workers with 8 accelerators each; an account `large` without
+/// guarantees, and an account `small` with a guarantee `rig` of 8 accelerators on one worker.
 pub fn config(n_racks: usize) -> model::ConfigDocument {
     let rack = |it: usize| model::RackLayout {
         name: format!("r{it}"),
@@ -143,7 +143,8 @@
     }
 }
 
-/// A piece of work under construction.
+/// A job of `tasks` tasks with `accelerators` accelerators each, anywhere in the hall. Its id is set when it
+/// is submitted.
 pub fn job(account: &str, class: &str, tasks: u32, accelerators: u32) -> work::WorkItem {
     work::WorkItem {
         id: Uuid::nil(),
@@ -163,13 +164,13 @@
     }
 }
 
-/// A request of one accelerator.
+/// A request for one accelerator and one slot.
 pub fn request(account: &str, class: &str) -> work::WorkItem {
     let demand = work::TaskDemand { accelerators: 1, cores: 1, memory_mb: 256, slots: 1 };
     work::WorkItem { demand, ..job(account, class, 1, 1) }
 }
 
-/// A gang whose accelerators are one run.
+/// A gang whose accelerators must be adjacent.
 pub fn gang(
     account: &str,
     class: &str,
@@ -180,25 +181,26 @@
     work::WorkItem { adjacency, ..job(account, class, tasks, accelerators) }
 }
 
-/// Id of the `n`th piece of work.
+/// Id of the `n`th work item that is submitted, from 1.
 pub fn work_id(n: u64) -> work::WorkId {
     Uuid::from_u128(u128::from(n))
 }
 
-/// The hall and its clock.
+/// A policy core with its clock, its decisions and the work that runs.
 pub struct TestHall {
     pub core: HallCore,
     pub now: time::WallTime,
-    /// Every decision so far with its time.
+    /// Every decision so far with its time, the oldest first.
     pub log: Vec<(time::WallTime, Decision)>,
+    /// Tasks of the work that was started and has not ended.
     pub running: BTreeMap<work::WorkId, Vec<work::TaskAssignment>>,
-    /// Whether starts and stops succeed by themselves.
+    /// Whether decided starts and stops take effect at once, without events from the test.
     pub executes_decisions: bool,
-    next: u64,
+    next_work_number: u64,
 }
 
 impl TestHall {
-    /// Every worker is there.
+    /// A hall to which every worker is connected. Its log is empty.
     pub fn new(config: model::ConfigDocument) -> TestHall {
         let mut hall = TestHall::without_workers(config);
         let names: Vec<String> =
@@ -211,37 +213,37 @@
         hall
     }
 
-    /// No worker has answered.
+    /// A hall to which no worker has connected yet.
     pub fn without_workers(config: model::ConfigDocument) -> TestHall {
         let hall = config.halls[0].name.clone();
-        let core = HallCore::new(&hall, Arc::new(config), START).expect("a fit configuration");
+        let core = HallCore::new(&hall, Arc::new(config), START).expect("a valid configuration");
         TestHall {
             core,
             now: START,
             log: Vec::new(),
             running: BTreeMap::new(),
             executes_decisions: true,
-            next: 1,
+            next_work_number: 1,
         }
     }
 
-    /// Submits work now and returns its id.
+    /// Submits work now, without a round, and returns its id.
     pub fn submit(&mut self, item: work::WorkItem) -> work::WorkId {
-        let work = work_id(self.next);
-        self.next += 1;
+        let work = work_id(self.next_work_number);
+        self.next_work_number += 1;
         let item = work::WorkItem { id: work, submitted_at: self.now, ..item };
         self.core.apply(HallEvent::Arrived(item), self.now);
         work
     }
 
-    /// Submits work and lets the hall decide.
+    /// Submits work, runs rounds and returns the id of the work.
     pub fn schedule(&mut self, item: work::WorkItem) -> work::WorkId {
         let work = self.submit(item);
         self.run_rounds();
         work
     }
 
-    /// Tells the core something and lets it decide.
+    /// Applies an event to the core and runs rounds.
     pub fn apply_event(&mut self, event: HallEvent) {
         if let HallEvent::Ended { work, .. } = &event {
             self.running.remove(work);
@@ -250,12 +252,13 @@
         self.run_rounds();
     }
 
-    /// Ends work well.
+    /// Reports that work ended with success, and runs rounds.
     pub fn succeed(&mut self, work: work::WorkId) {
         self.apply_event(HallEvent::Ended { work, exit: WorkExit::Succeeded });
     }
 
-    /// Turns until nothing is left to do now.
+    /// Runs rounds until the core wants no further round at the current time, and checks the invariants after
+    /// each. Returns the decisions.
     pub fn run_rounds(&mut self) -> Vec<Decision> {
         let mut all = Vec::new();
         for _ in 0..1000 {
@@ -270,7 +273,7 @@
                 return all;
             }
         }
-        panic!("the core has something to do for ever");
+        panic!("the core still wants another round after 1000 rounds");
     }
 
     fn execute_decision(&mut self, decision: &Decision) {
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Lets time pass, with the turns that the core asks for.
+    /// Moves the clock on by `span`, and runs rounds at the times that the core asks for.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(at) = self.core.next_wake(self.now).filter(|it| *it <= end) {
@@ -301,20 +304,20 @@
         self.run_rounds();
     }
 
-    /// Workers on which work runs, in order.
+    /// Workers on which work runs, in the order of its tasks.
     pub fn workers_of(&self, work: work::WorkId) -> Vec<String> {
-        let slots = self.running.get(&work).cloned().unwrap_or_default();
-        let mut workers: Vec<String> = slots.into_iter().map(|it| it.worker).collect();
+        let assignments = self.running.get(&work).cloned().unwrap_or_default();
+        let mut workers: Vec<String> = assignments.into_iter().map(|it| it.worker).collect();
         workers.dedup();
         workers
     }
 
-    /// Whether work runs.
+    /// Whether work was started and has not ended.
     pub fn is_running(&self, work: work::WorkId) -> bool {
         self.running.contains_key(&work)
     }
 
-    /// Outcome of work that is over.
+    /// Outcome of work that has finished.
     pub fn outcome(&self, work: work::WorkId) -> Option<model::RequestOutcome> {
         self.log.iter().find_map(|(_, it)| match it {
             Decision::Finish { work: other, outcome, .. } if *other == work => Some(*outcome),
@@ -322,14 +325,14 @@
         })
     }
 
-    /// Whether a stop of this work was decided, to queue it again.
+    /// Whether the core ever decided to stop this work and queue it again.
     pub fn was_reclaimed(&self, work: work::WorkId) -> bool {
         self.log.iter().any(|(_, it)| {
             matches!(it, Decision::Stop { work: other, after_stop: AfterStop::Requeue, .. } if *other == work)
         })
     }
 
-    /// Text of the reason why work waits.
+    /// Text of the reason why work waits, or `unknown` for work that the core does not have.
     pub fn wait_text(&self, work: work::WorkId) -> String {
         self.core.reason(&work, self.now).map_or("unknown".to_owned(), |it| it.text)
     }
--- a/crates/policy/tests/situations.rs
+++ b/crates/policy/tests/situations.rs
@@ -1,4 +1,4 @@
-//! Decisions with their reasons in situations that show what the policy is about.
+//! Snapshots of the decisions and their reasons in typical situations, one for each rule of the policy.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use almondpass_schema::model;
 use common::{START, TestHall, account, config, gang, job, request, secs, shape};
 
-/// One line for each decision, then one for each piece of work that is not over.
-fn tell(hall: &TestHall) -> String {
+/// One line for each decision, then one for each work item that waits.
+fn describe_hall(hall: &TestHall) -> String {
     let mut text = String::new();
     for (at, decision) in &hall.log {
         let seconds = at.since(START).as_secs();
-        writeln!(text, "{seconds:>5}s {}", line(decision)).expect("a string");
+        writeln!(text, "{seconds:>5}s {}", describe_decision(decision)).expect("a string");
     }
     let picture = almondpass_policy::hall_policy::HallPolicy::picture(&hall.core, hall.now);
     for it in picture.queue {
@@ -26,10 +26,15 @@
     text
 }
 
-fn line(decision: &Decision) -> String {
+fn describe_decision(decision: &Decision) -> String {
     match decision {
         Decision::Start { work, placement, reason } => {
-            format!("start #{} on {}: {}", work.as_u128(), places(placement), reason.text)
+            format!(
+                "start #{} on {}: {}",
+                work.as_u128(),
+                describe_placement(placement),
+                reason.text
+            )
         }
         Decision::Checkpoint { work, stop_by, reason } => {
             let by = stop_by
@@ -55,7 +60,7 @@
     }
 }
 
-fn places(placement: &[work::TaskAssignment]) -> String {
+fn describe_placement(placement: &[work::TaskAssignment]) -> String {
     let place = |it: &work::TaskAssignment| {
         let worker = it.worker.trim_start_matches("vadodara-");
         match it.accelerators.as_slice() {
@@ -72,14 +77,14 @@
     places.join(" ")
 }
 
-/// Names each situation and compares what the hall did in it.
+/// Generates a test for each situation, which compares what the hall decided with a snapshot.
 macro_rules! situations {
     ($($name:ident => $build:expr;)*) => {
         $(
             #[test]
             fn $name() {
                 let hall: TestHall = $build;
-                insta::assert_snapshot!(tell(&hall));
+                insta::assert_snapshot!(describe_hall(&hall));
             }
         )*
     };
@@ -101,7 +106,7 @@
         hall.advance(secs(10));
         hall
     };
-    claim_moves_its_home_rather_than_stop_work => {
+    claim_relocates_its_home_rather_than_stopping_work => {
         let mut hall = TestHall::new(config(2));
         hall.schedule(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
         let second = hall.schedule(gang("large", "ageing", 8, 8, model::Adjacency::Rack));
@@ -110,7 +115,7 @@
         hall.schedule(work::WorkItem { guarantee: Some("rig".to_owned()), ..claim });
         hall
     };
-    home_block_is_closed_to_what_cannot_be_reclaimed => {
+    non_reclaimable_work_does_not_use_home_blocks => {
         let mut hall = TestHall::new(config(1));
         for _ in 0..8 {
             hall.submit(job("large", "certificate", 1, 8));
@@ -129,7 +134,7 @@
         hall.advance(secs(160));
         hall
     };
-    small_work_backfills_a_block_that_opens_later => {
+    small_work_backfills_a_block_that_a_gang_waits_for => {
         let mut hall = TestHall::new(config(1));
         hall.schedule(gang("large", "batch", 7, 8, model::Adjacency::Rack));
         hall.schedule(gang("large", "batch", 8, 8, model::Adjacency::Rack));
@@ -138,7 +143,7 @@
         hall.schedule(job("large", "ageing", 1, 2));
         hall
     };
-    urgent_work_reclaims_the_least_lost => {
+    urgent_work_preempts_the_job_that_loses_least => {
         let mut hall = TestHall::new(config(1));
         hall.submit(gang("large", "batch", 7, 8, model::Adjacency::Rack));
         hall.submit(job("large", "batch", 1, 8));
@@ -155,7 +160,7 @@
         hall.schedule(job("large", "batch", 1, 8));
         hall
     };
-    impossible_work_is_refused => {
+    impossible_work_is_rejected => {
         let mut hall = TestHall::new(config(1));
         hall.schedule(job("large", "batch", 1, 9));
         hall.schedule(gang("large", "batch", 9, 8, model::Adjacency::Rack));
@@ -167,7 +172,7 @@
         hall.schedule(job("large", "no-such-class", 1, 1));
         hall
     };
-    deadline_that_cannot_be_met_is_told_early => {
+    unreachable_deadline_is_reported_early => {
         let mut hall = TestHall::new(config(1));
         for _ in 0..10 {
             let work = hall.schedule(job("large", "batch", 1, 1));
@@ -197,7 +202,7 @@
         hall.succeed(probe);
         hall
     };
-    failing_job_is_its_own_fault => {
+    job_that_fails_on_several_workers_is_at_fault => {
         let mut hall = TestHall::new(config(1));
         let work = hall.schedule(job("large", "batch", 1, 1));
         for _ in 0..3 {
@@ -207,7 +212,7 @@
         }
         hall
     };
-    guarantee_is_lost_and_whole_again => {
+    guarantee_is_lost_and_restored => {
         let mut config = config(1);
         config.halls[0].racks[0].workers = 2;
         let mut hall = TestHall::new(config);
@@ -218,26 +223,26 @@
         hall.apply_event(HallEvent::WorkerBack("vadodara-r1-02".to_owned()));
         hall
     };
-    overrun_is_throttled_and_stopped => {
+    overrunning_job_is_throttled_and_stopped => {
         let mut hall = TestHall::new(config(1));
         hall.schedule(job("large", "batch", 1, 1));
         hall.advance(secs(2 * 3600));
         hall
     };
-    long_run_is_saved_now_and_then => {
+    long_run_is_checkpointed_at_intervals => {
         let mut hall = TestHall::new(config(1));
         hall.schedule(gang("large", "ageing", 2, 8, model::Adjacency::Rack));
         hall.advance(secs(1300));
         hall
     };
-    run_is_saved_more_often_while_urgent_work_is_about => {
+    run_is_checkpointed_more_often_after_urgent_work => {
         let mut hall = TestHall::new(config(2));
         hall.schedule(job("small", "diagnosis", 1, 8));
         hall.schedule(gang("large", "ageing", 1, 8, model::Adjacency::Rack));
         hall.advance(secs(700));
         hall
     };
-    gang_of_a_lost_worker_starts_again_whole => {
+    gang_of_a_lost_worker_restarts_with_all_tasks => {
         let mut hall = TestHall::new(config(1));
         let work = hall.schedule(gang("large", "ageing", 4, 8, model::Adjacency::Rack));
         let worker = hall.workers_of(work)[1].clone();
