--- a/crates/policy/src/account_usage.rs
+++ b/crates/policy/src/account_usage.rs
@@ -7,9 +7,9 @@
 pub(crate) struct AccountUsage {
     pub(crate) accelerators: u32,
     /// Accelerators attached to claims of its guarantees, reserved ones included.
-    pub(crate) claimed: u32,
+    pub(crate) claimed_accelerators: u32,
     pub(crate) usage: Usage,
-    pub(crate) requests: u32,
+    pub(crate) running_requests: u32,
 }
 
 /// Capacity of all workers of a hall.
@@ -24,8 +24,9 @@
     /// thousandths. The share of accelerators that it claims is subtracted from each: claims of its own
     /// guarantees don't lower its place in the order of accounts.
     pub(crate) fn dominant_share(&self, capacity: &HallCapacity) -> u32 {
-        let above = self.accelerators.saturating_sub(self.claimed);
-        let claimed = f64::from(self.claimed) / f64::from(capacity.accelerators.max(1));
+        let above = self.accelerators.saturating_sub(self.claimed_accelerators);
+        let claimed =
+            f64::from(self.claimed_accelerators) / f64::from(capacity.accelerators.max(1));
         let share = |used: i64, whole: i64| used as f64 / whole.max(1) as f64 - claimed;
         let accelerators = f64::from(above) / f64::from(capacity.accelerators.max(1));
         let largest = accelerators
--- a/crates/policy/src/core.rs
+++ b/crates/policy/src/core.rs
@@ -40,7 +40,7 @@
     pub(crate) items: ItemTable,
     pub(crate) queue: WaitQueue,
     /// Items whose place is reserved.
-    pub(crate) reserving: BTreeSet<u32>,
+    pub(crate) reserved_items: BTreeSet<u32>,
     pub(crate) homes: Vec<HomeBlock>,
     /// Every guarantee of the configuration, for refusals that name the right hall.
     pub(crate) all_homes: Vec<homes::Home>,
@@ -55,7 +55,7 @@
     pub(crate) unlisted_health: BTreeMap<ids::WorkerId, WorkerHealth>,
     /// State of each worker as last decided.
     pub(crate) reported_states: Vec<model::WorkerState>,
-    pub(crate) failures: crate::probing::FailureRates,
+    pub(crate) failure_rates: crate::probing::FailureRates,
     pub(crate) estimates: EstimateTable,
     pub(crate) account_usage: Vec<AccountUsage>,
     pub(crate) headroom: HeadroomBudget,
@@ -91,7 +91,7 @@
             ledger: HallLedger::new(&topology),
             items: ItemTable::default(),
             queue: WaitQueue::default(),
-            reserving: BTreeSet::new(),
+            reserved_items: BTreeSet::new(),
             homes: Vec::new(),
             all_homes,
             homes_dirty: true,
@@ -101,7 +101,7 @@
             health: topology.workers.iter().map(|_| WorkerHealth::new()).collect(),
             unlisted_health: BTreeMap::new(),
             reported_states: vec![model::WorkerState::Lost; topology.workers.len()],
-            failures: crate::probing::FailureRates::default(),
+            failure_rates: crate::probing::FailureRates::default(),
             estimates: EstimateTable::default(),
             account_usage: Vec::new(),
             headroom: HeadroomBudget::default(),
@@ -138,7 +138,7 @@
         self.parameters = PolicyParameters::new(&config);
         self.adopt_rules(&config);
         self.rebook_all();
-        self.queue.unblock();
+        self.queue.unblock_all();
         self.note_capacity_change();
         Ok(())
     }
@@ -213,7 +213,7 @@
     fn rebuild(&mut self) {
         let old = std::mem::take(&mut self.topology);
         let old_health = std::mem::take(&mut self.health);
-        let reserving: Vec<u32> = self.reserving.iter().copied().collect();
+        let reserving: Vec<u32> = self.reserved_items.iter().copied().collect();
         self.topology = old.clone();
         for it in reserving {
             self.unreserve_and_enqueue(it);
--- a/crates/policy/src/event_handlers.rs
+++ b/crates/policy/src/event_handlers.rs
@@ -72,8 +72,8 @@
                 .find(|it| it.account_id == work.account && it.guarantee == *name);
             named.into_iter().for_each(|it| it.claimed_by_name = true);
         }
-        let class = self.catalog.class(&work.class, 0 < work.demand.slots);
-        let account = self.catalog.account(&work.account);
+        let class = self.catalog.intern_class(&work.class, 0 < work.demand.slots);
+        let account = self.catalog.intern_account(&work.account);
         self.account_usage.resize(self.catalog.accounts.len(), Default::default());
         let failed_on = work.failed_on.iter().filter_map(|it| self.topology.find_worker(it));
         let mut failed_on = failed_on.collect::<Vec<_>>();
@@ -92,7 +92,7 @@
             saved_at: started_at,
             expected_free_at: self.now,
             stop_by: self.now,
-            urgent_width: 0,
+            urgent_accelerators: 0,
             checkpoint_requested_at: started_at,
             after_stop: AfterStop::Requeue,
             start_reported: false,
@@ -101,7 +101,7 @@
             throttled: false,
             overran: false,
             failed_on,
-            failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
+            n_failures: u32::try_from(work.failed_on.len()).unwrap_or(u32::MAX),
             exclude,
             chosen_overdue: false,
             end_reason: None,
@@ -177,7 +177,7 @@
         item.cancelled = true;
         item.after_stop = AfterStop::End;
         match item.state {
-            ItemState::Waiting | ItemState::Delayed | ItemState::Reserving(_) => {
+            ItemState::Waiting | ItemState::Delayed | ItemState::Reserved(_) => {
                 self.finish_unplaced(index, reasons::cancelled());
             }
             ItemState::Starting | ItemState::Running | ItemState::Checkpointing => {
--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -84,7 +84,7 @@
             outside_homes += 1;
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
-                free += i64::from(self.is_available(at));
+                free += i64::from(self.is_accelerator_available(at));
             } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 non_reclaimable_held += 1;
             }
@@ -120,7 +120,7 @@
     fn waiting_demand(&self) -> (u32, u32) {
         let mut urgent = 0_u32;
         let mut non_reclaimable = 0_u32;
-        for it in self.queue.active().filter_map(|it| self.queue.group(it)) {
+        for it in self.queue.active_groups().filter_map(|it| self.queue.group(it)) {
             let rule = &self.catalog.classes[it.key.class as usize];
             let per_item = it.key.tasks.saturating_mul(it.key.demand.accelerators);
             let n_accelerators = per_item.saturating_mul(it.entries.len() as u32);
--- a/crates/policy/src/lifecycle.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -72,9 +72,9 @@
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators += width;
         account.usage.add(usage.times(item.work.tasks));
-        account.requests += u32::from(request);
+        account.running_requests += u32::from(request);
         if self.catalog.classes[item.class as usize].urgent {
-            item.urgent_width = width;
+            item.urgent_accelerators = width;
             self.headroom.urgent_held += width;
         }
         item.tasks = tasks;
@@ -95,9 +95,9 @@
         let account = &mut self.account_usage[item.account as usize];
         account.accelerators -= width;
         account.usage.sub(usage.times(item.work.tasks));
-        account.requests -= u32::from(request);
-        self.headroom.urgent_held -= item.urgent_width;
-        item.urgent_width = 0;
+        account.running_requests -= u32::from(request);
+        self.headroom.urgent_held -= item.urgent_accelerators;
+        item.urgent_accelerators = 0;
         let booking = item.booking;
         self.ledger.release(index, &tasks, usage, booking);
         self.note_capacity_change();
@@ -226,7 +226,7 @@
         };
         match self.items.at(index).state {
             ItemState::Waiting => self.dequeue(index),
-            ItemState::Reserving(_) => self.unreserve(index),
+            ItemState::Reserved(_) => self.unreserve(index),
             _ => {}
         }
         self.finish(index, outcome, reason);
@@ -286,15 +286,15 @@
         let healthy = |it: &&u32| self.health[**it as usize].usable();
         let item = self.items.at(index);
         let n_workers = item.failed_on.iter().filter(healthy).count();
-        let faulty = FAULTY_AFTER <= n_workers || MOST_FAILURES <= item.failures;
+        let faulty = FAULTY_AFTER <= n_workers || MOST_FAILURES <= item.n_failures;
         if item.cancelled || !self.retries(index) {
             self.finish(index, model::RequestOutcome::Failed, reasons::failed());
         } else if faulty {
-            let reason = reasons::faulty(n_workers, item.failures);
+            let reason = reasons::faulty(n_workers, item.n_failures);
             self.withdraw_failures(index);
             self.finish(index, model::RequestOutcome::Failed, reason);
         } else {
-            let doubled = FIRST_PAUSE * (1 << (item.failures.min(6)));
+            let doubled = FIRST_PAUSE * (1 << (item.n_failures.min(6)));
             self.requeue(index, doubled.min(LONGEST_PAUSE), reasons::failed_retry());
         }
     }
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -4,7 +4,7 @@
 
 use crate::core::HallCore;
 use crate::guarantee::HomeBlock;
-use crate::item::{ItemState, QueueItem, ReserveKind};
+use crate::item::{ItemState, QueueItem, ReservationKind};
 use crate::placement;
 use crate::reasons;
 use crate::topology::NONE;
@@ -20,9 +20,9 @@
             ItemState::Waiting => self.explain_waiting(index, now),
             ItemState::Delayed => reasons::plain(
                 model::WaitCode::Queued,
-                format!("pauses after {}", reasons::count(item.failures as usize, "failure")),
+                format!("pauses after {}", reasons::count(item.n_failures as usize, "failure")),
             ),
-            ItemState::Reserving(kind) => self.explain_reserving(index, kind),
+            ItemState::Reserved(kind) => self.explain_reserving(index, kind),
             ItemState::Starting => reasons::plain(
                 model::WaitCode::Queued,
                 format!("starts on {}", self.worker_range(item)),
@@ -54,17 +54,17 @@
         }
     }
 
-    fn explain_reserving(&self, index: u32, kind: ReserveKind) -> model::WaitReason {
+    fn explain_reserving(&self, index: u32, kind: ReservationKind) -> model::WaitReason {
         let expected_free_at = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(expected_free_at);
         match kind {
-            ReserveKind::Clearing => reasons::until(
+            ReservationKind::Gang => reasons::until(
                 model::WaitCode::ClearingBlock,
                 format!("waiting for {missing}, cleared by {by}"),
                 expected_free_at,
             ),
-            ReserveKind::Claim | ReserveKind::Urgent => reasons::until(
+            ReservationKind::Claim | ReservationKind::Urgent => reasons::until(
                 model::WaitCode::Reclaiming,
                 format!("waiting for {missing}, being reclaimed by {by}"),
                 expected_free_at,
@@ -123,8 +123,9 @@
 
     fn explain_adjacency(&self, item: &QueueItem) -> model::WaitReason {
         let needed = item.n_accelerators();
-        let runs =
-            placement::free_runs(&self.topology, item.work.adjacency, |it| self.is_available(it));
+        let runs = placement::free_runs(&self.topology, item.work.adjacency, |it| {
+            self.is_accelerator_available(it)
+        });
         let longest = runs.into_iter().max_by_key(|it| it.len());
         let text = match longest {
             None => format!(
@@ -151,7 +152,7 @@
                     "{} is at its limit, with {} accelerators and {} running",
                     item.work.account,
                     usage.accelerators,
-                    reasons::count(usage.requests as usize, "request")
+                    reasons::count(usage.running_requests as usize, "request")
                 )
             }
             model::WaitCode::GuaranteeKept => format!(
@@ -180,7 +181,7 @@
     }
 
     /// Whether an accelerator is free and its worker usable.
-    pub(crate) fn is_available(&self, accelerator: u32) -> bool {
+    pub(crate) fn is_accelerator_available(&self, accelerator: u32) -> bool {
         let worker = self.topology.worker_of[accelerator as usize];
         self.ledger.holder[accelerator as usize] == NONE && self.health[worker as usize].usable()
     }
@@ -192,18 +193,19 @@
         let guaranteed = self.homes.iter().map(|it| (it.size, it.adjacency));
         let waiting = self
             .queue
-            .active()
+            .active_groups()
             .filter_map(|it| self.queue.group(it))
             .map(|it| (it.key.tasks * it.key.demand.accelerators, it.key.adjacency));
         let reserving = self
-            .reserving
+            .reserved_items
             .iter()
             .map(|it| self.items.at(*it))
             .map(|it| (it.n_accelerators(), it.work.adjacency));
         let is_adjacent = |it: &(u32, model::Adjacency)| it.1 != model::Adjacency::Any;
         let largest = guaranteed.chain(waiting).chain(reserving).filter(is_adjacent).max();
         let Some((size, adjacency)) = largest else { return 0.0 };
-        let runs = placement::free_runs(&self.topology, adjacency, |it| self.is_available(it));
+        let runs =
+            placement::free_runs(&self.topology, adjacency, |it| self.is_accelerator_available(it));
         let total: u32 = runs.iter().map(|it| it.len()).sum();
         let fitting: u32 = runs.iter().map(|it| it.len()).filter(|it| size <= *it).sum();
         if total == 0 { 0.0 } else { f64::from(total - fitting) / f64::from(total) }
@@ -248,7 +250,7 @@
                 since: item.work.submitted_at,
             }
         };
-        self.reserving
+        self.reserved_items
             .iter()
             .copied()
             .chain(waiting)
--- a/crates/policy/src/placement_rules.rs
+++ b/crates/policy/src/placement_rules.rs
@@ -5,7 +5,7 @@
 use almondpass_schema::time;
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, Usage};
 use crate::placement::{PlacementRequest, PlacementRule};
 use crate::queue::GroupKey;
@@ -73,7 +73,7 @@
             return true;
         }
         let gang = self.core.items.at(reserved_for);
-        if gang.state != ItemState::Reserving(ReserveKind::Clearing) {
+        if gang.state != ItemState::Reserved(ReservationKind::Gang) {
             return false;
         }
         // For a gang past its wait bound the latest end counts, so that no backfilled run delays its start.
--- a/crates/policy/src/probing.rs
+++ b/crates/policy/src/probing.rs
@@ -79,7 +79,7 @@
     /// account and class.
     pub(crate) fn record_failure(&mut self, index: u32, worker: u32, work: work::WorkId) {
         let item = self.items.at_mut(index);
-        item.failures += 1;
+        item.n_failures += 1;
         if !item.failed_on.contains(&worker) {
             item.failed_on.push(worker);
         }
@@ -89,9 +89,9 @@
         // Only the first failure of a worker's streak counts for the class. Otherwise a faulty worker would
         // raise the failure rates of all classes that run on it, and these would lower the weights of its
         // failures.
-        let rate = self.failures.rate(account, class);
+        let rate = self.failure_rates.rate(account, class);
         if starts_streak {
-            self.failures.record(account, class, true);
+            self.failure_rates.record(account, class, true);
         }
         if failed_elsewhere && self.health[worker as usize].probe != Some(work) {
             self.withdraw_failures(index);
@@ -120,7 +120,7 @@
     pub(crate) fn record_success(&mut self, index: u32) {
         let item = self.items.at(index);
         let work = item.work.id;
-        self.failures.record(item.account, item.class, false);
+        self.failure_rates.record(item.account, item.class, false);
         for it in &item.tasks {
             let health: &mut WorkerHealth = &mut self.health[it.worker as usize];
             let was_unusable = !health.usable();
@@ -228,7 +228,8 @@
     /// time, and a gang that needs the worker would wait for that long.
     fn find_probe(&self, group: u32, worker: u32) -> Option<(u32, Vec<crate::ledger::PlacedTask>)> {
         let entries = &self.queue.group(group)?.entries;
-        let index = entries.iter().map(|it| it.item).find(|it| self.items.at(*it).failures == 0)?;
+        let index =
+            entries.iter().map(|it| it.item).find(|it| self.items.at(*it).n_failures == 0)?;
         let item = self.items.at(index);
         let can_probe = item.state == ItemState::Waiting
             && !item.exclude.contains(&worker)
--- a/crates/policy/src/reservations.rs
+++ b/crates/policy/src/reservations.rs
@@ -4,7 +4,7 @@
 use almondpass_schema::{model, time};
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::{Booking, PlacedTask, Usage};
 use crate::reasons;
 use crate::topology::NONE;
@@ -17,7 +17,7 @@
         &mut self,
         index: u32,
         tasks: Vec<PlacedTask>,
-        kind: ReserveKind,
+        kind: ReservationKind,
         claimed_home: Option<u32>,
     ) {
         let mut overlapping: Vec<u32> = tasks
@@ -26,7 +26,7 @@
             .map(|it| self.ledger.reserved_for[*it as usize])
             .filter(|it| *it != NONE)
             .collect();
-        if kind == ReserveKind::Clearing {
+        if kind == ReservationKind::Gang {
             // A gang of CPU-only tasks shares its workers with no other reservation.
             let cpu_only = tasks.iter().filter(|it| it.accelerators.is_empty());
             let reservations =
@@ -44,10 +44,10 @@
         let now = self.now;
         let item = self.items.at_mut(index);
         item.tasks = tasks;
-        item.state = ItemState::Reserving(kind);
+        item.state = ItemState::Reserved(kind);
         item.state_since = now;
         item.expected_free_at = expected_free_at;
-        self.reserving.insert(index);
+        self.reserved_items.insert(index);
         if let Some(home) = claimed_home {
             self.attach_claim(index, home);
         }
@@ -60,7 +60,7 @@
         let usage = self.usage_of(index);
         let tasks = std::mem::take(&mut self.items.at_mut(index).tasks);
         self.ledger.unreserve(index, &tasks, usage);
-        self.reserving.remove(&index);
+        self.reserved_items.remove(&index);
         self.note_capacity_change();
     }
 
@@ -117,10 +117,10 @@
             return;
         }
         self.reservation_check_version = self.capacity_version;
-        let all: Vec<u32> = self.reserving.iter().copied().collect();
+        let all: Vec<u32> = self.reserved_items.iter().copied().collect();
         for index in all {
             // An item handled earlier in this loop may have cancelled this reservation.
-            if self.reserving.contains(&index) {
+            if self.reserved_items.contains(&index) {
                 self.check_reservation(index);
             }
         }
@@ -133,12 +133,12 @@
             self.unreserve_and_enqueue(index);
             return;
         }
-        let ItemState::Reserving(kind) = self.items.at(index).state else { return };
+        let ItemState::Reserved(kind) = self.items.at(index).state else { return };
         if self.reserved_resources_are_free(index, &tasks)
             && self.leaves_home_resources(index, &tasks)
         {
             self.start_reserved(index, kind);
-        } else if kind == ReserveKind::Clearing {
+        } else if kind == ReservationKind::Gang {
             self.refresh_gang_reservation(index);
         } else {
             self.preempt_holders(index, kind);
@@ -191,13 +191,13 @@
         })
     }
 
-    fn start_reserved(&mut self, index: u32, kind: ReserveKind) {
+    fn start_reserved(&mut self, index: u32, kind: ReservationKind) {
         let claimed_home = self.items.at(index).claimed_home;
         let tasks = self.items.at(index).tasks.clone();
         self.unreserve(index);
         let reason = match (kind, claimed_home) {
-            (ReserveKind::Claim, Some(home)) => self.claim_reason(home, "was reclaimed"),
-            (ReserveKind::Urgent, _) => {
+            (ReservationKind::Claim, Some(home)) => self.claim_reason(home, "was reclaimed"),
+            (ReservationKind::Urgent, _) => {
                 reasons::plain(model::WaitCode::Reclaiming, "urgent: its place was reclaimed")
             }
             _ => reasons::plain(model::WaitCode::ClearingBlock, "the block cleared for it is free"),
--- a/crates/policy/src/urgent_placement.rs
+++ b/crates/policy/src/urgent_placement.rs
@@ -1,7 +1,7 @@
 //! Placement rule of urgent work: free capacity, and what it may preempt.
 
 use crate::core::HallCore;
-use crate::item::{ItemState, ReserveKind};
+use crate::item::{ItemState, ReservationKind};
 use crate::ledger::Usage;
 use crate::placement::PlacementRule;
 use crate::placement_rules::FreeCapacityRule;
@@ -43,7 +43,7 @@
         let at = accelerator as usize;
         let worker = core.topology.worker_of[at];
         let reserved_for = core.ledger.reserved_for[at];
-        let gang_reservation = ItemState::Reserving(ReserveKind::Clearing);
+        let gang_reservation = ItemState::Reserved(ReservationKind::Gang);
         core.health[worker as usize].accepts_new_work(core.now)
             && !self.free_capacity.exclude.contains(&worker)
             && (!self.free_capacity.non_reclaimable || core.ledger.home[at] == NONE)
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -191,7 +191,7 @@
     pub core: HallCore,
     pub now: time::WallTime,
     /// Every decision so far with its time, the oldest first.
-    pub log: Vec<(time::WallTime, Decision)>,
+    pub decisions: Vec<(time::WallTime, Decision)>,
     /// Tasks of the work that was started and has not ended.
     pub running: BTreeMap<work::WorkId, Vec<work::TaskAssignment>>,
     /// Whether decided starts and stops take effect at once, without events from the test.
@@ -209,7 +209,7 @@
             hall.core.apply(HallEvent::WorkerBack(it), START);
         }
         hall.run_rounds();
-        hall.log.clear();
+        hall.decisions.clear();
         hall
     }
 
@@ -220,7 +220,7 @@
         TestHall {
             core,
             now: START,
-            log: Vec::new(),
+            decisions: Vec::new(),
             running: BTreeMap::new(),
             executes_decisions: true,
             next_work_number: 1,
@@ -267,7 +267,7 @@
             for it in &decisions {
                 self.execute_decision(it);
             }
-            self.log.extend(decisions.iter().map(|it| (self.now, it.clone())));
+            self.decisions.extend(decisions.iter().map(|it| (self.now, it.clone())));
             all.extend(decisions);
             if self.core.next_wake(self.now).is_none_or(|it| self.now < it) {
                 return all;
@@ -319,7 +319,7 @@
 
     /// Outcome of work that has finished.
     pub fn outcome(&self, work: work::WorkId) -> Option<model::RequestOutcome> {
-        self.log.iter().find_map(|(_, it)| match it {
+        self.decisions.iter().find_map(|(_, it)| match it {
             Decision::Finish { work: other, outcome, .. } if *other == work => Some(*outcome),
             _ => None,
         })
@@ -327,7 +327,7 @@
 
     /// Whether the core ever decided to stop this work and queue it again.
     pub fn was_reclaimed(&self, work: work::WorkId) -> bool {
-        self.log.iter().any(|(_, it)| {
+        self.decisions.iter().any(|(_, it)| {
             matches!(it, Decision::Stop { work: other, after_stop: AfterStop::Requeue, .. } if *other == work)
         })
     }
