--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -49,7 +49,7 @@
     }
 
     /// Accelerators to keep free in addition to the `held` ones: 0 to `max`.
-    fn to_keep_free(&self, held: u32, deviations: f64, max: f64) -> i64 {
+    fn kept_free(&self, held: u32, deviations: f64, max: f64) -> i64 {
         let demand = self.mean + deviations * self.variance.sqrt();
         (demand - f64::from(held)).clamp(0.0, max).ceil() as i64
     }
@@ -99,9 +99,8 @@
             non_reclaimable_waiting.saturating_add(non_reclaimable_held).min(outside_homes),
             self.now,
         );
-        let urgent_kept =
-            budget.urgent.to_keep_free(budget.urgent_held, deviations, max_urgent_kept);
-        let non_reclaimable_kept = budget.non_reclaimable.to_keep_free(
+        let urgent_kept = budget.urgent.kept_free(budget.urgent_held, deviations, max_urgent_kept);
+        let non_reclaimable_kept = budget.non_reclaimable.kept_free(
             non_reclaimable_held,
             deviations,
             f64::from(outside_homes),
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -150,16 +150,17 @@
 
     fn check_home_blocks(&self) -> Result<(), InvariantBreach> {
         let mut owners: BTreeMap<u32, u32> = BTreeMap::new();
-        for (home, shape) in self.homes.iter().enumerate() {
-            let breach =
-                |detail: String| Err(InvariantBreach::HomeBlock { home: shape.label(), detail });
-            if shape.has_block() && shape.block.len() as u32 != shape.size {
-                return breach(format!("{} accelerators", shape.block.len()));
+        for (home, home_block) in self.homes.iter().enumerate() {
+            let breach = |detail: String| {
+                Err(InvariantBreach::HomeBlock { home: home_block.label(), detail })
+            };
+            if home_block.has_block() && home_block.block.len() as u32 != home_block.size {
+                return breach(format!("{} accelerators", home_block.block.len()));
             }
-            if shape.size < self.claimed_accelerators(home as u32) {
+            if home_block.size < self.claimed_accelerators(home as u32) {
                 return breach(format!("{} claimed", self.claimed_accelerators(home as u32)));
             }
-            for it in &shape.block {
+            for it in &home_block.block {
                 if owners.insert(*it, home as u32).is_some() {
                     return breach(format!("accelerator {it} in two blocks"));
                 }
@@ -178,8 +179,8 @@
     }
 
     fn check_reclaimable(&self, now: time::WallTime) -> Result<(), InvariantBreach> {
-        for (home, shape) in self.homes.iter().enumerate() {
-            for it in &shape.block {
+        for (home, home_block) in self.homes.iter().enumerate() {
+            for it in &home_block.block {
                 let spec = self.topology.host(*it);
                 let holder = self.ledger.holder[*it as usize];
                 if holder == NONE {
@@ -193,16 +194,19 @@
                 let ends_in_time = self.latest_end(item) <= now + self.parameters.reclaim_bound;
                 if !(is_claim || stoppable || ends_in_time) {
                     return Err(InvariantBreach::NotReclaimable {
-                        home: shape.label(),
+                        home: home_block.label(),
                         work: item.work.id,
                         worker: spec.name.clone(),
                     });
                 }
             }
-            let workers: BTreeMap<u32, ()> =
-                shape.block.iter().map(|it| (self.topology.worker_of[*it as usize], ())).collect();
+            let workers: BTreeMap<u32, ()> = home_block
+                .block
+                .iter()
+                .map(|it| (self.topology.worker_of[*it as usize], ()))
+                .collect();
             for worker in workers.keys() {
-                self.check_home_share(*worker, &shape.label())?;
+                self.check_home_share(*worker, &home_block.label())?;
             }
         }
         Ok(())
--- a/crates/policy/src/picture.rs
+++ b/crates/policy/src/picture.rs
@@ -22,7 +22,7 @@
                 model::WaitCode::Queued,
                 format!("pauses after {}", reasons::count(item.n_failures as usize, "failure")),
             ),
-            ItemState::Reserved(kind) => self.explain_reserving(index, kind),
+            ItemState::Reserved(kind) => self.explain_reserved(index, kind),
             ItemState::Starting => reasons::plain(
                 model::WaitCode::Queued,
                 format!("starts on {}", self.worker_range(item)),
@@ -54,7 +54,7 @@
         }
     }
 
-    fn explain_reserving(&self, index: u32, kind: ReservationKind) -> model::WaitReason {
+    fn explain_reserved(&self, index: u32, kind: ReservationKind) -> model::WaitReason {
         let expected_free_at = self.items.at(index).expected_free_at;
         let missing = self.missing_workers(index);
         let by = reasons::clock(expected_free_at);
@@ -103,20 +103,21 @@
         let is_named = |it: &&HomeBlock| {
             it.account == item.account && Some(&it.guarantee) == item.work.guarantee.as_ref()
         };
-        let Some(shape) = self.homes.iter().find(is_named) else {
+        let Some(home_block) = self.homes.iter().find(is_named) else {
             let text = format!("its guarantee is not at home in {} now", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         };
-        let label = shape.label();
-        if !shape.has_block() {
+        let label = home_block.label();
+        if !home_block.has_block() {
             let text = format!("guarantee {label} is lost: too few workers of {}", self.hall);
             return reasons::plain(model::WaitCode::NoCapacity, text);
         }
-        let claimed: u32 = shape.claims.iter().map(|it| self.items.at(*it).n_accelerators()).sum();
+        let claimed: u32 =
+            home_block.claims.iter().map(|it| self.items.at(*it).n_accelerators()).sum();
         let text = format!(
             "guarantee {label} is claimed already, with {claimed} of {} accelerators, and nothing \
              above it is free",
-            shape.size
+            home_block.size
         );
         reasons::plain(model::WaitCode::NoCapacity, text)
     }
@@ -225,11 +226,11 @@
     }
 
     fn guarantee_view(&self, home: u32) -> model::GuaranteeView {
-        let shape = &self.homes[home as usize];
+        let home_block = &self.homes[home as usize];
         model::GuaranteeView {
-            account: shape.account_id.clone(),
+            account: home_block.account_id.clone(),
             claimed: self.claimed_accelerators(home),
-            guarantee: shape.guarantee.clone(),
+            guarantee: home_block.guarantee.clone(),
             state: self.home_state(home),
         }
     }
