--- a/crates/policy/src/baseline_capacity.rs
+++ b/crates/policy/src/baseline_capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity of a hall and where the baselines place a gang in it.
+//! Free capacity of a hall, and gang placement of the baseline policies.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,22 +7,25 @@
 
 use crate::work;
 
-/// Which of several fitting places a baseline takes.
+/// Which of several possible placements a baseline chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementChoice {
-    /// The first one in the order of the hall.
+    /// The first one in the order of racks and workers of the hall layout.
     First,
-    /// The one that leaves the fewest free accelerators beside it.
+    /// The one with the fewest free accelerators adjacent to it; for a task without accelerators, the
+    /// worker with the fewest free cores.
     Tightest,
 }
 
-/// Free capacity of one worker.
+/// Free capacity of one worker. Cores, memory and slots count what is free.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerCapacity {
+    /// Index of the rack in the hall layout.
     rack: usize,
-    /// A bit for each free accelerator.
-    free: u64,
-    accelerators: u32,
+    /// One bit per accelerator, set while it is free.
+    free_mask: u64,
+    /// Accelerators of the worker, free or not.
+    n_accelerators: u32,
     cores: u32,
     memory_mb: u64,
     slots: u32,
@@ -31,48 +34,51 @@
 }
 
 impl WorkerCapacity {
-    fn spare_tasks(&self, demand: &work::TaskDemand) -> u32 {
+    /// Number of tasks whose demand for cores, memory and slots fits. Accelerators are checked separately.
+    fn task_capacity(&self, demand: &work::TaskDemand) -> u32 {
         let cores = self.cores.checked_div(demand.cores).unwrap_or(u32::MAX);
         let memory = self.memory_mb.checked_div(demand.memory_mb).unwrap_or(u64::MAX);
         let slots = self.slots.checked_div(demand.slots).unwrap_or(u32::MAX);
         cores.min(u32::try_from(memory).unwrap_or(u32::MAX)).min(slots)
     }
 
-    fn is_run_free(&self, start: u32, len: u32) -> bool {
-        let run = run_mask(start, len);
-        start + len <= self.accelerators && self.free & run == run
+    fn is_range_free(&self, start: u32, len: u32) -> bool {
+        let range = range_mask(start, len);
+        start + len <= self.n_accelerators && self.free_mask & range == range
     }
 
-    /// Free accelerators directly below `start` and from `end` upwards.
-    fn free_beside(&self, start: u32, end: u32) -> u32 {
+    /// Number of contiguous free accelerators directly below `start` plus those from `end` upwards.
+    fn free_neighbours(&self, start: u32, end: u32) -> u32 {
         let below = match start {
             0 => 0,
-            _ => (self.free << (u64::BITS - start)).leading_ones(),
+            _ => (self.free_mask << (u64::BITS - start)).leading_ones(),
         };
-        let above = self.free.checked_shr(end).unwrap_or(0).trailing_ones();
+        let above = self.free_mask.checked_shr(end).unwrap_or(0).trailing_ones();
         below + above
     }
 }
 
-fn run_mask(start: u32, len: u32) -> u64 {
-    let run = 1_u64.checked_shl(len).unwrap_or(0).wrapping_sub(1);
-    run.checked_shl(start).unwrap_or(0)
+/// Mask with the `len` bits from bit `start` on set.
+fn range_mask(start: u32, len: u32) -> u64 {
+    let range = 1_u64.checked_shl(len).unwrap_or(0).wrapping_sub(1);
+    range.checked_shl(start).unwrap_or(0)
 }
 
-/// Free capacity of a hall; copied to look ahead.
+/// Free capacity of all workers of a hall. Cloned to try out placements; clones share the worker names.
 #[derive(Clone, Debug)]
 pub(crate) struct HallCapacity {
     workers: Vec<WorkerCapacity>,
-    names: Arc<WorkerNames>,
+    worker_names: Arc<WorkerNames>,
 }
 
 #[derive(Debug, Default)]
 struct WorkerNames {
-    names: Vec<ids::WorkerId>,
-    index: HashMap<ids::WorkerId, usize>,
+    by_index: Vec<ids::WorkerId>,
+    index_of: HashMap<ids::WorkerId, usize>,
 }
 
 impl HallCapacity {
+    /// Capacity of a hall with nothing running; every worker counts as lost until it is reported back.
     pub(crate) fn of(hall: &model::HallLayout, config: &model::ConfigDocument) -> HallCapacity {
         let mut names = WorkerNames::default();
         let mut workers = Vec::new();
@@ -82,12 +88,12 @@
             };
             for number in 1..=layout.workers {
                 let name = format!("{}-{}-{number:02}", hall.name, layout.name);
-                names.index.insert(name.clone(), workers.len());
-                names.names.push(name);
+                names.index_of.insert(name.clone(), workers.len());
+                names.by_index.push(name);
                 workers.push(WorkerCapacity {
                     rack,
-                    free: run_mask(0, kind.accelerators),
-                    accelerators: kind.accelerators,
+                    free_mask: range_mask(0, kind.accelerators),
+                    n_accelerators: kind.accelerators,
                     cores: kind.cores,
                     memory_mb: kind.memory_mb,
                     slots: kind.slots,
@@ -96,50 +102,56 @@
                 });
             }
         }
-        HallCapacity { workers, names: Arc::new(names) }
+        HallCapacity { workers, worker_names: Arc::new(names) }
     }
 
     pub(crate) fn worker_mut(&mut self, worker: &ids::WorkerId) -> Option<&mut WorkerCapacity> {
-        let index = *self.names.index.get(worker)?;
+        let index = *self.worker_names.index_of.get(worker)?;
         self.workers.get_mut(index)
     }
 
-    fn takes(&self, index: usize, item: &work::WorkItem) -> bool {
+    /// Whether the worker is live and not excluded by the work item.
+    fn accepts(&self, index: usize, item: &work::WorkItem) -> bool {
         let worker = &self.workers[index];
         let live = !worker.lost && !worker.draining;
-        live && (item.exclude.is_empty() || !item.exclude.contains(&self.names.names[index]))
+        live && (item.exclude.is_empty()
+            || !item.exclude.contains(&self.worker_names.by_index[index]))
     }
 
-    pub(crate) fn take(&mut self, demand: &work::TaskDemand, placement: &[work::TaskAssignment]) {
-        for slot in placement {
-            let Some(worker) = self.worker_mut(&slot.worker) else { continue };
+    pub(crate) fn allocate(
+        &mut self,
+        demand: &work::TaskDemand,
+        placement: &[work::TaskAssignment],
+    ) {
+        for assignment in placement {
+            let Some(worker) = self.worker_mut(&assignment.worker) else { continue };
             worker.cores = worker.cores.saturating_sub(demand.cores);
             worker.memory_mb = worker.memory_mb.saturating_sub(demand.memory_mb);
             worker.slots = worker.slots.saturating_sub(demand.slots);
-            for accelerator in &slot.accelerators {
-                worker.free &= !run_mask(*accelerator, 1);
+            for accelerator in &assignment.accelerators {
+                worker.free_mask &= !range_mask(*accelerator, 1);
             }
         }
     }
 
-    pub(crate) fn give_back(
+    pub(crate) fn release(
         &mut self,
         demand: &work::TaskDemand,
         placement: &[work::TaskAssignment],
     ) {
-        for slot in placement {
-            let Some(worker) = self.worker_mut(&slot.worker) else { continue };
+        for assignment in placement {
+            let Some(worker) = self.worker_mut(&assignment.worker) else { continue };
             worker.cores += demand.cores;
             worker.memory_mb += demand.memory_mb;
             worker.slots += demand.slots;
-            for accelerator in &slot.accelerators {
-                worker.free |= run_mask(*accelerator, 1);
+            for accelerator in &assignment.accelerators {
+                worker.free_mask |= range_mask(*accelerator, 1);
             }
         }
     }
 
-    /// Finds a place for the whole gang.
-    pub(crate) fn place(
+    /// Finds a placement for the whole gang without allocating it.
+    pub(crate) fn find_placement(
         &self,
         item: &work::WorkItem,
         choice: PlacementChoice,
@@ -147,29 +159,30 @@
         let adjacency =
             if item.demand.accelerators == 0 { model::Adjacency::Any } else { item.adjacency };
         match adjacency {
-            model::Adjacency::Any => self.place_apart(item, choice),
+            model::Adjacency::Any => self.find_independent_placement(item, choice),
             model::Adjacency::Worker | model::Adjacency::Rack | model::Adjacency::Hall => {
-                self.place_adjacent(item, adjacency, choice)
+                self.find_adjacent_placement(item, adjacency, choice)
             }
         }
     }
 
-    fn place_apart(
+    /// Places the tasks one after another, each wherever it fits.
+    fn find_independent_placement(
         &self,
         item: &work::WorkItem,
         choice: PlacementChoice,
     ) -> Option<Vec<work::TaskAssignment>> {
-        let mut room = self.clone();
+        let mut capacity = self.clone();
         let mut placement = Vec::with_capacity(item.tasks as usize);
         for rank in 0..item.tasks {
-            let slot = room.place_task(item, rank, choice)?;
-            room.take(&item.demand, std::slice::from_ref(&slot));
-            placement.push(slot);
+            let assignment = capacity.find_task_placement(item, rank, choice)?;
+            capacity.allocate(&item.demand, std::slice::from_ref(&assignment));
+            placement.push(assignment);
         }
         Some(placement)
     }
 
-    fn place_task(
+    fn find_task_placement(
         &self,
         item: &work::WorkItem,
         rank: u32,
@@ -178,27 +191,32 @@
         let len = item.demand.accelerators;
         let mut best: Option<(u32, usize, u32)> = None;
         for (index, worker) in self.workers.iter().enumerate() {
-            if !self.takes(index, item) || worker.spare_tasks(&item.demand) == 0 {
+            if !self.accepts(index, item) || worker.task_capacity(&item.demand) == 0 {
                 continue;
             }
-            for start in 0..=worker.accelerators.saturating_sub(len) {
-                if !worker.is_run_free(start, len) {
+            for start in 0..=worker.n_accelerators.saturating_sub(len) {
+                if !worker.is_range_free(start, len) {
                     continue;
                 }
-                let beside =
-                    if len == 0 { worker.cores } else { worker.free_beside(start, start + len) };
-                if best.is_none_or(|(least, _, _)| beside < least) {
-                    best = Some((beside, index, start));
+                let leftover = if len == 0 {
+                    worker.cores
+                } else {
+                    worker.free_neighbours(start, start + len)
+                };
+                if best.is_none_or(|(least, _, _)| leftover < least) {
+                    best = Some((leftover, index, start));
                 }
                 if choice == PlacementChoice::First {
-                    return best.map(|(_, index, start)| self.task_slot(rank, index, start, len));
+                    return best
+                        .map(|(_, index, start)| self.task_assignment(rank, index, start, len));
                 }
             }
         }
-        best.map(|(_, index, start)| self.task_slot(rank, index, start, len))
+        best.map(|(_, index, start)| self.task_assignment(rank, index, start, len))
     }
 
-    fn place_adjacent(
+    /// Places the gang on a contiguous range of accelerators within the reach of `adjacency`.
+    fn find_adjacent_placement(
         &self,
         item: &work::WorkItem,
         adjacency: model::Adjacency,
@@ -206,24 +224,26 @@
     ) -> Option<Vec<work::TaskAssignment>> {
         let mut best: Option<(u32, usize, u32)> = None;
         for first in 0..self.workers.len() {
-            for offset in 0..self.workers[first].accelerators {
-                let Some(beside) = self.room_from(item, adjacency, first, offset) else {
+            for offset in 0..self.workers[first].n_accelerators {
+                let Some(leftover) = self.free_neighbours_from(item, adjacency, first, offset)
+                else {
                     continue;
                 };
                 if choice == PlacementChoice::First {
-                    return Some(self.fill_from(item, first, offset));
+                    return Some(self.assign_adjacent_tasks(item, first, offset));
                 }
-                if best.is_none_or(|(least, _, _)| beside < least) {
-                    best = Some((beside, first, offset));
+                if best.is_none_or(|(least, _, _)| leftover < least) {
+                    best = Some((leftover, first, offset));
                 }
             }
         }
-        best.map(|(_, first, offset)| self.fill_from(item, first, offset))
+        best.map(|(_, first, offset)| self.assign_adjacent_tasks(item, first, offset))
     }
 
-    /// Free accelerators left beside a gang on neighbouring workers from accelerator `offset` of
-    /// worker `first` on, without a gap that another task of it would fit in.
-    fn room_from(
+    /// Checks that the gang fits on consecutive workers, starting at accelerator `offset` of worker
+    /// `first`, without a gap in which another of its tasks would fit. Returns the number of free
+    /// accelerators adjacent to that placement, or none if the gang does not fit.
+    fn free_neighbours_from(
         &self,
         item: &work::WorkItem,
         adjacency: model::Adjacency,
@@ -232,7 +252,7 @@
     ) -> Option<u32> {
         let len = item.demand.accelerators;
         let mut left = item.tasks;
-        let mut beside = 0;
+        let mut leftover = 0;
         let mut start = offset;
         for (index, worker) in self.workers.iter().enumerate().skip(first) {
             let in_reach = match adjacency {
@@ -240,27 +260,28 @@
                 model::Adjacency::Rack => worker.rack == self.workers[first].rack,
                 model::Adjacency::Hall | model::Adjacency::Any => true,
             };
-            let n_tasks = left.min(worker.accelerators.saturating_sub(start) / len);
+            let n_tasks = left.min(worker.n_accelerators.saturating_sub(start) / len);
             let end = start + n_tasks * len;
             let fits = in_reach
                 && 0 < n_tasks
-                && n_tasks <= worker.spare_tasks(&item.demand)
-                && worker.is_run_free(start, end - start)
-                && self.takes(index, item);
+                && n_tasks <= worker.task_capacity(&item.demand)
+                && worker.is_range_free(start, end - start)
+                && self.accepts(index, item);
             if !fits {
                 return None;
             }
-            beside += worker.free_beside(start, end);
+            leftover += worker.free_neighbours(start, end);
             left -= n_tasks;
             if left == 0 {
-                return Some(beside);
+                return Some(leftover);
             }
             start = 0;
         }
         None
     }
 
-    fn fill_from(
+    /// Builds the placement that `free_neighbours_from` has checked.
+    fn assign_adjacent_tasks(
         &self,
         item: &work::WorkItem,
         first: usize,
@@ -271,33 +292,39 @@
         let mut index = first;
         let mut start = offset;
         for rank in 0..item.tasks {
-            if self.workers[index].accelerators < start + len {
+            if self.workers[index].n_accelerators < start + len {
                 index += 1;
                 start = 0;
             }
-            placement.push(self.task_slot(rank, index, start, len));
+            placement.push(self.task_assignment(rank, index, start, len));
             start += len;
         }
         placement
     }
 
-    fn task_slot(&self, rank: u32, index: usize, start: u32, len: u32) -> work::TaskAssignment {
-        let worker = self.names.names[index].clone();
+    fn task_assignment(
+        &self,
+        rank: u32,
+        index: usize,
+        start: u32,
+        len: u32,
+    ) -> work::TaskAssignment {
+        let worker = self.worker_names.by_index[index].clone();
         work::TaskAssignment { rank, worker, accelerators: (start..start + len).collect() }
     }
 
-    /// The same hall with nothing running and every worker live.
-    pub(crate) fn emptied(
+    /// Capacity of a hall with nothing running and every worker live.
+    pub(crate) fn unoccupied(
         hall: &model::HallLayout,
         config: &model::ConfigDocument,
     ) -> HallCapacity {
-        let mut room = HallCapacity::of(hall, config);
-        room.workers.iter_mut().for_each(|it| it.lost = false);
-        room
+        let mut capacity = HallCapacity::of(hall, config);
+        capacity.workers.iter_mut().for_each(|it| it.lost = false);
+        capacity
     }
 }
 
-/// A shape that did not fit in this turn; later work of the same shape does not either.
+/// Shape of a gang. If one gang does not fit, later ones of the same shape are skipped in that round.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ShapeKey {
     tasks: u32,
@@ -306,6 +333,7 @@
 }
 
 impl ShapeKey {
+    /// None for work that excludes workers, since its placement depends on more than the shape.
     pub(crate) fn of(item: &work::WorkItem) -> Option<ShapeKey> {
         let key = ShapeKey { tasks: item.tasks, demand: item.demand, adjacency: item.adjacency };
         item.exclude.is_empty().then_some(key)
--- a/crates/policy/src/baseline_first_fit.rs
+++ b/crates/policy/src/baseline_first_fit.rs
@@ -1,4 +1,4 @@
-//! Baseline: all waiting work in order of arrival, each at the first place that fits.
+//! Baseline policy: arrival order with first-fit placement.
 
 use std::sync::Arc;
 
@@ -11,7 +11,8 @@
 use crate::hall_policy;
 use crate::work;
 
-/// First fit in arrival order: whole gangs and adjacency, but no guarantees and no priorities.
+/// First fit in arrival order: starts only whole gangs and respects adjacency, but ignores guarantees
+/// and priorities.
 pub struct FirstFit {
     state: baseline_state::BaselineState,
 }
@@ -38,19 +39,23 @@
     }
 
     fn run_round(&mut self, now: time::WallTime) -> Vec<decision::Decision> {
-        let mut unfit = Vec::new();
+        let mut unfit_shapes = Vec::new();
         for work in self.state.ready(now) {
-            let item = &self.state.works[&work].item;
-            let key = baseline_capacity::ShapeKey::of(item);
-            if key.as_ref().is_some_and(|it| unfit.contains(it)) {
+            let item = &self.state.entries[&work].item;
+            let shape = baseline_capacity::ShapeKey::of(item);
+            if shape.as_ref().is_some_and(|it| unfit_shapes.contains(it)) {
                 continue;
             }
-            match self.state.free_capacity.place(item, baseline_capacity::PlacementChoice::First) {
+            match self
+                .state
+                .free_capacity
+                .find_placement(item, baseline_capacity::PlacementChoice::First)
+            {
                 Some(placement) => self.state.start(work, placement),
-                None => unfit.extend(key),
+                None => unfit_shapes.extend(shape),
             }
         }
-        std::mem::take(&mut self.state.out)
+        std::mem::take(&mut self.state.decisions)
     }
 
     fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
--- a/crates/policy/src/baseline_state.rs
+++ b/crates/policy/src/baseline_state.rs
@@ -1,4 +1,4 @@
-//! State that the baselines share: what waits and what runs.
+//! State shared by the baseline policies: the queue, the work in progress and the free capacity.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,48 +12,48 @@
 use crate::hall_policy;
 use crate::work;
 
-/// Failed attempts after which a baseline gives work up.
-const MAX_FAILURES: u32 = 5;
+/// Failed attempts of a work item after which a baseline finishes it as failed.
+const MAX_FAILED_ATTEMPTS: u32 = 5;
 
-/// Waiting works looked at in a turn, as batch schedulers commonly bound their backfill.
-const TESTED_WORKS: usize = 100;
+/// Waiting work items tested per round; batch schedulers commonly limit their backfill like this.
+const MAX_TESTED_PER_ROUND: usize = 100;
 
-/// Pause before work whose start failed is tried again.
-const START_BACKOFF: Duration = Duration::from_secs(1);
+/// Delay before a work item whose start failed may start again.
+const START_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Where work stands.
+/// Stage of a work item that has not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkStage {
-    /// Not before this time.
+    /// Queued; may start at this time or later.
     Waiting(time::WallTime),
-    /// Reserved; the start is not confirmed.
+    /// A start was decided and capacity allocated; the start is not confirmed yet.
     Starting,
-    /// Running since.
+    /// Running since this time.
     Running(time::WallTime),
 }
 
-/// Work that is not over.
+/// A work item that has not finished.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkEntry {
     pub(crate) item: work::WorkItem,
     pub(crate) stage: WorkStage,
     pub(crate) placement: Vec<work::TaskAssignment>,
-    position: u64,
+    arrival_number: u64,
     failures: u32,
-    ran: bool,
+    has_run: bool,
     cancelled: bool,
 }
 
-/// Everything a baseline knows.
+/// State of a baseline policy for one hall.
 pub(crate) struct BaselineState {
     pub(crate) config: Arc<model::ConfigDocument>,
     hall: model::HallLayout,
     pub(crate) free_capacity: baseline_capacity::HallCapacity,
-    empty: baseline_capacity::HallCapacity,
-    pub(crate) works: HashMap<work::WorkId, WorkEntry>,
+    unoccupied_hall: baseline_capacity::HallCapacity,
+    pub(crate) entries: HashMap<work::WorkId, WorkEntry>,
     pub(crate) queue: BTreeMap<(time::WallTime, u64), work::WorkId>,
-    pub(crate) out: Vec<decision::Decision>,
-    next_position: u64,
+    pub(crate) decisions: Vec<decision::Decision>,
+    next_arrival_number: u64,
     changed: bool,
     next_retry: Option<time::WallTime>,
 }
@@ -66,19 +66,19 @@
         let layout = find_hall(hall, &config)?.clone();
         Ok(BaselineState {
             free_capacity: baseline_capacity::HallCapacity::of(&layout, &config),
-            empty: baseline_capacity::HallCapacity::emptied(&layout, &config),
+            unoccupied_hall: baseline_capacity::HallCapacity::unoccupied(&layout, &config),
             hall: layout,
             config,
-            works: HashMap::new(),
+            entries: HashMap::new(),
             queue: BTreeMap::new(),
-            out: Vec::new(),
-            next_position: 0,
+            decisions: Vec::new(),
+            next_arrival_number: 0,
             changed: true,
             next_retry: None,
         })
     }
 
-    /// Takes a newer configuration of the same layout.
+    /// Applies a newer configuration. The layout of the hall must be unchanged: capacity is not recomputed.
     pub(crate) fn configure(
         &mut self,
         config: Arc<model::ConfigDocument>,
@@ -101,19 +101,24 @@
             event::HallEvent::StartFailed { work, .. } => self.start_failed(work, now),
             event::HallEvent::Checkpointed(_) => {}
             event::HallEvent::Ended { work, exit } => self.ended(work, exit, now),
-            event::HallEvent::WorkerLost(worker) => self.mark(&worker, |it| it.lost = true),
-            event::HallEvent::WorkerBack(worker) => self.mark(&worker, |it| it.lost = false),
+            event::HallEvent::WorkerLost(worker) => {
+                self.update_worker(&worker, |it| it.lost = true)
+            }
+            event::HallEvent::WorkerBack(worker) => {
+                self.update_worker(&worker, |it| it.lost = false)
+            }
             event::HallEvent::WorkerDraining(worker) => {
-                self.mark(&worker, |it| it.draining = true);
+                self.update_worker(&worker, |it| it.draining = true);
             }
             event::HallEvent::WorkerUndrained(worker) => {
-                self.mark(&worker, |it| it.draining = false);
+                self.update_worker(&worker, |it| it.draining = false);
             }
         }
     }
 
-    /// The first waiting works that may be tried now, in order of arrival; none where nothing has
-    /// arrived or become free since the last time.
+    /// Returns the first `MAX_TESTED_PER_ROUND` waiting work items that may start now, in arrival order.
+    /// Returns none if no event that can change the placement has arrived and no retry has come due
+    /// since the previous call.
     pub(crate) fn ready(&mut self, now: time::WallTime) -> Vec<work::WorkId> {
         if !std::mem::take(&mut self.changed) && self.next_retry.is_none_or(|it| now < it) {
             return Vec::new();
@@ -121,31 +126,31 @@
         self.next_retry = self.next_wake(now);
         self.queue
             .values()
-            .filter(|it| match self.works[*it].stage {
+            .filter(|it| match self.entries[*it].stage {
                 WorkStage::Waiting(not_before) => not_before <= now,
                 WorkStage::Starting | WorkStage::Running(_) => false,
             })
             .copied()
-            .take(TESTED_WORKS)
+            .take(MAX_TESTED_PER_ROUND)
             .collect()
     }
 
-    /// Starts waiting work.
+    /// Allocates the placement to a waiting work item and emits the start decision.
     pub(crate) fn start(&mut self, work: work::WorkId, placement: Vec<work::TaskAssignment>) {
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         entry.stage = WorkStage::Starting;
         entry.placement.clone_from(&placement);
-        self.free_capacity.take(&entry.item.demand, &placement);
-        self.queue.remove(&(entry.item.submitted_at, entry.position));
+        self.free_capacity.allocate(&entry.item.demand, &placement);
+        self.queue.remove(&(entry.item.submitted_at, entry.arrival_number));
         let reason = wait_reason(model::WaitCode::Queued, "it fits here");
-        self.out.push(decision::Decision::Start { work, placement, reason });
+        self.decisions.push(decision::Decision::Start { work, placement, reason });
     }
 
-    /// When work whose start failed is tried again.
+    /// Earliest time at which a work item whose start failed may start again.
     pub(crate) fn next_wake(&self, now: time::WallTime) -> Option<time::WallTime> {
         self.queue
             .values()
-            .filter_map(|it| match self.works[it].stage {
+            .filter_map(|it| match self.entries[it].stage {
                 WorkStage::Waiting(not_before) if now < not_before => Some(not_before),
                 WorkStage::Waiting(_) | WorkStage::Starting | WorkStage::Running(_) => None,
             })
@@ -153,7 +158,7 @@
     }
 
     pub(crate) fn reason(&self, work: &work::WorkId) -> Option<model::WaitReason> {
-        let entry = self.works.get(work)?;
+        let entry = self.entries.get(work)?;
         let (code, text) = match entry.stage {
             WorkStage::Waiting(_) => (model::WaitCode::NoCapacity, "waiting for room"),
             WorkStage::Starting => (model::WaitCode::Queued, "starting"),
@@ -163,13 +168,13 @@
     }
 
     pub(crate) fn admits(&self, item: &work::WorkItem) -> Result<(), model::WaitReason> {
-        match self.empty.place(item, baseline_capacity::PlacementChoice::First) {
+        match self.unoccupied_hall.find_placement(item, baseline_capacity::PlacementChoice::First) {
             Some(_) => Ok(()),
             None => Err(wait_reason(model::WaitCode::NeverFits, "the empty hall has no room")),
         }
     }
 
-    /// A picture with the queue only; operators never see a baseline.
+    /// A picture with the queue only, because baselines are never shown to operators.
     pub(crate) fn picture(&self) -> model::HallPicture {
         let queue = self.queue.values().map(|it| self.queue_view(it)).collect();
         model::HallPicture {
@@ -184,7 +189,7 @@
     }
 
     fn queue_view(&self, work: &work::WorkId) -> model::QueueView {
-        let item = &self.works[work].item;
+        let item = &self.entries[work].item;
         model::QueueView {
             job: *work,
             account: item.account.clone(),
@@ -195,23 +200,23 @@
     }
 
     fn arrived(&mut self, item: work::WorkItem, now: time::WallTime) {
-        if self.works.contains_key(&item.id) {
+        if self.entries.contains_key(&item.id) {
             return;
         }
         let work = item.id;
-        let position = self.next_position;
-        self.next_position += 1;
-        self.queue.insert((item.submitted_at, position), work);
+        let arrival_number = self.next_arrival_number;
+        self.next_arrival_number += 1;
+        self.queue.insert((item.submitted_at, arrival_number), work);
         let entry = WorkEntry {
             item,
             stage: WorkStage::Waiting(now),
             placement: Vec::new(),
-            position,
+            arrival_number,
             failures: 0,
-            ran: false,
+            has_run: false,
             cancelled: false,
         };
-        self.works.insert(work, entry);
+        self.entries.insert(work, entry);
     }
 
     fn adopted(
@@ -222,66 +227,66 @@
     ) {
         let work = item.id;
         self.arrived(item, started_at);
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         if !matches!(entry.stage, WorkStage::Waiting(_)) {
             return;
         }
-        self.queue.remove(&(entry.item.submitted_at, entry.position));
-        self.free_capacity.take(&entry.item.demand, &placement);
+        self.queue.remove(&(entry.item.submitted_at, entry.arrival_number));
+        self.free_capacity.allocate(&entry.item.demand, &placement);
         entry.stage = WorkStage::Running(started_at);
         entry.placement = placement;
-        entry.ran = true;
+        entry.has_run = true;
     }
 
     fn cancelled(&mut self, work: work::WorkId) {
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         if entry.cancelled {
             return;
         }
         entry.cancelled = true;
         if matches!(entry.stage, WorkStage::Waiting(_)) {
-            self.queue.remove(&(entry.item.submitted_at, entry.position));
-            self.finish(work, untouched_outcome);
+            self.queue.remove(&(entry.item.submitted_at, entry.arrival_number));
+            self.finish(work, outcome_while_waiting);
             return;
         }
         let reason = wait_reason(model::WaitCode::Queued, "cancelled");
         let after_stop = decision::AfterStop::End;
-        self.out.push(decision::Decision::Stop { work, after_stop, reason });
+        self.decisions.push(decision::Decision::Stop { work, after_stop, reason });
     }
 
     fn started(&mut self, work: work::WorkId, now: time::WallTime) {
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         if entry.stage == WorkStage::Starting {
             entry.stage = WorkStage::Running(now);
-            entry.ran = true;
+            entry.has_run = true;
         }
     }
 
     fn start_failed(&mut self, work: work::WorkId, now: time::WallTime) {
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         if entry.stage != WorkStage::Starting {
             return;
         }
         let placement = std::mem::take(&mut entry.placement);
-        self.free_capacity.give_back(&entry.item.demand, &placement);
+        self.free_capacity.release(&entry.item.demand, &placement);
         if entry.cancelled {
-            self.finish(work, untouched_outcome);
+            self.finish(work, outcome_while_waiting);
             return;
         }
-        let retry = now + START_BACKOFF;
+        let retry = now + START_RETRY_DELAY;
         entry.stage = WorkStage::Waiting(retry);
         self.next_retry = Some(self.next_retry.map_or(retry, |it| it.min(retry)));
-        self.queue.insert((entry.item.submitted_at, entry.position), work);
+        self.queue.insert((entry.item.submitted_at, entry.arrival_number), work);
     }
 
     fn ended(&mut self, work: work::WorkId, exit: event::WorkExit, now: time::WallTime) {
-        let Some(entry) = self.works.get_mut(&work) else { return };
+        let Some(entry) = self.entries.get_mut(&work) else { return };
         if matches!(entry.stage, WorkStage::Waiting(_)) {
             return;
         }
-        entry.ran = true;
+        entry.has_run = true;
         let placement = std::mem::take(&mut entry.placement);
-        self.free_capacity.give_back(&entry.item.demand, &placement);
+        self.free_capacity.release(&entry.item.demand, &placement);
         let class = self.config.classes.iter().find(|it| it.name == entry.item.class);
         let repeatable = class.is_some_and(|it| it.repeatable);
         match exit {
@@ -289,35 +294,39 @@
             event::WorkExit::Stopped => self.finish(work, |_| model::RequestOutcome::Failed),
             event::WorkExit::Failed { .. } | event::WorkExit::Lost { .. } => {
                 entry.failures += 1;
-                if entry.cancelled || !repeatable || MAX_FAILURES <= entry.failures {
+                if entry.cancelled || !repeatable || MAX_FAILED_ATTEMPTS <= entry.failures {
                     self.finish(work, |_| model::RequestOutcome::Failed);
                     return;
                 }
                 entry.stage = WorkStage::Waiting(now);
-                self.queue.insert((entry.item.submitted_at, entry.position), work);
+                self.queue.insert((entry.item.submitted_at, entry.arrival_number), work);
                 let reason = wait_reason(model::WaitCode::Queued, "it is tried again");
-                self.out.push(decision::Decision::Requeue { work, reason });
+                self.decisions.push(decision::Decision::Requeue { work, reason });
             }
         }
     }
 
     fn finish(&mut self, work: work::WorkId, outcome: fn(&WorkEntry) -> model::RequestOutcome) {
-        let Some(entry) = self.works.remove(&work) else { return };
+        let Some(entry) = self.entries.remove(&work) else { return };
         let reason = wait_reason(model::WaitCode::Queued, "over");
         let outcome = outcome(&entry);
-        self.out.push(decision::Decision::Finish { work, outcome, reason });
+        self.decisions.push(decision::Decision::Finish { work, outcome, reason });
     }
 
-    fn mark(&mut self, worker: &ids::WorkerId, change: fn(&mut baseline_capacity::WorkerCapacity)) {
+    fn update_worker(
+        &mut self,
+        worker: &ids::WorkerId,
+        change: fn(&mut baseline_capacity::WorkerCapacity),
+    ) {
         if let Some(worker) = self.free_capacity.worker_mut(worker) {
             change(worker);
         }
     }
 }
 
-/// Outcome of work that waits when it is given up.
-fn untouched_outcome(entry: &WorkEntry) -> model::RequestOutcome {
-    if entry.ran { model::RequestOutcome::Failed } else { model::RequestOutcome::NotRun }
+/// Outcome of a work item that is cancelled while it waits.
+fn outcome_while_waiting(entry: &WorkEntry) -> model::RequestOutcome {
+    if entry.has_run { model::RequestOutcome::Failed } else { model::RequestOutcome::NotRun }
 }
 
 fn find_hall<'a>(
