--- a/crates/policy/tests/fuzz/config_variants.rs
+++ b/crates/policy/tests/fuzz/config_variants.rs
@@ -1,30 +1,28 @@
-//! A small hall with everything that the policy tells apart, and other configurations of it.
+//! Configuration of a small hall with every kind of class and guarantee that the policy distinguishes,
+//! and variants of it.
 
 use std::time::Duration;
 
 use almondpass_schema::{model, time};
 
-/// Name of the hall.
 pub(crate) const HALL: &str = "rustavi";
-/// Accelerators of a worker.
 pub(crate) const WORKER_ACCELERATORS: u32 = 4;
-/// Cores of a worker.
 pub(crate) const WORKER_CORES: u32 = 8;
 /// Memory of a worker in MiB.
 pub(crate) const WORKER_MEMORY_MB: u64 = 8_192;
-/// Classes, by the number that a step names.
+/// Names of the job classes. A step refers to a class by its index.
 pub(crate) const CLASSES: [&str; 7] =
     ["ticket", "check", "slow-check", "certificate", "batch", "diagnosis", "report"];
-/// Accounts, by the number that a step names; the first is the large one.
+/// Ids of the client accounts. A step refers to an account by its index.
 pub(crate) const ACCOUNTS: [&str; 4] = ["large", "yard", "lab", "plain"];
-/// Configurations, by the number that a step names.
+/// Number of configurations. A step refers to a configuration by its number.
 pub(crate) const N_VARIANTS: u8 = 7;
-/// Those of them with another layout.
+/// Configurations whose hall layout differs from that of configuration 0.
 pub(crate) const LAYOUT_VARIANTS: [u8; 2] = [5, 6];
 
-/// One of the configurations; 0 is the first in force.
+/// Returns the configuration `variant`. A simulated hall starts with 0.
 pub(crate) fn document(variant: u8) -> model::ConfigDocument {
-    let mut document = base();
+    let mut document = base_document();
     match variant {
         1 => document.accounts[1].guarantees[0].accelerators = 2,
         2 => document.accounts[2].guarantees.clear(),
@@ -41,7 +39,7 @@
     document
 }
 
-fn base() -> model::ConfigDocument {
+fn base_document() -> model::ConfigDocument {
     model::ConfigDocument {
         site: "fuzz".to_owned(),
         objective: model::ObjectiveWeights { completion_time: 0.4, fragmentation: 0.6 },
--- a/crates/policy/tests/fuzz/simulated_hall.rs
+++ b/crates/policy/tests/fuzz/simulated_hall.rs
@@ -1,4 +1,4 @@
-//! Carries the policy's decisions out, with troubles, and has the oracle judge each of them.
+//! Simulated hall: executes the policy's decisions, injects faults, and has the oracle check each decision.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,166 +14,190 @@
 use crate::oracle::{self, HallOracle, Phase, TrackedWork};
 use crate::step;
 
-const BEGIN: time::WallTime = time::WallTime(Duration::from_secs(1_800_000_000));
-const START_TAKES: Duration = Duration::from_millis(10);
-const STOP_TAKES: Duration = Duration::from_millis(100);
-const CHECKPOINT_TAKES: Duration = Duration::from_secs(2);
-const LOSS_NOTICED: Duration = Duration::from_millis(500);
-const LEASE_TERM: Duration = Duration::from_secs(6);
-const POISON_TAKES: Duration = Duration::from_millis(200);
-/// A guarantee may be homeless for this long after a new start, when workers come back.
+const START_TIME: time::WallTime = time::WallTime(Duration::from_secs(1_800_000_000));
+/// From a start decision until the gang runs.
+const START_DELAY: Duration = Duration::from_millis(10);
+/// From a stop decision until the gang has ended.
+const STOP_DELAY: Duration = Duration::from_millis(100);
+const CHECKPOINT_DURATION: Duration = Duration::from_secs(2);
+/// From the death of a worker until its loss is reported.
+const LOSS_DETECTION_DELAY: Duration = Duration::from_millis(500);
+/// From the death of a worker until the work on it is reported as lost.
+const LEASE_DURATION: Duration = Duration::from_secs(6);
+/// From the start of a gang until it fails, if the work or one of its workers is faulty.
+const FAILURE_DELAY: Duration = Duration::from_millis(200);
+/// Guarantees may lack a home block for this long after a policy starts or is reconfigured, because its
+/// workers have only just been reported.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Turns without any time passing before the policy counts as spinning.
-const MOST_TURNS: usize = 1_000;
-/// Time for everything to end once nothing more arrives.
-const QUIET_TIME: Duration = Duration::from_secs(3 * 3_600);
+/// Rounds at one point in time after which the policy counts as looping endlessly.
+const MAX_ROUNDS: usize = 1_000;
+/// Time within which all work must finish after the last step of a case.
+const COMPLETION_TIME: Duration = Duration::from_secs(3 * 3_600);
 
-/// What a policy under test promises.
+/// A policy under test.
 pub(crate) trait FuzzedPolicy: hall_policy::HallPolicy {
-    /// Guarantees, bounds, limits and truth about work that never ran.
-    const FULL: bool;
+    /// Whether the policy keeps guarantees and the reclaim bound and supports changes of the hall layout.
+    const HAS_GUARANTEES: bool;
 
-    /// The policy's own checks.
-    fn check(&self, now: time::WallTime);
+    /// Panics if the policy's own invariants do not hold.
+    fn assert_invariants(&self, now: time::WallTime);
 }
 
+/// An event due later in simulated time. It is ignored if work `id` has since been started again or ended.
 #[derive(Clone, Debug, PartialEq)]
 enum PendingEvent {
-    Start { id: work::WorkId, start: u32 },
-    Checkpoint { id: work::WorkId, start: u32 },
-    Stop { id: work::WorkId, start: u32 },
-    End { id: work::WorkId, start: u32 },
-    Fail { id: work::WorkId, start: u32, worker: ids::WorkerId },
-    Lapse { id: work::WorkId, start: u32, worker: ids::WorkerId },
-    NoticeLoss { worker: ids::WorkerId },
+    Start { id: work::WorkId, start_number: u32 },
+    Checkpoint { id: work::WorkId, start_number: u32 },
+    Stop { id: work::WorkId, start_number: u32 },
+    End { id: work::WorkId, start_number: u32 },
+    Fail { id: work::WorkId, start_number: u32, worker: ids::WorkerId },
+    LeaseExpired { id: work::WorkId, start_number: u32, worker: ids::WorkerId },
+    ReportLoss { worker: ids::WorkerId },
 }
 
-/// A hall under test.
+/// A policy under test, the oracle, and the events due in simulated time.
 pub(crate) struct SimulatedHall<P> {
     policy: P,
     oracle: HallOracle,
     now: time::WallTime,
-    due: BTreeMap<(time::WallTime, u64), PendingEvent>,
-    next: u64,
-    trouble: Option<step::StartFailure>,
-    settled_at: time::WallTime,
-    told: Vec<HallEvent>,
+    /// By due time and number.
+    pending: BTreeMap<(time::WallTime, u64), PendingEvent>,
+    /// Number last given to a pending event or a work item.
+    last_number: u64,
+    /// Failure injected into the next start.
+    next_start_failure: Option<step::StartFailure>,
+    /// Guarantees are checked from this time on.
+    guarantees_checked_from: time::WallTime,
+    /// All events reported to the policy, for `FuzzStep::RepeatEvent`.
+    reported_events: Vec<HallEvent>,
 }
 
 impl<P: FuzzedPolicy> SimulatedHall<P> {
     pub(crate) fn new() -> SimulatedHall<P> {
         let document = Arc::new(config_variants::document(0));
-        let policy = new_policy::<P>(&document, BEGIN);
-        let mut world = SimulatedHall {
+        let policy = new_policy::<P>(&document, START_TIME);
+        let mut hall = SimulatedHall {
             policy,
             oracle: HallOracle {
                 document,
-                works: BTreeMap::new(),
+                work_by_id: BTreeMap::new(),
                 workers: BTreeMap::new(),
                 holders: BTreeMap::new(),
                 lost_guarantees: Default::default(),
-                calm_since: BEGIN,
+                claim_checks_from: START_TIME,
             },
-            now: BEGIN,
-            due: BTreeMap::new(),
-            next: 1,
-            trouble: None,
-            settled_at: BEGIN + SETTLE_TIME,
-            told: Vec::new(),
+            now: START_TIME,
+            pending: BTreeMap::new(),
+            last_number: 1,
+            next_start_failure: None,
+            guarantees_checked_from: START_TIME + SETTLE_TIME,
+            reported_events: Vec::new(),
         };
-        world.meet_workers();
-        world.pass(SETTLE_TIME);
-        world
+        hall.report_live_workers();
+        hall.pass_time(SETTLE_TIME);
+        hall
     }
 
-    pub(crate) fn step(&mut self, step: &step::FuzzStep) {
+    pub(crate) fn apply_step(&mut self, step: &step::FuzzStep) {
         match step {
-            step::FuzzStep::Arrive(it) => self.arrive(it),
+            step::FuzzStep::Arrive(it) => self.submit_arrival(it),
             step::FuzzStep::Claim { account, class, tasks, run } => {
-                self.claim(*account, *class, *tasks, *run);
+                self.submit_claim(*account, *class, *tasks, *run);
             }
             step::FuzzStep::Burst { account, class, count, run } => {
-                (0..*count).for_each(|_| self.request(*account, *class, *run));
+                (0..*count).for_each(|_| self.submit_request(*account, *class, *run));
+            }
+            step::FuzzStep::PassTime { millis } => {
+                self.pass_time(Duration::from_millis(u64::from(*millis)))
             }
-            step::FuzzStep::Pass { millis } => self.pass(Duration::from_millis(u64::from(*millis))),
             step::FuzzStep::Cancel { pick } => {
-                if let Some(id) = self.pick(*pick, |it| it.phase != Phase::Over) {
+                if let Some(id) = self.pick(*pick, |it| it.phase != Phase::Finished) {
                     self.cancel(id);
                 }
             }
-            step::FuzzStep::CancelWave { account } => self.cancel_wave(*account),
-            step::FuzzStep::TroubleStart(it) => {
-                self.trouble = Some(*it);
-                self.disturb();
+            step::FuzzStep::CancelAccount { account } => self.cancel_account(*account),
+            step::FuzzStep::FailNextStart(it) => {
+                self.next_start_failure = Some(*it);
+                self.suspend_claim_checks();
             }
             step::FuzzStep::FailRun { pick } => self.fail_run(*pick),
-            step::FuzzStep::Kill { worker } => self.kill(*worker),
-            step::FuzzStep::Return { worker } => self.bring_back(*worker),
-            step::FuzzStep::Drain { worker } => self.drain(*worker, true),
-            step::FuzzStep::Undrain { worker } => self.drain(*worker, false),
-            step::FuzzStep::Poison { worker } => self.poison(*worker, true),
-            step::FuzzStep::Heal { worker } => self.poison(*worker, false),
+            step::FuzzStep::Kill { worker } => self.kill_worker(*worker),
+            step::FuzzStep::Return { worker } => self.return_worker(*worker),
+            step::FuzzStep::Drain { worker } => self.set_drained(*worker, true),
+            step::FuzzStep::Undrain { worker } => self.set_drained(*worker, false),
+            step::FuzzStep::MakeFaulty { worker } => self.set_faulty(*worker, true),
+            step::FuzzStep::Repair { worker } => self.set_faulty(*worker, false),
             step::FuzzStep::Configure { variant } => self.configure(*variant),
             step::FuzzStep::TakeOver => self.take_over(),
-            step::FuzzStep::Repeat { pick } => self.repeat(*pick),
+            step::FuzzStep::RepeatEvent { pick } => self.repeat_event(*pick),
         }
-        self.turn();
-        self.check();
+        self.run_rounds();
+        self.check_state();
     }
 
-    /// Mends everything, lets time pass, and expects all work to be over.
-    pub(crate) fn settle(&mut self) {
-        self.trouble = None;
-        self.pass(LEASE_TERM);
+    /// Removes all faults, advances time by `COMPLETION_TIME` and checks that all work has finished.
+    pub(crate) fn finish_all_work(&mut self) {
+        self.next_start_failure = None;
+        self.pass_time(LEASE_DURATION);
         for worker in 0..self.oracle.workers.len() as u8 {
-            self.bring_back(worker);
-            self.drain(worker, false);
-            self.poison(worker, false);
+            self.return_worker(worker);
+            self.set_drained(worker, false);
+            self.set_faulty(worker, false);
         }
         self.configure(0);
-        self.turn();
-        self.pass(QUIET_TIME);
-        for (id, case) in &self.oracle.works {
-            // What was accepted by another configuration may have no place in this one.
-            if case.phase == Phase::Waiting && self.policy.admits(&case.item).is_err() {
+        self.run_rounds();
+        self.pass_time(COMPLETION_TIME);
+        for (id, tracked) in &self.oracle.work_by_id {
+            // Work admitted under another configuration may not fit in this one.
+            if tracked.phase == Phase::Waiting && self.policy.admits(&tracked.item).is_err() {
                 continue;
             }
             let reason = self.policy.reason(id, self.now);
-            assert_eq!(case.phase, Phase::Over, "{id} never ends: {reason:?} {case:?}");
+            assert_eq!(
+                tracked.phase,
+                Phase::Finished,
+                "{id} has not finished: {reason:?} {tracked:?}"
+            );
         }
-        assert!(self.oracle.holders.is_empty(), "held by nobody: {:?}", self.oracle.holders);
+        assert!(
+            self.oracle.holders.is_empty(),
+            "accelerators held after all work finished: {:?}",
+            self.oracle.holders
+        );
     }
 
-    fn tell(&mut self, event: HallEvent) {
-        self.told.push(event.clone());
+    fn report(&mut self, event: HallEvent) {
+        self.reported_events.push(event.clone());
         self.policy.apply(event, self.now);
     }
 
-    fn plan(&mut self, after: Duration, due: PendingEvent) {
-        self.next += 1;
-        self.due.insert((self.now + after, self.next), due);
+    fn schedule(&mut self, delay: Duration, event: PendingEvent) {
+        self.last_number += 1;
+        self.pending.insert((self.now + delay, self.last_number), event);
     }
 
-    /// Claims that wait are judged no more, and none that arrive soon.
-    fn disturb(&mut self) {
-        self.oracle.calm_since = self.now + self.oracle.document.bounds.reclaim.0 + LEASE_TERM;
-        for case in self.oracle.works.values_mut() {
-            case.due = None;
+    /// Exempts waiting claims from the reclaim bound, and those submitted soon after, because a fault
+    /// delays them.
+    fn suspend_claim_checks(&mut self) {
+        self.oracle.claim_checks_from =
+            self.now + self.oracle.document.bounds.reclaim.0 + LEASE_DURATION;
+        for tracked in self.oracle.work_by_id.values_mut() {
+            tracked.start_by = None;
         }
     }
 
     fn pick(&self, pick: u16, filter: impl Fn(&TrackedWork) -> bool) -> Option<work::WorkId> {
         let all: Vec<&work::WorkId> =
-            self.oracle.works.iter().filter(|(_, it)| filter(it)).map(|(id, _)| id).collect();
+            self.oracle.work_by_id.iter().filter(|(_, it)| filter(it)).map(|(id, _)| id).collect();
         all.get(usize::from(pick) % all.len().max(1)).map(|it| **it)
     }
 
-    fn worker(&self, number: u8) -> ids::WorkerId {
+    fn worker_id(&self, number: u8) -> ids::WorkerId {
         let all: Vec<&ids::WorkerId> = self.oracle.workers.keys().collect();
         all[usize::from(number) % all.len()].clone()
     }
 
-    fn meet_workers(&mut self) {
+    fn report_live_workers(&mut self) {
         for worker in self.oracle.racks().concat() {
             self.oracle.workers.entry(worker).or_default();
         }
@@ -185,12 +209,12 @@
             .map(|(id, _)| id.clone())
             .collect();
         for worker in live {
-            self.oracle.workers.get_mut(&worker).expect("known").told_lost = false;
-            self.tell(HallEvent::WorkerBack(worker));
+            self.oracle.workers.get_mut(&worker).expect("known").reported_lost = false;
+            self.report(HallEvent::WorkerBack(worker));
         }
     }
 
-    fn arrive(&mut self, it: &step::ArriveStep) {
+    fn submit_arrival(&mut self, it: &step::ArriveStep) {
         let class = self.oracle.class(config_variants::CLASSES[usize::from(it.class)]).clone();
         let is_request = class.kind == model::ClassKind::Request;
         let run = Duration::from_secs(u64::from(it.run));
@@ -200,51 +224,58 @@
             adjacency: if is_request { model::Adjacency::Worker } else { it.adjacency },
             declared_run: it.declared.map(|it| Duration::from_secs(it.into())),
             deadline: it.deadline.map(|it| self.now + Duration::from_secs(it.into())),
-            ..self.item(it.account, &class.name)
+            ..self.new_item(it.account, &class.name)
         };
-        // A request is cut off at its limit by whoever relays it.
+        // The process that relays a request ends it at its run time limit.
         let run = if is_request { run.min(class.max_run.0) } else { run };
         self.submit(item, run, it.faulty, false);
     }
 
-    fn request(&mut self, account: u8, class: u8, run: u16) {
+    fn submit_request(&mut self, account: u8, class: u8, run: u16) {
         let class = self.oracle.class(config_variants::CLASSES[usize::from(class)]).clone();
         let item = work::WorkItem {
             demand: demand(1, true),
             adjacency: model::Adjacency::Worker,
-            ..self.item(account, &class.name)
+            ..self.new_item(account, &class.name)
         };
         let run = Duration::from_secs(run.into()).min(class.max_run.0);
         self.submit(item, run, false, false);
     }
 
-    fn claim(&mut self, account: u8, class: u8, tasks: u8, run: u16) {
+    fn submit_claim(&mut self, account: u8, class: u8, tasks: u8, run: u16) {
         let id = config_variants::ACCOUNTS[usize::from(account)];
-        let owner = self.oracle.document.accounts.iter().find(|it| it.id == id);
-        let Some(shape) = owner.and_then(|it| it.guarantees.first()).cloned() else { return };
-        let most = shape.accelerators.min(config_variants::WORKER_ACCELERATORS);
-        let each = (1..=most)
+        let account_spec = self.oracle.document.accounts.iter().find(|it| it.id == id);
+        let Some(shape) = account_spec.and_then(|it| it.guarantees.first()).cloned() else {
+            return;
+        };
+        let max_per_task = shape.accelerators.min(config_variants::WORKER_ACCELERATORS);
+        let per_task = (1..=max_per_task)
             .rev()
             .find(|it| shape.accelerators % it == 0 && u32::from(tasks) <= shape.accelerators / it)
             .unwrap_or(1);
-        let alone =
-            !self.oracle.works.values().any(|it| it.item.account == id && it.phase != Phase::Over);
+        let is_only_work = !self
+            .oracle
+            .work_by_id
+            .values()
+            .any(|it| it.item.account == id && it.phase != Phase::Finished);
         let item = work::WorkItem {
-            tasks: shape.accelerators / each,
-            demand: demand(each, false),
+            tasks: shape.accelerators / per_task,
+            demand: demand(per_task, false),
             adjacency: shape.adjacency,
             guarantee: Some(shape.name),
-            ..self.item(account, config_variants::CLASSES[usize::from(class)])
+            ..self.new_item(account, config_variants::CLASSES[usize::from(class)])
         };
-        let judged = alone && self.oracle.is_calm() && self.oracle.calm_since <= self.now;
-        let judged = judged && self.oracle.lost_guarantees.is_empty();
-        self.submit(item, Duration::from_secs(run.into()), false, judged);
+        let must_start_in_time = is_only_work
+            && self.oracle.all_workers_healthy()
+            && self.oracle.claim_checks_from <= self.now;
+        let must_start_in_time = must_start_in_time && self.oracle.lost_guarantees.is_empty();
+        self.submit(item, Duration::from_secs(run.into()), false, must_start_in_time);
     }
 
-    fn item(&mut self, account: u8, class: &str) -> work::WorkItem {
-        self.next += 1;
+    fn new_item(&mut self, account: u8, class: &str) -> work::WorkItem {
+        self.last_number += 1;
         work::WorkItem {
-            id: Uuid::from_u128(self.next.into()),
+            id: Uuid::from_u128(self.last_number.into()),
             account: config_variants::ACCOUNTS[usize::from(account)].to_owned(),
             class: class.to_owned(),
             tasks: 1,
@@ -261,355 +292,405 @@
         }
     }
 
-    fn submit(&mut self, item: work::WorkItem, run: Duration, faulty: bool, judged: bool) {
+    fn submit(
+        &mut self,
+        item: work::WorkItem,
+        run: Duration,
+        faulty: bool,
+        must_start_in_time: bool,
+    ) {
         if self.policy.admits(&item).is_err() {
             return;
         }
-        let due = judged.then(|| self.now + self.oracle.document.bounds.reclaim.0);
-        let case = TrackedWork {
+        let start_by = must_start_in_time.then(|| self.now + self.oracle.document.bounds.reclaim.0);
+        let tracked = TrackedWork {
             item: item.clone(),
             run,
             faulty,
             phase: Phase::Waiting,
             placement: Vec::new(),
-            start: 0,
+            start_number: 0,
             ever_ran: false,
             cancelled: false,
             stopping: false,
-            due,
+            start_by,
         };
-        self.oracle.works.insert(item.id, case);
-        self.tell(HallEvent::Arrived(item));
+        self.oracle.work_by_id.insert(item.id, tracked);
+        self.report(HallEvent::Arrived(item));
     }
 
     fn cancel(&mut self, id: work::WorkId) {
-        self.oracle.works.get_mut(&id).expect("picked").cancelled = true;
-        self.tell(HallEvent::Cancelled(id));
+        self.oracle.work_by_id.get_mut(&id).expect("picked").cancelled = true;
+        self.report(HallEvent::Cancelled(id));
     }
 
-    fn cancel_wave(&mut self, account: u8) {
+    fn cancel_account(&mut self, account: u8) {
         let account = config_variants::ACCOUNTS[usize::from(account)];
-        let hit = |it: &&TrackedWork| it.item.account == account && it.phase != Phase::Over;
-        let wave: Vec<work::WorkId> =
-            self.oracle.works.values().filter(hit).map(|it| it.item.id).collect();
-        wave.into_iter().for_each(|it| self.cancel(it));
+        let is_affected =
+            |it: &&TrackedWork| it.item.account == account && it.phase != Phase::Finished;
+        let affected: Vec<work::WorkId> =
+            self.oracle.work_by_id.values().filter(is_affected).map(|it| it.item.id).collect();
+        affected.into_iter().for_each(|it| self.cancel(it));
     }
 
     fn fail_run(&mut self, pick: u16) {
-        let runs = |it: &TrackedWork| matches!(it.phase, Phase::Running(_));
-        let Some(id) = self.pick(pick, runs) else { return };
-        let case = &self.oracle.works[&id];
-        let worker = case.placement[0].worker.clone();
-        let start = case.start;
-        self.disturb();
-        self.plan(Duration::ZERO, PendingEvent::Fail { id, start, worker });
-    }
-
-    fn kill(&mut self, number: u8) {
-        let worker = self.worker(number);
-        let case = self.oracle.workers.get_mut(&worker).expect("named");
-        if case.dead {
+        let is_running = |it: &TrackedWork| matches!(it.phase, Phase::Running(_));
+        let Some(id) = self.pick(pick, is_running) else { return };
+        let tracked = &self.oracle.work_by_id[&id];
+        let worker = tracked.placement[0].worker.clone();
+        let start_number = tracked.start_number;
+        self.suspend_claim_checks();
+        self.schedule(Duration::ZERO, PendingEvent::Fail { id, start_number, worker });
+    }
+
+    fn kill_worker(&mut self, number: u8) {
+        let worker = self.worker_id(number);
+        let tracked = self.oracle.workers.get_mut(&worker).expect("named");
+        if tracked.dead {
             return;
         }
-        case.dead = true;
-        self.disturb();
-        let hit = |it: &&TrackedWork| {
-            oracle::holds(it) && it.placement.iter().any(|slot| slot.worker == worker)
+        tracked.dead = true;
+        self.suspend_claim_checks();
+        let is_affected = |it: &&TrackedWork| {
+            oracle::holds_accelerators(it)
+                && it.placement.iter().any(|assignment| assignment.worker == worker)
         };
-        let gangs: Vec<(work::WorkId, u32)> =
-            self.oracle.works.values().filter(hit).map(|it| (it.item.id, it.start)).collect();
-        for (id, start) in gangs {
-            // Whatever else was to come of this start is moot.
-            self.due.retain(|_, due| !due.is_of(id, start));
-            self.plan(LEASE_TERM, PendingEvent::Lapse { id, start, worker: worker.clone() });
+        let gangs: Vec<(work::WorkId, u32)> = self
+            .oracle
+            .work_by_id
+            .values()
+            .filter(is_affected)
+            .map(|it| (it.item.id, it.start_number))
+            .collect();
+        for (id, start_number) in gangs {
+            // The gang ends when the lease of the dead worker expires; its other pending events are void.
+            self.pending.retain(|_, event| !event.belongs_to(id, start_number));
+            self.schedule(
+                LEASE_DURATION,
+                PendingEvent::LeaseExpired { id, start_number, worker: worker.clone() },
+            );
         }
-        self.plan(LOSS_NOTICED, PendingEvent::NoticeLoss { worker });
+        self.schedule(LOSS_DETECTION_DELAY, PendingEvent::ReportLoss { worker });
     }
 
-    fn bring_back(&mut self, number: u8) {
-        let worker = self.worker(number);
-        let case = self.oracle.workers.get_mut(&worker).expect("named");
-        if !case.dead || !case.told_lost {
+    fn return_worker(&mut self, number: u8) {
+        let worker = self.worker_id(number);
+        let tracked = self.oracle.workers.get_mut(&worker).expect("named");
+        if !tracked.dead || !tracked.reported_lost {
             return;
         }
-        case.dead = false;
-        case.told_lost = false;
-        self.disturb();
-        self.tell(HallEvent::WorkerBack(worker));
+        tracked.dead = false;
+        tracked.reported_lost = false;
+        self.suspend_claim_checks();
+        self.report(HallEvent::WorkerBack(worker));
     }
 
-    fn drain(&mut self, number: u8, drained: bool) {
-        let worker = self.worker(number);
-        let case = self.oracle.workers.get_mut(&worker).expect("named");
-        if case.drained == drained {
+    fn set_drained(&mut self, number: u8, drained: bool) {
+        let worker = self.worker_id(number);
+        let tracked = self.oracle.workers.get_mut(&worker).expect("named");
+        if tracked.drained == drained {
             return;
         }
-        case.drained = drained;
-        self.disturb();
+        tracked.drained = drained;
+        self.suspend_claim_checks();
         let event = if drained {
             HallEvent::WorkerDraining(worker)
         } else {
             HallEvent::WorkerUndrained(worker)
         };
-        self.tell(event);
+        self.report(event);
     }
 
-    fn poison(&mut self, number: u8, poisoned: bool) {
-        let worker = self.worker(number);
-        self.oracle.workers.get_mut(&worker).expect("named").poisoned = poisoned;
-        self.disturb();
+    fn set_faulty(&mut self, number: u8, faulty: bool) {
+        let worker = self.worker_id(number);
+        self.oracle.workers.get_mut(&worker).expect("named").faulty = faulty;
+        self.suspend_claim_checks();
     }
 
     fn configure(&mut self, variant: u8) {
-        // Baselines know one layout.
-        if !P::FULL && config_variants::LAYOUT_VARIANTS.contains(&variant) {
+        // Baselines support a single layout.
+        if !P::HAS_GUARANTEES && config_variants::LAYOUT_VARIANTS.contains(&variant) {
             return;
         }
         let document = Arc::new(config_variants::document(variant));
         if self.policy.configure(document.clone(), self.now).is_err() {
             return;
         }
-        self.oracle.adopt(document);
-        self.settled_at = self.now + SETTLE_TIME;
-        self.disturb();
-        self.meet_workers();
-        self.tell_drains();
+        self.oracle.set_document(document);
+        self.guarantees_checked_from = self.now + SETTLE_TIME;
+        self.suspend_claim_checks();
+        self.report_live_workers();
+        self.report_drains();
     }
 
-    /// A worker that is in the configuration again has to be told of anew, drains included.
-    fn tell_drains(&mut self) {
+    /// Reports all drains. A worker that is back in the configuration must be reported again, including
+    /// its drain.
+    fn report_drains(&mut self) {
         let drained = self.oracle.workers.iter().filter(|(_, it)| it.drained);
         let drained: Vec<ids::WorkerId> = drained.map(|(id, _)| id.clone()).collect();
-        drained.into_iter().for_each(|it| self.tell(HallEvent::WorkerDraining(it)));
+        drained.into_iter().for_each(|it| self.report(HallEvent::WorkerDraining(it)));
     }
 
-    /// A new policy learns of everything as a new holder would.
+    /// Replaces the policy by a new one and reports the state of the hall to it, as to a new hall
+    /// scheduler.
     fn take_over(&mut self) {
-        self.disturb();
+        self.suspend_claim_checks();
         self.policy = new_policy::<P>(&self.oracle.document, self.now);
         self.oracle.lost_guarantees.clear();
-        self.settled_at = self.now + SETTLE_TIME;
-        for case in self.oracle.workers.values_mut() {
-            case.shunned = false;
-            case.told_lost = case.dead;
+        self.guarantees_checked_from = self.now + SETTLE_TIME;
+        for tracked in self.oracle.workers.values_mut() {
+            tracked.excluded_by_policy = false;
+            tracked.reported_lost = tracked.dead;
         }
-        self.meet_workers();
-        self.tell_drains();
-        let ids: Vec<work::WorkId> = self.oracle.works.keys().copied().collect();
-        ids.into_iter().for_each(|it| self.adopt(it));
-    }
-
-    fn adopt(&mut self, id: work::WorkId) {
-        let case = self.oracle.works.get_mut(&id).expect("known work");
-        let cancelled = case.cancelled;
-        let start = case.start;
-        let item = case.item.clone();
-        match case.phase {
-            Phase::Over => return,
+        self.report_live_workers();
+        self.report_drains();
+        let ids: Vec<work::WorkId> = self.oracle.work_by_id.keys().copied().collect();
+        ids.into_iter().for_each(|it| self.report_work(it));
+    }
+
+    fn report_work(&mut self, id: work::WorkId) {
+        let tracked = self.oracle.work_by_id.get_mut(&id).expect("known work");
+        let cancelled = tracked.cancelled;
+        let start_number = tracked.start_number;
+        let item = tracked.item.clone();
+        match tracked.phase {
+            Phase::Finished => return,
             Phase::Running(started_at) => {
-                let placement = case.placement.clone();
-                self.tell(HallEvent::Adopted { item, placement, started_at });
+                let placement = tracked.placement.clone();
+                self.report(HallEvent::Adopted { item, placement, started_at });
             }
             Phase::Waiting | Phase::Starting | Phase::Ended { .. } => {
-                case.phase = Phase::Waiting;
-                self.oracle.free(id);
-                self.due.retain(|_, due| !due.is_of(id, start));
-                self.tell(HallEvent::Arrived(item));
+                tracked.phase = Phase::Waiting;
+                self.oracle.release_accelerators(id);
+                self.pending.retain(|_, event| !event.belongs_to(id, start_number));
+                self.report(HallEvent::Arrived(item));
             }
         }
         if cancelled {
-            self.tell(HallEvent::Cancelled(id));
+            self.report(HallEvent::Cancelled(id));
         }
     }
 
-    /// Tells something again that is idempotent by its meaning.
-    fn repeat(&mut self, pick: u16) {
-        let Some(event) = self.told.get(usize::from(pick) % self.told.len().max(1)) else { return };
-        let again = match event {
-            HallEvent::Arrived(item) => self.oracle.works[&item.id].phase != Phase::Over,
+    /// Reports an earlier event again if it is idempotent: an arrival of unfinished work, or a
+    /// cancellation.
+    fn repeat_event(&mut self, pick: u16) {
+        let Some(event) =
+            self.reported_events.get(usize::from(pick) % self.reported_events.len().max(1))
+        else {
+            return;
+        };
+        let can_repeat = match event {
+            HallEvent::Arrived(item) => self.oracle.work_by_id[&item.id].phase != Phase::Finished,
             HallEvent::Cancelled(_) => true,
             _ => false,
         };
-        if again {
+        if can_repeat {
             self.policy.apply(event.clone(), self.now);
         }
     }
 
-    /// Lets time pass, moment by moment.
-    fn pass(&mut self, span: Duration) {
+    /// Advances time by `span`, stopping at each pending event and each wake-up time of the policy.
+    fn pass_time(&mut self, span: Duration) {
         let until = self.now + span;
         loop {
             let wake = self.policy.next_wake(self.now);
-            let due = self.due.keys().next().map(|(at, _)| *at);
-            let next = [wake, due].into_iter().flatten().min().unwrap_or(until);
-            if until <= next {
+            let next_pending = self.pending.keys().next().map(|(at, _)| *at);
+            let next_time = [wake, next_pending].into_iter().flatten().min().unwrap_or(until);
+            if until <= next_time {
                 break;
             }
-            self.now = next.max(self.now);
-            let mut stirred = false;
-            while let Some(entry) = self.due.first_entry() {
+            self.now = next_time.max(self.now);
+            let mut event_handled = false;
+            while let Some(entry) = self.pending.first_entry() {
                 if self.now < entry.key().0 {
                     break;
                 }
-                let due = entry.remove();
-                self.happen(due);
-                stirred = true;
+                let event = entry.remove();
+                self.handle_pending(event);
+                event_handled = true;
             }
-            if self.turn() || stirred {
-                self.check();
+            if self.run_rounds() || event_handled {
+                self.check_state();
             }
         }
         self.now = until;
     }
 
-    /// Turns until the policy has nothing left to do now; true where it decided something.
-    fn turn(&mut self) -> bool {
+    /// Runs rounds until the policy has nothing left to do at this time. Returns whether it decided
+    /// anything.
+    fn run_rounds(&mut self) -> bool {
         let mut decided = false;
-        let mut latest = Vec::new();
-        for _ in 0..MOST_TURNS {
-            latest = self.policy.run_round(self.now);
-            decided |= !latest.is_empty();
-            for decision in latest.clone() {
-                self.carry_out(decision);
+        let mut decisions = Vec::new();
+        for _ in 0..MAX_ROUNDS {
+            decisions = self.policy.run_round(self.now);
+            decided |= !decisions.is_empty();
+            for decision in decisions.clone() {
+                self.execute(decision);
             }
             if self.policy.next_wake(self.now).is_none_or(|it| self.now < it) {
                 return decided;
             }
         }
-        panic!("the policy wants turn after turn at {}: {latest:?}", self.now);
+        panic!(
+            "the policy still wants to run after {MAX_ROUNDS} rounds at {}: {decisions:?}",
+            self.now
+        );
     }
 
-    fn check(&mut self) {
-        self.policy.check(self.now);
-        for (id, case) in &self.oracle.works {
-            let over = case.phase == Phase::Over;
+    fn check_state(&mut self) {
+        self.policy.assert_invariants(self.now);
+        for (id, tracked) in &self.oracle.work_by_id {
+            let is_finished = tracked.phase == Phase::Finished;
             assert!(
-                over || self.policy.reason(id, self.now).is_some(),
-                "{id} is forgotten: {case:?}"
+                is_finished || self.policy.reason(id, self.now).is_some(),
+                "no reason for unfinished work {id}: {tracked:?}"
             );
-            let left = matches!(case.phase, Phase::Ended { .. });
-            assert!(!left, "{id} ended and nothing was decided: {case:?}");
+            let is_undecided = matches!(tracked.phase, Phase::Ended { .. });
+            assert!(!is_undecided, "{id} ended and was neither requeued nor finished: {tracked:?}");
         }
-        if P::FULL {
+        if P::HAS_GUARANTEES {
             self.oracle.check_claims(self.now);
-            if self.settled_at <= self.now {
+            if self.guarantees_checked_from <= self.now {
                 self.oracle.check_guarantees(self.now);
             }
         }
     }
 
-    fn happen(&mut self, due: PendingEvent) {
-        match due {
-            PendingEvent::Start { id, start } if self.is_at(id, start) => self.started(id, start),
-            PendingEvent::Checkpoint { id, start } if self.is_at(id, start) => {
-                let case = self.oracle.works.get_mut(&id).expect("current");
-                if let Phase::Running(since) = case.phase {
-                    let progress = self.now.since(since).saturating_sub(CHECKPOINT_TAKES);
-                    case.item.saved_run = case.item.saved_run.max(progress);
-                    self.tell(HallEvent::Checkpointed(id));
+    fn handle_pending(&mut self, event: PendingEvent) {
+        match event {
+            PendingEvent::Start { id, start_number } if self.is_current_start(id, start_number) => {
+                self.complete_start(id, start_number)
+            }
+            PendingEvent::Checkpoint { id, start_number }
+                if self.is_current_start(id, start_number) =>
+            {
+                let tracked = self.oracle.work_by_id.get_mut(&id).expect("current");
+                if let Phase::Running(since) = tracked.phase {
+                    let progress = self.now.since(since).saturating_sub(CHECKPOINT_DURATION);
+                    tracked.item.saved_run = tracked.item.saved_run.max(progress);
+                    self.report(HallEvent::Checkpointed(id));
                 }
             }
-            PendingEvent::Stop { id, start } if self.is_at(id, start) => {
-                self.ended(id, WorkExit::Stopped)
+            PendingEvent::Stop { id, start_number } if self.is_current_start(id, start_number) => {
+                self.end_work(id, WorkExit::Stopped)
             }
-            PendingEvent::End { id, start } if self.is_at(id, start) => {
-                self.ended(id, WorkExit::Succeeded);
+            PendingEvent::End { id, start_number } if self.is_current_start(id, start_number) => {
+                self.end_work(id, WorkExit::Succeeded);
             }
-            PendingEvent::Fail { id, start, worker } if self.is_at(id, start) => {
-                self.disturb();
-                self.ended(id, WorkExit::Failed { worker });
+            PendingEvent::Fail { id, start_number, worker }
+                if self.is_current_start(id, start_number) =>
+            {
+                self.suspend_claim_checks();
+                self.end_work(id, WorkExit::Failed { worker });
             }
-            PendingEvent::Lapse { id, start, worker } if self.is_at(id, start) => {
-                self.ended(id, WorkExit::Lost { worker });
+            PendingEvent::LeaseExpired { id, start_number, worker }
+                if self.is_current_start(id, start_number) =>
+            {
+                self.end_work(id, WorkExit::Lost { worker });
             }
-            PendingEvent::NoticeLoss { worker } => {
-                self.oracle.workers.get_mut(&worker).expect("named").told_lost = true;
-                self.tell(HallEvent::WorkerLost(worker));
+            PendingEvent::ReportLoss { worker } => {
+                self.oracle.workers.get_mut(&worker).expect("named").reported_lost = true;
+                self.report(HallEvent::WorkerLost(worker));
             }
             _ => {}
         }
     }
 
-    fn is_at(&self, id: work::WorkId, start: u32) -> bool {
-        let case = &self.oracle.works[&id];
-        case.start == start && oracle::holds(case)
+    fn is_current_start(&self, id: work::WorkId, start_number: u32) -> bool {
+        let tracked = &self.oracle.work_by_id[&id];
+        tracked.start_number == start_number && oracle::holds_accelerators(tracked)
     }
 
-    fn started(&mut self, id: work::WorkId, start: u32) {
-        let placement = self.oracle.works[&id].placement.clone();
+    fn complete_start(&mut self, id: work::WorkId, start_number: u32) {
+        let placement = self.oracle.work_by_id[&id].placement.clone();
         let dead = placement.iter().find(|it| self.oracle.workers[&it.worker].dead);
         let dead = dead.map(|it| it.worker.clone());
-        let trouble = dead.as_ref().map(|_| step::StartFailure::Unreachable);
-        if let Some(trouble) = trouble.or(self.trouble.take()) {
-            let fault = match trouble {
+        let failure = dead.as_ref().map(|_| step::StartFailure::Unreachable);
+        if let Some(failure) = failure.or(self.next_start_failure.take()) {
+            let fault = match failure {
                 step::StartFailure::Refused => StartFault::Refused,
                 step::StartFailure::Unreachable => StartFault::Unreachable,
                 step::StartFailure::Failed => StartFault::Failed,
             };
-            self.disturb();
-            self.oracle.free(id);
-            self.oracle.works.get_mut(&id).expect("current").phase = Phase::Waiting;
+            self.suspend_claim_checks();
+            self.oracle.release_accelerators(id);
+            self.oracle.work_by_id.get_mut(&id).expect("current").phase = Phase::Waiting;
             let worker = dead.or_else(|| placement.first().map(|it| it.worker.clone()));
-            self.tell(HallEvent::StartFailed { work: id, worker, fault });
+            self.report(HallEvent::StartFailed { work: id, worker, fault });
             return;
         }
-        let case = self.oracle.works.get_mut(&id).expect("current");
-        case.phase = Phase::Running(self.now);
-        case.ever_ran = true;
-        case.item.attempt += 1;
-        let left = case.run.saturating_sub(case.item.saved_run);
-        let faulty = case.faulty;
-        let bad = placement.iter().find(|it| self.oracle.workers[&it.worker].poisoned);
-        let bad = bad.or(placement.first().filter(|_| faulty)).map(|it| it.worker.clone());
-        match bad {
-            Some(worker) => self.plan(POISON_TAKES, PendingEvent::Fail { id, start, worker }),
-            None => self.plan(left, PendingEvent::End { id, start }),
+        let tracked = self.oracle.work_by_id.get_mut(&id).expect("current");
+        tracked.phase = Phase::Running(self.now);
+        tracked.ever_ran = true;
+        tracked.item.attempt += 1;
+        let remaining = tracked.run.saturating_sub(tracked.item.saved_run);
+        let faulty = tracked.faulty;
+        let fails_on = placement.iter().find(|it| self.oracle.workers[&it.worker].faulty);
+        let fails_on =
+            fails_on.or(placement.first().filter(|_| faulty)).map(|it| it.worker.clone());
+        match fails_on {
+            Some(worker) => {
+                self.schedule(FAILURE_DELAY, PendingEvent::Fail { id, start_number, worker })
+            }
+            None => self.schedule(remaining, PendingEvent::End { id, start_number }),
         }
-        self.tell(HallEvent::Started(id));
+        self.report(HallEvent::Started(id));
     }
 
-    fn ended(&mut self, id: work::WorkId, exit: WorkExit) {
-        self.oracle.free(id);
-        let case = self.oracle.works.get_mut(&id).expect("current");
-        // A stop that overtakes the start ends work that may have run.
-        case.item.attempt += u32::from(case.phase == Phase::Starting);
-        case.ever_ran = true;
-        case.phase = Phase::Ended { succeeded: exit == WorkExit::Succeeded };
-        self.tell(HallEvent::Ended { work: id, exit });
+    fn end_work(&mut self, id: work::WorkId, exit: WorkExit) {
+        self.oracle.release_accelerators(id);
+        let tracked = self.oracle.work_by_id.get_mut(&id).expect("current");
+        // A stop may take effect before the start is reported; the work counts as having run.
+        tracked.item.attempt += u32::from(tracked.phase == Phase::Starting);
+        tracked.ever_ran = true;
+        tracked.phase = Phase::Ended { succeeded: exit == WorkExit::Succeeded };
+        self.report(HallEvent::Ended { work: id, exit });
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn execute(&mut self, decision: Decision) {
         match decision {
             Decision::Start { work, placement, .. } => {
-                self.oracle.start(work, &placement);
-                let start = self.oracle.works[&work].start;
-                self.plan(START_TAKES, PendingEvent::Start { id: work, start });
+                self.oracle.record_start(work, &placement);
+                let start_number = self.oracle.work_by_id[&work].start_number;
+                self.schedule(START_DELAY, PendingEvent::Start { id: work, start_number });
             }
             Decision::Checkpoint { work, stop_by, .. } => {
-                let case = &self.oracle.works[&work];
-                assert!(oracle::holds(case), "checkpoint of {work} which does not run");
+                let tracked = &self.oracle.work_by_id[&work];
+                assert!(
+                    oracle::holds_accelerators(tracked),
+                    "checkpoint of {work}, which holds no accelerators"
+                );
                 let grace = stop_by.map_or(Duration::ZERO, |it| it.since(self.now));
-                let most = self.oracle.document.bounds.reclaim.0;
-                assert!(grace <= most, "{work} has {grace:?} for its checkpoint");
-                let start = case.start;
-                if self.oracle.class(&case.item.class).checkpoint {
-                    self.plan(CHECKPOINT_TAKES, PendingEvent::Checkpoint { id: work, start });
+                let max_grace = self.oracle.document.bounds.reclaim.0;
+                assert!(
+                    grace <= max_grace,
+                    "{work} gets {grace:?} for its checkpoint, more than {max_grace:?}"
+                );
+                let start_number = tracked.start_number;
+                if self.oracle.class(&tracked.item.class).checkpoint {
+                    self.schedule(
+                        CHECKPOINT_DURATION,
+                        PendingEvent::Checkpoint { id: work, start_number },
+                    );
                 }
             }
             Decision::Stop { work, after_stop, .. } => {
-                let start = self.oracle.works[&work].start;
-                assert!(oracle::holds(&self.oracle.works[&work]), "stop of idle {work}");
-                self.oracle.stop(work, after_stop);
-                // A worker that died stops nothing; its lease lapses.
-                self.plan(STOP_TAKES, PendingEvent::Stop { id: work, start });
+                let start_number = self.oracle.work_by_id[&work].start_number;
+                assert!(
+                    oracle::holds_accelerators(&self.oracle.work_by_id[&work]),
+                    "stop of {work}, which holds no accelerators"
+                );
+                self.oracle.record_stop(work, after_stop);
+                // On a dead worker the stop has no effect; the work ends when the lease expires.
+                self.schedule(STOP_DELAY, PendingEvent::Stop { id: work, start_number });
             }
-            Decision::Requeue { work, .. } => self.oracle.requeue(work),
-            Decision::Finish { work, outcome, .. } => self.oracle.finish(work, outcome),
+            Decision::Requeue { work, .. } => self.oracle.record_requeue(work),
+            Decision::Finish { work, outcome, .. } => self.oracle.record_finish(work, outcome),
             Decision::WorkerChanged { worker, state, .. } => {
-                let shunned =
+                let excluded_by_policy =
                     matches!(state, model::WorkerState::Quarantined | model::WorkerState::Probing);
-                if let Some(case) = self.oracle.workers.get_mut(&worker) {
-                    case.shunned = shunned;
+                if let Some(tracked) = self.oracle.workers.get_mut(&worker) {
+                    tracked.excluded_by_policy = excluded_by_policy;
                 }
             }
             Decision::GuaranteeChanged { account, guarantee, state, .. } => {
@@ -626,15 +707,17 @@
 }
 
 impl PendingEvent {
-    fn is_of(&self, work: work::WorkId, number: u32) -> bool {
+    fn belongs_to(&self, work: work::WorkId, number: u32) -> bool {
         match self {
-            PendingEvent::Start { id, start }
-            | PendingEvent::Checkpoint { id, start }
-            | PendingEvent::Stop { id, start }
-            | PendingEvent::End { id, start }
-            | PendingEvent::Fail { id, start, .. }
-            | PendingEvent::Lapse { id, start, .. } => *id == work && *start == number,
-            PendingEvent::NoticeLoss { .. } => false,
+            PendingEvent::Start { id, start_number }
+            | PendingEvent::Checkpoint { id, start_number }
+            | PendingEvent::Stop { id, start_number }
+            | PendingEvent::End { id, start_number }
+            | PendingEvent::Fail { id, start_number, .. }
+            | PendingEvent::LeaseExpired { id, start_number, .. } => {
+                *id == work && *start_number == number
+            }
+            PendingEvent::ReportLoss { .. } => false,
         }
     }
 }
@@ -643,7 +726,7 @@
     document: &Arc<model::ConfigDocument>,
     now: time::WallTime,
 ) -> P {
-    P::new(&config_variants::HALL.to_owned(), document.clone(), now).expect("a site that fits")
+    P::new(&config_variants::HALL.to_owned(), document.clone(), now).expect("a valid configuration")
 }
 
 fn demand(accelerators: u32, is_request: bool) -> work::TaskDemand {
--- a/crates/policy/tests/fuzz/step.rs
+++ b/crates/policy/tests/fuzz/step.rs
@@ -1,4 +1,4 @@
-//! What a case is made of, and how steps are drawn.
+//! Steps of a fuzz case and the strategies that generate them.
 
 use almondpass_schema::model;
 use proptest::prelude::{BoxedStrategy, Just, Strategy, any, prop_oneof};
@@ -7,7 +7,7 @@
 
 use crate::config_variants;
 
-/// Work that arrives.
+/// Arrival of one work item.
 #[derive(Clone, Debug)]
 pub(crate) struct ArriveStep {
     pub(crate) account: u8,
@@ -15,17 +15,17 @@
     pub(crate) tasks: u8,
     pub(crate) accelerators: u8,
     pub(crate) adjacency: model::Adjacency,
-    /// Declared run time in seconds, true or not.
+    /// Declared run time in seconds; independent of the actual one.
     pub(crate) declared: Option<u16>,
-    /// True run time in seconds.
+    /// Actual run time in seconds.
     pub(crate) run: u16,
     /// Deadline in seconds from now.
     pub(crate) deadline: Option<u16>,
-    /// It fails wherever it runs.
+    /// Whether the work fails on every worker.
     pub(crate) faulty: bool,
 }
 
-/// What goes wrong with the next start.
+/// Failure that is injected into the next start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartFailure {
     Refused,
@@ -33,40 +33,45 @@
     Failed,
 }
 
-/// One step of a case. Numbers pick among whatever there is, modulo its count.
+/// One step of a case. `pick` and `worker` index the work, events or workers that exist when the step
+/// runs, modulo their number.
 #[derive(Clone, Debug)]
 pub(crate) enum FuzzStep {
     Arrive(ArriveStep),
-    /// An account asks for the whole of a guaranteed shape, in this many tasks or fewer.
+    /// Work of the account claims its whole guaranteed shape. It has the smallest number of equal tasks
+    /// that is at least `tasks`, or else one task per accelerator. `run` is in seconds.
     Claim {
         account: u8,
         class: u8,
         tasks: u8,
         run: u16,
     },
-    /// Several small requests at once.
+    /// Several requests for one accelerator each, all at once. `run` is in seconds.
     Burst {
         account: u8,
         class: u8,
         count: u8,
         run: u16,
     },
-    Pass {
+    PassTime {
         millis: u32,
     },
     Cancel {
         pick: u16,
     },
-    CancelWave {
+    /// Cancels all unfinished work of the account.
+    CancelAccount {
         account: u8,
     },
-    TroubleStart(StartFailure),
+    FailNextStart(StartFailure),
     FailRun {
         pick: u16,
     },
+    /// The worker dies with everything that runs on it.
     Kill {
         worker: u8,
     },
+    /// A dead worker whose loss was reported comes back.
     Return {
         worker: u8,
     },
@@ -76,24 +81,26 @@
     Undrain {
         worker: u8,
     },
-    Poison {
+    /// Every task that starts on the worker fails, until `Repair`.
+    MakeFaulty {
         worker: u8,
     },
-    Heal {
+    Repair {
         worker: u8,
     },
     Configure {
         variant: u8,
     },
-    /// Another scheduler takes the hall over.
+    /// Another scheduler takes the hall over: a new policy is given the present state.
     TakeOver,
-    /// An event that was told before is told again.
-    Repeat {
+    /// Reports an earlier event again, if that event is idempotent.
+    RepeatEvent {
         pick: u16,
     },
 }
 
-/// Draws the steps; the oracle keeps the state, since only the policy's decisions decide it.
+/// Generates the steps. Its own state is empty: the state of the hall depends on the decisions of the
+/// policy, so the oracle tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct StepMachine;
 
@@ -109,25 +116,25 @@
         let worker = || 0_u8..8;
         let account = || 0_u8..config_variants::ACCOUNTS.len() as u8;
         prop_oneof![
-            30 => arrive().prop_map(FuzzStep::Arrive),
+            30 => arrival().prop_map(FuzzStep::Arrive),
             12 => claim(),
             6 => (account(), 0_u8..3, 2_u8..30, 1_u16..10).prop_map(
                 |(account, class, count, run)| FuzzStep::Burst { account, class, count, run }
             ),
-            30 => pass(),
+            30 => pass_time(),
             4 => any::<u16>().prop_map(|pick| FuzzStep::Cancel { pick }),
-            1 => account().prop_map(|account| FuzzStep::CancelWave { account }),
-            2 => trouble().prop_map(FuzzStep::TroubleStart),
+            1 => account().prop_map(|account| FuzzStep::CancelAccount { account }),
+            2 => start_failure().prop_map(FuzzStep::FailNextStart),
             2 => any::<u16>().prop_map(|pick| FuzzStep::FailRun { pick }),
             2 => worker().prop_map(|worker| FuzzStep::Kill { worker }),
             3 => worker().prop_map(|worker| FuzzStep::Return { worker }),
             1 => worker().prop_map(|worker| FuzzStep::Drain { worker }),
             2 => worker().prop_map(|worker| FuzzStep::Undrain { worker }),
-            1 => worker().prop_map(|worker| FuzzStep::Poison { worker }),
-            2 => worker().prop_map(|worker| FuzzStep::Heal { worker }),
+            1 => worker().prop_map(|worker| FuzzStep::MakeFaulty { worker }),
+            2 => worker().prop_map(|worker| FuzzStep::Repair { worker }),
             2 => (0..config_variants::N_VARIANTS).prop_map(|variant| FuzzStep::Configure { variant }),
             1 => Just(FuzzStep::TakeOver),
-            2 => any::<u16>().prop_map(|pick| FuzzStep::Repeat { pick }),
+            2 => any::<u16>().prop_map(|pick| FuzzStep::RepeatEvent { pick }),
         ]
         .boxed()
     }
@@ -135,7 +142,7 @@
     fn apply(_state: (), _transition: &FuzzStep) {}
 }
 
-fn arrive() -> impl Strategy<Value = ArriveStep> {
+fn arrival() -> impl Strategy<Value = ArriveStep> {
     let adjacency = sample::select(vec![
         model::Adjacency::Any,
         model::Adjacency::Worker,
@@ -180,11 +187,11 @@
     })
 }
 
-fn pass() -> impl Strategy<Value = FuzzStep> {
+fn pass_time() -> impl Strategy<Value = FuzzStep> {
     prop_oneof![1_u32..500, 500_u32..10_000, 10_000_u32..120_000]
-        .prop_map(|millis| FuzzStep::Pass { millis })
+        .prop_map(|millis| FuzzStep::PassTime { millis })
 }
 
-fn trouble() -> impl Strategy<Value = StartFailure> {
+fn start_failure() -> impl Strategy<Value = StartFailure> {
     sample::select(vec![StartFailure::Refused, StartFailure::Unreachable, StartFailure::Failed])
 }
