--- a/crates/policy/src/baseline_state.rs
+++ b/crates/policy/src/baseline_state.rs
@@ -51,10 +51,14 @@
     pub(crate) free_capacity: baseline_capacity::HallCapacity,
     unoccupied_hall: baseline_capacity::HallCapacity,
     pub(crate) entries: HashMap<work::WorkId, WorkEntry>,
+    /// Waiting work, by time of submission and number of arrival.
     pub(crate) queue: BTreeMap<(time::WallTime, u64), work::WorkId>,
+    /// Decisions to return from the current or next round.
     pub(crate) decisions: Vec<decision::Decision>,
     next_arrival_number: u64,
-    changed: bool,
+    /// Whether an event since the last call of `ready` may allow work to start.
+    start_may_be_possible: bool,
+    /// When `ready` returns work again even without such an event.
     next_retry: Option<time::WallTime>,
 }
 
@@ -73,7 +77,7 @@
             queue: BTreeMap::new(),
             decisions: Vec::new(),
             next_arrival_number: 0,
-            changed: true,
+            start_may_be_possible: true,
             next_retry: None,
         })
     }
@@ -89,7 +93,7 @@
     }
 
     pub(crate) fn apply(&mut self, event: event::HallEvent, now: time::WallTime) {
-        self.changed |=
+        self.start_may_be_possible |=
             !matches!(event, event::HallEvent::Started(_) | event::HallEvent::Checkpointed(_));
         match event {
             event::HallEvent::Arrived(item) => self.arrived(item, now),
@@ -120,7 +124,9 @@
     /// Returns none if no event that can change the placement has arrived and no retry has come due
     /// since the previous call.
     pub(crate) fn ready(&mut self, now: time::WallTime) -> Vec<work::WorkId> {
-        if !std::mem::take(&mut self.changed) && self.next_retry.is_none_or(|it| now < it) {
+        if !std::mem::take(&mut self.start_may_be_possible)
+            && self.next_retry.is_none_or(|it| now < it)
+        {
             return Vec::new();
         }
         self.next_retry = self.next_wake(now);
