--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -122,8 +122,8 @@
     request::HallRequest => on_request -> ();
     sync_task::SyncReport => on_synced -> ();
     gang_task::GangReserved => on_gang_reserved -> oneshot::Receiver<bool>;
-    gang_task::GangReport => on_gang_report -> ();
-    serve_task::ServeReport => on_serve_report -> ();
+    gang_task::GangStartReport => on_gang_report -> ();
+    serve_task::ReserveReport => on_reserve_report -> ();
     commit::CommitReport => on_committed -> ();
     intent_task::AppendReport => on_appended -> ();
     intent_task::SealReport => on_sealed -> ();
@@ -221,7 +221,7 @@
             return;
         }
         if let Some(freeze) = self.freeze.take() {
-            self.grants.drop_waiting();
+            self.grants.drop_reply_senders();
             let _ = freeze.send(());
         }
     }
--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -11,7 +11,7 @@
 use crate::actor::HallActor;
 use crate::backend;
 use crate::grant_table::{self, GrantStage};
-use crate::grants::{RETRY_SOON, RETRY_STORE};
+use crate::grants::{RETRY_AFTER, STORE_RETRY_AFTER};
 use crate::hall_layout;
 use crate::intent_book;
 use crate::request;
@@ -53,7 +53,7 @@
         if !self.may_act() {
             let text = "the scheduler renews its tenure";
             let code = model::WaitCode::SchedulerStarting;
-            return Admission::Answer(grant_table::busy(code, text, RETRY_SOON));
+            return Admission::Answer(grant_table::busy_reply(code, text, RETRY_AFTER));
         }
         if let Some(answer) = self.refuse_class(&call) {
             return Admission::Answer(answer);
@@ -70,21 +70,21 @@
             return Admission::Answer(answer);
         }
         if let Some(answer) = self.check_limits(&call) {
-            return Admission::Answer(grant_table::unrecorded(answer));
+            return Admission::Answer(grant_table::mark_unrecorded(answer));
         }
         let left = call.deadline.since(self.wall());
         if left.is_zero() {
             let text = "the deadline passed before the request arrived";
             let code = model::WaitCode::DeadlineMissed;
-            let answer = grant_table::busy(code, text, RETRY_SOON);
-            return Admission::Answer(grant_table::unrecorded(answer));
+            let answer = grant_table::busy_reply(code, text, RETRY_AFTER);
+            return Admission::Answer(grant_table::mark_unrecorded(answer));
         }
         let now = Instant::now();
-        let work = grant_table::GrantWork {
+        let work = grant_table::GrantEntry {
             call,
             reply: None,
             class,
-            arrived: now,
+            arrived_at: now,
             stage: GrantStage::Waiting,
             until: now + left,
         };
@@ -97,25 +97,25 @@
         };
         if self.config.account(&call.account).is_none() {
             let text = format!("expected a known client account, found {}", call.account);
-            return Some(grant_table::refused(model::WaitCode::UnknownAccount, text));
+            return Some(grant_table::refused_reply(model::WaitCode::UnknownAccount, text));
         }
         if class.kind != model::ClassKind::Request {
             let text = format!("expected a class for requests, found {}", call.class);
-            return Some(grant_table::refused(model::WaitCode::NotPermitted, text));
+            return Some(grant_table::refused_reply(model::WaitCode::NotPermitted, text));
         }
         None
     }
 
     /// An entry that lost the answer asks again under the same request.
     fn repeated_ask(&mut self, call: &model::GrantRequest) -> Option<Admission> {
-        let grant = self.grants.grant_of(&call.request)?;
+        let grant = self.grants.find_by_request(&call.request)?;
         let work = self.grants.get(&grant)?;
         let same = work.call.attempt == call.attempt && work.call.entry == call.entry;
         match &work.stage {
             GrantStage::Granted { grant: told, .. } if same => {
                 let told = told.clone();
                 let until = Instant::now() + self.options.call_deadline() + told.term.0;
-                self.grants.set_until(&grant, until);
+                self.grants.set_expiry(&grant, until);
                 Some(Admission::Answer(model::GrantReply::Granted { grant: told }))
             }
             GrantStage::Granted { .. } if work.class.repeatable => {
@@ -137,7 +137,7 @@
         let Some((key, made_at)) = call.idempotency.and_then(|it| Some((it, home::key_time(&it)?)))
         else {
             let text = "expected an idempotency key that is a UUIDv7";
-            return Some(grant_table::refused(model::WaitCode::KeyRequired, text));
+            return Some(grant_table::refused_reply(model::WaitCode::KeyRequired, text));
         };
         let window = self.config.document.bounds.idempotency_window.0;
         let now = self.wall();
@@ -145,19 +145,23 @@
         // would know. "Not run" is true of this request: it is not sent.
         if made_at + window < now {
             let text = format!("expected a key younger than {window:?}");
-            return Some(grant_table::refused(model::WaitCode::KeyTooOld, text));
+            return Some(grant_table::refused_reply(model::WaitCode::KeyTooOld, text));
         }
         if now + intent_book::CLOCK_SLACK < made_at {
             let text = "expected a key that was made before now";
-            return Some(grant_table::refused(model::WaitCode::KeyRequired, text));
+            return Some(grant_table::refused_reply(model::WaitCode::KeyRequired, text));
         }
         if !self.is_home(class, &key) {
             let text = "another hall keeps the record of this key";
-            return Some(grant_table::busy(model::WaitCode::Queued, text, RETRY_SOON));
+            return Some(grant_table::busy_reply(model::WaitCode::Queued, text, RETRY_AFTER));
         }
         if !self.intents.sealed {
             let text = "the record of keys is being read";
-            return Some(grant_table::busy(model::WaitCode::StoreUnavailable, text, RETRY_STORE));
+            return Some(grant_table::busy_reply(
+                model::WaitCode::StoreUnavailable,
+                text,
+                STORE_RETRY_AFTER,
+            ));
         }
         if let intent_book::KeyStanding::Recorded { request, outcome } =
             self.intents.book.standing(&call.account, key)
@@ -165,7 +169,7 @@
             return Some(model::GrantReply::Recorded { outcome, request });
         }
         // Another request under this key waits for its slot: of the two only one may be sent.
-        self.grants.under_key(&call.account, key).map(|(_, it)| in_progress(it.call.request))
+        self.grants.find_by_key(&call.account, key).map(|(_, it)| in_progress(it.call.request))
     }
 
     fn is_home(&self, class: &model::JobClass, key: &ids::IdempotencyKey) -> bool {
@@ -180,7 +184,7 @@
         let n_waiting = self.grants.n_waiting(&call.account);
         if (limits.queued_requests as usize) <= n_waiting {
             let text = format!("{n_waiting} requests of the account wait already");
-            return Some(grant_table::busy(model::WaitCode::AccountLimit, text, RETRY_SOON));
+            return Some(grant_table::busy_reply(model::WaitCode::AccountLimit, text, RETRY_AFTER));
         }
         None
     }
@@ -188,10 +192,10 @@
     pub(crate) fn work_item(
         &self,
         grant: ids::GrantId,
-        work: &grant_table::GrantWork,
+        work: &grant_table::GrantEntry,
     ) -> work::WorkItem {
         let mut exclude = work.call.exclude.clone();
-        exclude.extend(self.workers_without(&work.class.upstream));
+        exclude.extend(self.workers_without_upstream(&work.class.upstream));
         work::WorkItem {
             id: grant,
             account: work.call.account.clone(),
@@ -207,7 +211,7 @@
             guarantee: None,
             declared_run: None,
             deadline: Some(work.call.deadline),
-            submitted_at: self.wall() - work.arrived.elapsed(),
+            submitted_at: self.wall() - work.arrived_at.elapsed(),
             attempt: work.call.attempt,
             saved_run: Duration::ZERO,
             exclude,
@@ -216,7 +220,7 @@
     }
 
     /// Live workers on which an upstream leaves, is drained or does not run.
-    pub(crate) fn workers_without(&self, upstream: &str) -> Vec<ids::WorkerId> {
+    pub(crate) fn workers_without_upstream(&self, upstream: &str) -> Vec<ids::WorkerId> {
         let nodes = self.nodes.iter().filter(|(_, it)| it.entry.is_some() && !it.draining);
         let without = nodes.filter(|(name, _)| !self.has_upstream(name, upstream));
         without.map(|(name, _)| name.clone()).collect()
@@ -232,12 +236,12 @@
 enum Admission {
     Answer(model::GrantReply),
     Join(ids::GrantId),
-    Arrived(ids::GrantId, Box<grant_table::GrantWork>),
+    Arrived(ids::GrantId, Box<grant_table::GrantEntry>),
 }
 
 fn unknown_class(call: &model::GrantRequest) -> model::GrantReply {
     let text = format!("expected a known job class, found {}", call.class);
-    grant_table::refused(model::WaitCode::UnknownClass, text)
+    grant_table::refused_reply(model::WaitCode::UnknownClass, text)
 }
 
 /// A key in progress is never sent a second time, and "not run" would be a lie.
--- a/crates/hall/src/adopt.rs
+++ b/crates/hall/src/adopt.rs
@@ -62,7 +62,7 @@
 
 /// Releases what is entered for release and waits for it, so that the first decisions do not meet
 /// leases of earlier tenures.
-pub(crate) async fn release_strays<B: backend::HallBackend>(actor: &mut HallActor<B>) {
+pub(crate) async fn release_stray_leases<B: backend::HallBackend>(actor: &mut HallActor<B>) {
     let mut tasks = JoinSet::new();
     for (worker, node) in &actor.nodes {
         let leases = actor.leases.in_state(worker, LeaseState::Releasing);
@@ -142,7 +142,7 @@
     if cancelled {
         apply(actor, event::HallEvent::Cancelled(job));
     }
-    actor.look_at_gang(job);
+    actor.advance_gang(job);
 }
 
 /// Members of the latest start of which every rank runs, or may run on a worker that did not
@@ -239,8 +239,8 @@
             accelerators: member.slot.accelerators.clone(),
             demand,
             state: LeaseState::Held,
-            firm_until: now + left,
-            gone_by: now + term + actor.options.lease_margin(),
+            valid_until: now + left,
+            expired_by: now + term + actor.options.lease_margin(),
         });
     }
     let placement = members.iter().map(|it| it.slot.clone()).collect();
@@ -301,7 +301,7 @@
     purpose: LeasePurpose,
     until: Instant,
 ) {
-    let class = HallActor::<B>::class_like(&actor.config, status.accelerators.len());
+    let class = HallActor::<B>::class_for_serving_lease(&actor.config, status.accelerators.len());
     let (Some(class), Some(account)) = (class, actor.config.document.accounts.first()) else {
         return;
     };
@@ -334,8 +334,8 @@
         accelerators: status.accelerators.clone(),
         demand,
         state: LeaseState::Held,
-        firm_until: now + status.remaining.0,
-        gone_by: now + actor.options.lease_term() + actor.options.lease_margin(),
+        valid_until: now + status.remaining.0,
+        expired_by: now + actor.options.lease_term() + actor.options.lease_margin(),
     });
     let slot = AdoptedSlot { work: item.id, grant: None, until };
     actor.grants.adopted.insert(lease, slot);
@@ -352,7 +352,7 @@
                 continue;
             }
             if let Some(purpose) = LeasePurpose::parse(&status.lease) {
-                actor.enter_stray(worker, purpose, status.accelerators.clone());
+                actor.insert_stray_lease(worker, purpose, status.accelerators.clone());
             }
         }
     }
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -40,11 +40,11 @@
         for lease in &leases {
             self.release(lease);
         }
-        self.look_at_gang(job);
+        self.advance_gang(job);
     }
 
     /// A member's lease lapsed: the others stop too.
-    pub(crate) fn member_lapsed(
+    pub(crate) fn on_member_lapsed(
         &mut self,
         job: ids::JobId,
         start: lease::StartNumber,
@@ -67,24 +67,24 @@
         let lapsed = self
             .leases
             .iter()
-            .filter(|(_, it)| it.state == LeaseState::Held && it.firm_until <= now);
+            .filter(|(_, it)| it.state == LeaseState::Held && it.valid_until <= now);
         let lapsed = lapsed.filter_map(|(_, it)| match it.purpose {
             lease::LeasePurpose::Task { job, start, .. } => Some((job, start, it.worker.clone())),
             lease::LeasePurpose::Serve { .. } => None,
         });
         for (job, start, worker) in lapsed.collect::<Vec<_>>() {
-            self.member_lapsed(job, start, &worker);
+            self.on_member_lapsed(job, start, &worker);
         }
         for (lease, entry) in self.leases.expire(now) {
             self.grants.idle.remove(&lease);
             if let lease::LeasePurpose::Task { job, .. } = entry.purpose {
-                self.look_at_gang(job);
+                self.advance_gang(job);
             }
         }
     }
 
     /// Sees what follows from a gang's members.
-    pub(crate) fn look_at_gang(&mut self, job: ids::JobId) {
+    pub(crate) fn advance_gang(&mut self, job: ids::JobId) {
         let Some(gang) = self.jobs.entries.get(&job).and_then(|it| it.gang.as_ref()) else {
             return;
         };
--- a/crates/hall/src/gang_task.rs
+++ b/crates/hall/src/gang_task.rs
@@ -59,18 +59,18 @@
 }
 
 /// What became of a start.
-pub(crate) struct GangReport {
+pub(crate) struct GangStartReport {
     /// The job.
     pub(crate) job: ids::JobId,
     /// This start of it.
     pub(crate) start: lease::StartNumber,
     /// How it went.
-    pub(crate) outcome: GangOutcome,
+    pub(crate) outcome: GangStartOutcome,
 }
 
 /// How a start went.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum GangOutcome {
+pub(crate) enum GangStartOutcome {
     /// Every member runs.
     Started,
     /// A member could not be reserved. No start was sent to anybody, so nothing ran.
@@ -101,7 +101,7 @@
     reports: xtra::WeakAddress<actor::HallActor<B>>,
 ) {
     let outcome = start::<B>(&workers, &tenure, &plan, &reports).await;
-    let report = GangReport { job: plan.job, start: plan.start, outcome };
+    let report = GangStartReport { job: plan.job, start: plan.start, outcome };
     let _ = reports.send(report).await;
 }
 
@@ -110,7 +110,7 @@
     tenure: &tenure::TenureWatch,
     plan: &GangPlan,
     reports: &xtra::WeakAddress<actor::HallActor<B>>,
-) -> GangOutcome {
+) -> GangStartOutcome {
     let sent_at = match reserve_all(workers, tenure, plan).await {
         Ok(sent_at) => sent_at,
         Err(outcome) => return outcome,
@@ -118,11 +118,11 @@
     let reserved = GangReserved { job: plan.job, start: plan.start, sent_at };
     // The scheduler answers after it has looked whether the job was cancelled meanwhile and,
     // for work that is not repeatable, after the row says that a start may have been sent.
-    let Ok(go_ahead) = reports.send(reserved).await else { return GangOutcome::Withdrawn };
+    let Ok(go_ahead) = reports.send(reserved).await else { return GangStartOutcome::Withdrawn };
     let go_ahead = go_ahead.await.unwrap_or(false);
     // A holder that was paused here may have lost its tenure, and its reservations.
     if !go_ahead || !tenure.may_act() {
-        return GangOutcome::Withdrawn;
+        return GangStartOutcome::Withdrawn;
     }
     start_all(workers, plan).await
 }
@@ -131,7 +131,7 @@
     workers: &W,
     tenure: &tenure::TenureWatch,
     plan: &GangPlan,
-) -> Result<Vec<(u32, Instant)>, GangOutcome> {
+) -> Result<Vec<(u32, Instant)>, GangStartOutcome> {
     let mut tasks = JoinSet::new();
     for member in plan.members.clone() {
         let workers = workers.clone();
@@ -152,20 +152,21 @@
             ReserveOutcome::Granted => sent.push((member.rank, sent_at)),
             ReserveOutcome::Refused { holders } => {
                 let fault = event::StartFault::Refused;
-                failure = Some(GangOutcome::NotReserved { worker: member.worker, fault, holders });
+                failure =
+                    Some(GangStartOutcome::NotReserved { worker: member.worker, fault, holders });
             }
-            ReserveOutcome::Unsent | ReserveOutcome::Unsure => {
+            ReserveOutcome::Unsent | ReserveOutcome::Ambiguous => {
                 let fault = event::StartFault::Unreachable;
                 let holders = Vec::new();
                 let worker = member.worker;
-                failure.get_or_insert(GangOutcome::NotReserved { worker, fault, holders });
+                failure.get_or_insert(GangStartOutcome::NotReserved { worker, fault, holders });
             }
         }
     }
     match failure {
-        Some(_) if !tenure.may_act() => Err(GangOutcome::Withdrawn),
+        Some(_) if !tenure.may_act() => Err(GangStartOutcome::Withdrawn),
         Some(failure) => Err(failure),
-        None if sent.len() < plan.members.len() => Err(GangOutcome::Withdrawn),
+        None if sent.len() < plan.members.len() => Err(GangStartOutcome::Withdrawn),
         None => Ok(sent),
     }
 }
@@ -178,7 +179,7 @@
     let _ = tokio::time::timeout(deadline, workers.release(&member.address, release)).await;
 }
 
-async fn start_all<W: WorkerControl>(workers: &W, plan: &GangPlan) -> GangOutcome {
+async fn start_all<W: WorkerControl>(workers: &W, plan: &GangPlan) -> GangStartOutcome {
     let mut tasks = JoinSet::new();
     for member in &plan.members {
         let workers = workers.clone();
@@ -198,10 +199,10 @@
     let mut failure = None;
     while let Some(Ok((worker, outcome))) = tasks.join_next().await {
         if let Some(fault) = outcome {
-            failure = Some(GangOutcome::NotStarted { worker, fault });
+            failure = Some(GangStartOutcome::NotStarted { worker, fault });
         }
     }
-    failure.unwrap_or(GangOutcome::Started)
+    failure.unwrap_or(GangStartOutcome::Started)
 }
 
 /// Starts one task; asks again where the answer is lost, for a worker starts nothing twice.
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -15,7 +15,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     /// Decisions about jobs.
-    pub(crate) fn decide_job(&mut self, decision: decision::Decision) {
+    pub(crate) fn apply_job_decision(&mut self, decision: decision::Decision) {
         match decision {
             decision::Decision::Start { work, placement, reason } => {
                 self.start_gang(work, placement, reason);
@@ -103,7 +103,7 @@
         let mut members = Vec::new();
         let mut plans = Vec::new();
         for slot in placement {
-            let evict = self.make_room(slot, &demand);
+            let evict = self.evict_idle_leases(slot, &demand);
             let purpose = lease::LeasePurpose::Task { job, start, rank: slot.rank };
             let name = self.insert_reserving(purpose, slot, demand);
             let node = self.nodes.get(&slot.worker);
@@ -156,7 +156,7 @@
         let leases = self.member_leases(reserved.job, reserved.start);
         for (rank, sent_at) in &reserved.sent_at {
             if let Some((_, lease)) = leases.iter().find(|(it, _)| it == rank) {
-                self.note_reserved(lease, *sent_at);
+                self.extend_lease(lease, *sent_at);
             }
         }
         let Some(entry) = self.jobs.entries.get_mut(&reserved.job) else { return receiver };
@@ -185,7 +185,7 @@
     }
 
     /// The row says that a start may have been sent: send it.
-    pub(crate) fn release_logged_start(&mut self, job: ids::JobId) {
+    pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
         let firm = self.is_firm();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
@@ -202,7 +202,7 @@
         }
     }
 
-    pub(crate) fn on_gang_report(&mut self, report: gang_task::GangReport) {
+    pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
         let wall = self.wall();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
@@ -212,7 +212,7 @@
         gang.reported = true;
         let unwanted = cancelled || gang.stop_wanted;
         match report.outcome {
-            gang_task::GangOutcome::Started => {
+            gang_task::GangStartOutcome::Started => {
                 gang.phase = GangPhase::Running;
                 gang.started_at = Instant::now();
                 entry.record.state = model::JobState::Running;
@@ -230,18 +230,18 @@
                     self.stop_gang(job, GangEnding::Ended(event::WorkExit::Stopped));
                 }
             }
-            gang_task::GangOutcome::NotReserved { worker, fault, holders } => {
+            gang_task::GangStartOutcome::NotReserved { worker, fault, holders } => {
                 metric::start_failed(&self.hall);
-                self.release_strays(&worker, &holders);
+                self.release_stray_leases(&worker, &holders);
                 let worker = Some(worker);
                 self.stop_gang(job, GangEnding::NotStarted { worker, fault });
             }
-            gang_task::GangOutcome::Withdrawn => {
+            gang_task::GangStartOutcome::Withdrawn => {
                 self.start_was_not_sent(job);
                 let fault = event::StartFault::Withdrawn;
                 self.stop_gang(job, GangEnding::NotStarted { worker: None, fault });
             }
-            gang_task::GangOutcome::NotStarted { worker, fault } => {
+            gang_task::GangStartOutcome::NotStarted { worker, fault } => {
                 metric::start_failed(&self.hall);
                 let worker = Some(worker);
                 self.stop_gang(job, GangEnding::NotStarted { worker, fault });
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -10,7 +10,7 @@
 use crate::actor::HallActor;
 use crate::backend;
 use crate::grant_table::{self, GrantStage};
-use crate::grants::RETRY_SOON;
+use crate::grants::RETRY_AFTER;
 use crate::lease_table;
 use crate::metric;
 use crate::request;
@@ -33,7 +33,7 @@
         let adopted = self.grants.adopted.iter();
         let mut adopted = adopted.filter(|(_, it)| it.grant == Some(returned.grant));
         if let Some(lease) = adopted.next().map(|(lease, _)| lease.clone()) {
-            self.end_adopted(&lease);
+            self.end_adopted_lease(&lease);
         }
     }
 
@@ -45,26 +45,26 @@
             }
         }
         self.grants.unreported.remove(&report.entry);
-        self.settle_adopted();
+        self.release_unused_adopted();
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
 
     /// Once every entry has said which grants of earlier tenures it uses, the other serving
     /// leases of those are free.
-    pub(crate) fn settle_adopted(&mut self) {
+    pub(crate) fn release_unused_adopted(&mut self) {
         if !self.grants.unreported.is_empty() {
             return;
         }
         let unused = self.grants.adopted.iter().filter(|(_, it)| it.grant.is_none());
         let unused = unused.map(|(lease, _)| lease.clone()).collect::<Vec<_>>();
         for lease in unused {
-            self.end_adopted(&lease);
+            self.end_adopted_lease(&lease);
         }
     }
 
     /// Nobody uses a serving lease of an earlier tenure any more. It is released, not used on:
     /// its holder may still run, cut off from the table, and grant from it.
-    fn end_adopted(&mut self, lease: &ids::LeaseId) {
+    fn end_adopted_lease(&mut self, lease: &ids::LeaseId) {
         let Some(slot) = self.grants.adopted.remove(lease) else { return };
         self.release(lease);
         let exit = event::WorkExit::Stopped;
@@ -81,10 +81,10 @@
         let Some(work) = self.grants.remove(&grant) else { return };
         self.log_outcome(grant, outcome);
         metric::outcome(&work.call.account, &work.call.class, outcome);
-        metric::completion(&work.call.account, &work.call.class, work.arrived.elapsed());
+        metric::completion(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         let GrantStage::Granted { grant: slot, since } = &work.stage else { return };
         metric::run(&work.call.account, &work.call.class, since.elapsed());
-        self.keep_idle(&slot.lease);
+        self.keep_idle_lease(&slot.lease);
         let exit = match outcome {
             _ if worker_fault => event::WorkExit::Failed { worker: slot.worker.clone() },
             // The request's own failure says nothing against the worker.
@@ -100,18 +100,18 @@
     }
 
     /// A request that has no grant gets its last answer.
-    pub(crate) fn give_up(&mut self, grant: ids::GrantId, answer: model::GrantReply) {
+    pub(crate) fn abandon_request(&mut self, grant: ids::GrantId, answer: model::GrantReply) {
         let Some(mut work) = self.grants.remove(&grant) else { return };
         if let Some(lease) = work.lease().cloned() {
-            self.keep_idle(&lease);
+            self.keep_idle_lease(&lease);
         }
         // A keyed request waits only after its key was looked up.
-        work.answer(grant_table::unrecorded(answer));
+        work.answer(grant_table::mark_unrecorded(answer));
         metric::outcome(&work.call.account, &work.call.class, model::RequestOutcome::NotRun);
         self.tell(event::HallEvent::Cancelled(grant));
         if !work.is_waiting() {
             let fault = event::StartFault::Withdrawn;
-            self.withdraw_from_policy(grant, fault, None);
+            self.report_start_failure(grant, fault, None);
         }
     }
 
@@ -123,17 +123,17 @@
         );
         let answer = match never {
             true => model::GrantReply::Refused { reason, unrecorded: true },
-            false => model::GrantReply::Busy { reason, retry_after: RETRY_SOON, unrecorded: true },
+            false => model::GrantReply::Busy { reason, retry_after: RETRY_AFTER, unrecorded: true },
         };
         // Proof for "not run": a request without a grant was sent by nobody.
         if self.grants.get(&grant).is_some_and(|it| it.is_waiting()) {
-            self.give_up(grant, answer);
+            self.abandon_request(grant, answer);
         }
     }
 
     /// Gives up requests and grants whose time is over.
     pub(crate) fn expire_grants(&mut self, now: Instant) {
-        for grant in self.grants.due(now) {
+        for grant in self.grants.expired(now) {
             let granted = self.grants.get(&grant).map(|it| it.stage.clone());
             match granted {
                 Some(GrantStage::Granted { .. }) => {
@@ -147,13 +147,13 @@
                     let text = reason.map_or_else(String::new, |it| format!(": {}", it.text));
                     let text = format!("no slot before the deadline{text}");
                     let code = model::WaitCode::DeadlineMissed;
-                    self.give_up(grant, grant_table::busy(code, text, RETRY_SOON));
+                    self.abandon_request(grant, grant_table::busy_reply(code, text, RETRY_AFTER));
                 }
             }
         }
         let adopted = self.grants.adopted.iter().filter(|(_, it)| it.until <= now);
         for lease in adopted.map(|(lease, _)| lease.clone()).collect::<Vec<_>>() {
-            self.end_adopted(&lease);
+            self.end_adopted_lease(&lease);
         }
         let idle = self.grants.idle.iter().filter(|(_, it)| **it <= now);
         for lease in idle.map(|(lease, _)| lease.clone()).collect::<Vec<_>>() {
@@ -162,7 +162,7 @@
     }
 
     /// Keeps a serving lease for the next request of its place.
-    pub(crate) fn keep_idle(&mut self, lease: &ids::LeaseId) {
+    pub(crate) fn keep_idle_lease(&mut self, lease: &ids::LeaseId) {
         let held = self.leases.get(lease);
         if held.is_some_and(|it| it.state == lease_table::LeaseState::Held) {
             self.grants.idle.insert(lease.clone(), Instant::now() + LINGER);
@@ -176,7 +176,7 @@
 
     /// A class whose requests look like a serving lease, for the policy's books: who is charged
     /// for the seconds until it is settled does not matter.
-    pub(crate) fn class_like(
+    pub(crate) fn class_for_serving_lease(
         config: &active::ActiveConfig,
         n_accelerators: usize,
     ) -> Option<&model::JobClass> {
@@ -186,11 +186,11 @@
     }
 
     /// Decisions about requests.
-    pub(crate) fn decide_request(&mut self, decision: decision::Decision) {
+    pub(crate) fn apply_request_decision(&mut self, decision: decision::Decision) {
         match decision {
             decision::Decision::Start { work, placement, .. } => match placement.first() {
                 Some(slot) if placement.len() == 1 => self.place_request(work, slot),
-                _ => self.withdraw_from_policy(work, event::StartFault::Withdrawn, None),
+                _ => self.report_start_failure(work, event::StartFault::Withdrawn, None),
             },
             decision::Decision::Finish { work, reason, .. } => self.finish_request(work, reason),
             // A request is never stopped in the middle: its bytes are between entry and
--- a/crates/hall/src/grant_table.rs
+++ b/crates/hall/src/grant_table.rs
@@ -34,7 +34,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub(crate) struct GrantWork {
+pub(crate) struct GrantEntry {
     /// What was asked.
     pub(crate) call: model::GrantRequest,
     /// Where the answer goes; `None` once it is given.
@@ -42,7 +42,7 @@
     /// Its class as it was on arrival.
     pub(crate) class: model::JobClass,
     /// When it arrived.
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// How far it has come.
     pub(crate) stage: GrantStage,
     /// When it is given up: the caller's deadline, or the end of the grant's term.
@@ -63,7 +63,7 @@
 /// Requests by grant, and the serving leases under them.
 #[derive(Debug, Default)]
 pub(crate) struct GrantTable {
-    works: BTreeMap<ids::GrantId, GrantWork>,
+    entries: BTreeMap<ids::GrantId, GrantEntry>,
     by_request: HashMap<ids::RequestId, ids::GrantId>,
     timers: BTreeSet<(Instant, ids::GrantId)>,
     /// Serving leases that no request uses, and until when they are kept.
@@ -76,30 +76,30 @@
 
 impl GrantTable {
     /// Adds a request.
-    pub(crate) fn insert(&mut self, grant: ids::GrantId, work: GrantWork) {
+    pub(crate) fn insert(&mut self, grant: ids::GrantId, work: GrantEntry) {
         self.by_request.insert(work.call.request, grant);
         self.timers.insert((work.until, grant));
-        self.works.insert(grant, work);
+        self.entries.insert(grant, work);
     }
 
     /// The request of a grant.
-    pub(crate) fn get(&self, grant: &ids::GrantId) -> Option<&GrantWork> {
-        self.works.get(grant)
+    pub(crate) fn get(&self, grant: &ids::GrantId) -> Option<&GrantEntry> {
+        self.entries.get(grant)
     }
 
     /// The request of a grant.
-    pub(crate) fn get_mut(&mut self, grant: &ids::GrantId) -> Option<&mut GrantWork> {
-        self.works.get_mut(grant)
+    pub(crate) fn get_mut(&mut self, grant: &ids::GrantId) -> Option<&mut GrantEntry> {
+        self.entries.get_mut(grant)
     }
 
     /// The grant under which a request waits or runs.
-    pub(crate) fn grant_of(&self, request: &ids::RequestId) -> Option<ids::GrantId> {
+    pub(crate) fn find_by_request(&self, request: &ids::RequestId) -> Option<ids::GrantId> {
         self.by_request.get(request).copied()
     }
 
     /// Moves the time at which a request is given up.
-    pub(crate) fn set_until(&mut self, grant: &ids::GrantId, until: Instant) {
-        if let Some(work) = self.works.get_mut(grant) {
+    pub(crate) fn set_expiry(&mut self, grant: &ids::GrantId, until: Instant) {
+        if let Some(work) = self.entries.get_mut(grant) {
             self.timers.remove(&(work.until, *grant));
             work.until = until;
             self.timers.insert((until, *grant));
@@ -107,8 +107,8 @@
     }
 
     /// Forgets a request.
-    pub(crate) fn remove(&mut self, grant: &ids::GrantId) -> Option<GrantWork> {
-        let work = self.works.remove(grant)?;
+    pub(crate) fn remove(&mut self, grant: &ids::GrantId) -> Option<GrantEntry> {
+        let work = self.entries.remove(grant)?;
         self.timers.remove(&(work.until, *grant));
         if self.by_request.get(&work.call.request) == Some(grant) {
             self.by_request.remove(&work.call.request);
@@ -117,54 +117,54 @@
     }
 
     /// Requests whose time is over by `now`.
-    pub(crate) fn due(&self, now: Instant) -> Vec<ids::GrantId> {
+    pub(crate) fn expired(&self, now: Instant) -> Vec<ids::GrantId> {
         self.timers.iter().take_while(|(at, _)| *at <= now).map(|(_, it)| *it).collect()
     }
 
     /// When the next request's time is over.
-    pub(crate) fn next_due(&self) -> Option<Instant> {
+    pub(crate) fn next_expiry(&self) -> Option<Instant> {
         self.timers.first().map(|(at, _)| *at)
     }
 
     /// Requests of an account that wait.
     pub(crate) fn n_waiting(&self, account: &str) -> usize {
-        let waiting = self.works.values().filter(|it| it.is_waiting());
+        let waiting = self.entries.values().filter(|it| it.is_waiting());
         waiting.filter(|it| it.call.account == account).count()
     }
 
     /// Grants that wait for a slot.
-    pub(crate) fn waiting(&self) -> Vec<ids::GrantId> {
-        let waiting = self.works.iter().filter(|(_, it)| it.is_waiting());
+    pub(crate) fn waiting_grants(&self) -> Vec<ids::GrantId> {
+        let waiting = self.entries.iter().filter(|(_, it)| it.is_waiting());
         waiting.map(|(grant, _)| *grant).collect()
     }
 
     /// Whether a request is between placement and grant.
     pub(crate) fn is_starting(&self) -> bool {
-        self.works
+        self.entries
             .values()
             .any(|it| matches!(it.stage, GrantStage::Reserving { .. } | GrantStage::Logging { .. }))
     }
 
     /// Forgets who waits for an answer, so that they ask the next holder.
-    pub(crate) fn drop_waiting(&mut self) {
-        for work in self.works.values_mut() {
+    pub(crate) fn drop_reply_senders(&mut self) {
+        for work in self.entries.values_mut() {
             work.reply = None;
         }
     }
 
     /// Waiting or running request under an idempotency key.
-    pub(crate) fn under_key(
+    pub(crate) fn find_by_key(
         &self,
         account: &str,
         key: ids::IdempotencyKey,
-    ) -> Option<(&ids::GrantId, &GrantWork)> {
-        self.works
+    ) -> Option<(&ids::GrantId, &GrantEntry)> {
+        self.entries
             .iter()
             .find(|(_, it)| it.call.idempotency == Some(key) && it.call.account == account)
     }
 }
 
-impl GrantWork {
+impl GrantEntry {
     /// Whether the policy has not placed it yet.
     pub(crate) fn is_waiting(&self) -> bool {
         self.stage == GrantStage::Waiting
@@ -186,7 +186,7 @@
 }
 
 /// "Not now; nothing was sent", with when to come back.
-pub(crate) fn busy(
+pub(crate) fn busy_reply(
     code: model::WaitCode,
     text: impl Into<String>,
     retry_after: time::TimeSpan,
@@ -196,7 +196,7 @@
 }
 
 /// "Never here; nothing was sent".
-pub(crate) fn refused(code: model::WaitCode, text: impl Into<String>) -> model::GrantReply {
+pub(crate) fn refused_reply(code: model::WaitCode, text: impl Into<String>) -> model::GrantReply {
     let reason = model::WaitReason { code, text: text.into(), until: None };
     model::GrantReply::Refused { reason, unrecorded: false }
 }
@@ -204,7 +204,7 @@
 /// Adds that the key was looked up and is not on record. Without it "nothing was sent" is true of
 /// this request only: the key may have been used before, and its caller must not be told that the
 /// work did not run.
-pub(crate) fn unrecorded(mut reply: model::GrantReply) -> model::GrantReply {
+pub(crate) fn mark_unrecorded(mut reply: model::GrantReply) -> model::GrantReply {
     if let model::GrantReply::Busy { unrecorded, .. }
     | model::GrantReply::Refused { unrecorded, .. } = &mut reply
     {
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -34,11 +34,11 @@
     /// The upstream left the worker since the request arrived: let the policy place it again.
     fn place_elsewhere(&mut self, grant: ids::GrantId) {
         self.tell(event::HallEvent::Cancelled(grant));
-        self.withdraw_from_policy(grant, event::StartFault::Withdrawn, None);
+        self.report_start_failure(grant, event::StartFault::Withdrawn, None);
         let Some(work) = self.grants.remove(&grant) else { return };
         let again = Uuid::now_v7();
         let item = self.work_item(again, &work);
-        self.grants.insert(again, grant_table::GrantWork { stage: GrantStage::Waiting, ..work });
+        self.grants.insert(again, grant_table::GrantEntry { stage: GrantStage::Waiting, ..work });
         self.tell(event::HallEvent::Arrived(item));
     }
 
@@ -53,7 +53,7 @@
                 && it.accelerators == slot.accelerators
                 && demand.cores <= it.demand.cores
                 && demand.memory_mb <= it.demand.memory_mb
-                && needed_until < it.firm_until
+                && needed_until < it.valid_until
         });
         fitting.map(|(name, _)| name.clone()).next()
     }
@@ -73,11 +73,11 @@
         let node = self.nodes.get(&slot.worker);
         let Some(address) = node.and_then(|it| it.address().cloned()) else {
             let worker = Some(slot.worker.clone());
-            self.withdraw_from_policy(grant, event::StartFault::Unreachable, worker);
+            self.report_start_failure(grant, event::StartFault::Unreachable, worker);
             self.reset_waiting(grant);
             return;
         };
-        let evict = self.make_room(slot, &demand);
+        let evict = self.evict_idle_leases(slot, &demand);
         let purpose = lease::LeasePurpose::Serve { epoch: self.tenure.epoch(), id: Uuid::new_v4() };
         let name = self.insert_reserving(purpose, slot, demand);
         let reserve = self.reservation(&name, slot, &demand);
@@ -85,7 +85,7 @@
             work.stage = GrantStage::Reserving { lease: name };
         }
         let deadline = self.options.call_deadline();
-        let plan = serve_task::ServePlan { grant, address, evict, reserve, deadline };
+        let plan = serve_task::ReservePlan { grant, address, evict, reserve, deadline };
         let (workers, tenure, reports) =
             (self.ports.workers.clone(), self.tenure.clone(), self.reports());
         tokio::spawn(async move {
@@ -93,24 +93,24 @@
         });
     }
 
-    pub(crate) fn on_serve_report(&mut self, report: serve_task::ServeReport) {
+    pub(crate) fn on_reserve_report(&mut self, report: serve_task::ReserveReport) {
         let wanted = self.grants.get(&report.grant).is_some_and(
             |it| matches!(&it.stage, GrantStage::Reserving { lease } if *lease == report.lease),
         );
         let worker = self.leases.get(&report.lease).map(|it| it.worker.clone());
         match report.outcome {
             ReserveOutcome::Granted => {
-                self.note_reserved(&report.lease, report.sent_at);
+                self.extend_lease(&report.lease, report.sent_at);
                 if wanted {
                     self.on_slot_held(report.grant, report.lease);
                 } else {
-                    self.keep_idle(&report.lease);
+                    self.keep_idle_lease(&report.lease);
                 }
             }
             ReserveOutcome::Refused { ref holders } => {
                 self.leases.remove(&report.lease);
                 if let Some(worker) = &worker {
-                    self.release_strays(worker, holders);
+                    self.release_stray_leases(worker, holders);
                 }
                 self.slot_failed(wanted, &report, event::StartFault::Refused, worker);
             }
@@ -118,7 +118,7 @@
                 self.leases.remove(&report.lease);
                 self.slot_failed(wanted, &report, event::StartFault::Unreachable, worker);
             }
-            ReserveOutcome::Unsure => {
+            ReserveOutcome::Ambiguous => {
                 self.release(&report.lease);
                 self.slot_failed(wanted, &report, event::StartFault::Unreachable, worker);
             }
@@ -129,12 +129,12 @@
     fn slot_failed(
         &mut self,
         wanted: bool,
-        report: &serve_task::ServeReport,
+        report: &serve_task::ReserveReport,
         fault: event::StartFault,
         worker: Option<ids::WorkerId>,
     ) {
         if wanted {
-            self.withdraw_from_policy(report.grant, fault, worker);
+            self.report_start_failure(report.grant, fault, worker);
             self.reset_waiting(report.grant);
         }
     }
@@ -146,7 +146,7 @@
     }
 
     /// Tells the policy that a start came to nothing; the request waits on.
-    pub(crate) fn withdraw_from_policy(
+    pub(crate) fn report_start_failure(
         &mut self,
         grant: ids::GrantId,
         fault: event::StartFault,
@@ -160,7 +160,7 @@
         let now = Instant::now();
         let worker = self.leases.get(&lease).map(|it| it.worker.clone()).unwrap_or_default();
         let Some(work) = self.grants.get_mut(&grant) else {
-            self.keep_idle(&lease);
+            self.keep_idle_lease(&lease);
             return;
         };
         let Some(key) = work.call.idempotency.filter(|_| !work.class.repeatable) else {
@@ -189,36 +189,37 @@
     pub(crate) fn withdraw_intent(&mut self, grant: ids::GrantId) {
         self.log_outcome(grant, model::RequestOutcome::NotRun);
         let text = "the record of the key cannot be made durable";
-        let answer = grant_table::busy(model::WaitCode::StoreUnavailable, text, RETRY_STORE);
-        self.give_up(grant, answer);
+        let answer =
+            grant_table::busy_reply(model::WaitCode::StoreUnavailable, text, STORE_RETRY_AFTER);
+        self.abandon_request(grant, answer);
     }
 
     /// Tells the entry that it may send.
     fn grant_slot(&mut self, grant: ids::GrantId, lease: ids::LeaseId) {
         let now = Instant::now();
         let start_by = self.options.timing.grant_start_by.0;
-        let lasts = self.leases.get(&lease).is_some_and(|it| now + start_by < it.firm_until);
+        let lasts = self.leases.get(&lease).is_some_and(|it| now + start_by < it.valid_until);
         // A holder that was paused here may have lost its tenure or the lease.
         if !lasts || !self.may_act() {
             self.log_outcome(grant, model::RequestOutcome::NotRun);
             let text = "the slot lapsed before it could be granted";
-            let answer = grant_table::busy(model::WaitCode::Queued, text, RETRY_SOON);
+            let answer = grant_table::busy_reply(model::WaitCode::Queued, text, RETRY_AFTER);
             self.release(&lease);
-            self.give_up(grant, answer);
+            self.abandon_request(grant, answer);
             return;
         }
         let Some(slot) = self.slot_grant(grant, &lease) else {
             self.log_outcome(grant, model::RequestOutcome::NotRun);
             self.place_elsewhere(grant);
-            self.keep_idle(&lease);
+            self.keep_idle_lease(&lease);
             return;
         };
         let until = now + self.options.call_deadline() + slot.term.0;
-        self.grants.set_until(&grant, until);
+        self.grants.set_expiry(&grant, until);
         let Some(work) = self.grants.get_mut(&grant) else { return };
         work.stage = GrantStage::Granted { grant: slot.clone(), since: now };
         let told = work.answer(model::GrantReply::Granted { grant: slot.clone() });
-        metric::wait(&work.call.account, &work.call.class, work.arrived.elapsed());
+        metric::wait(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         tracing::debug!(hall = self.hall, request = %slot.request, grant = %grant,
             worker = slot.worker, "granted a slot");
         self.tell(event::HallEvent::Started(grant));
@@ -263,6 +264,6 @@
 }
 
 /// For what may change at any moment.
-pub(crate) const RETRY_SOON: time::TimeSpan = time::TimeSpan::from_secs(1);
+pub(crate) const RETRY_AFTER: time::TimeSpan = time::TimeSpan::from_secs(1);
 /// For what waits for the store.
-pub(crate) const RETRY_STORE: time::TimeSpan = time::TimeSpan::from_secs(5);
+pub(crate) const STORE_RETRY_AFTER: time::TimeSpan = time::TimeSpan::from_secs(5);
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -9,7 +9,7 @@
 use crate::actor::HallActor;
 use crate::backend;
 use crate::commit::{self, CommitOutcome};
-use crate::grants::RETRY_STORE;
+use crate::grants::STORE_RETRY_AFTER;
 use crate::jobs;
 
 impl<B: backend::HallBackend> HallActor<B> {
@@ -122,8 +122,8 @@
                 self.tell(event::HallEvent::Cancelled(job));
             }
         }
-        self.release_logged_start(job);
-        self.look_at_gang(job);
+        self.resume_logged_start(job);
+        self.advance_gang(job);
         let entry = self.jobs.entries.get(&job);
         let over = entry.is_some_and(|it| {
             it.gang.is_none() && it.is_over() && it.committed.as_ref() == Some(&it.record)
@@ -155,7 +155,7 @@
                 self.jobs.dirty.remove(&job);
                 for waiter in entry.into_iter().flat_map(|it| it.waiters) {
                     let code = model::WaitCode::StoreUnavailable;
-                    let _ = waiter.send(jobs::refused(code, text, Some(RETRY_STORE)));
+                    let _ = waiter.send(jobs::refused(code, text, Some(STORE_RETRY_AFTER)));
                 }
             } else {
                 self.jobs.dirty.insert(job);
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -12,7 +12,7 @@
 use crate::backend;
 use crate::codec;
 use crate::deadline;
-use crate::grants::RETRY_STORE;
+use crate::grants::STORE_RETRY_AFTER;
 use crate::job_rows::COMMIT_DELAY;
 use crate::job_table::{self, JobEntry};
 use crate::metric;
@@ -72,12 +72,12 @@
         };
         if !self.is_firm() {
             let text = "a job is accepted only once it is durable, and the table does not answer";
-            return Some(refused(model::WaitCode::StoreUnavailable, text, Some(RETRY_STORE)));
+            return Some(refused(model::WaitCode::StoreUnavailable, text, Some(STORE_RETRY_AFTER)));
         }
         let n_queued = self.jobs.n_queued(&call.account);
         if (account.limits.queued_jobs as usize) <= n_queued {
             let text = format!("{n_queued} jobs of the account wait already");
-            return Some(refused(model::WaitCode::AccountLimit, text, Some(RETRY_STORE)));
+            return Some(refused(model::WaitCode::AccountLimit, text, Some(STORE_RETRY_AFTER)));
         }
         let record = self.new_record(call);
         let item = self.job_item(&record, class, Duration::ZERO);
@@ -130,7 +130,7 @@
             submitted_at: record.submitted_at,
             attempt: record.attempt,
             saved_run,
-            exclude: self.workers_without(&class.upstream),
+            exclude: self.workers_without_upstream(&class.upstream),
             failed_on: record.failed_on.clone(),
         }
     }
--- a/crates/hall/src/lease_table.rs
+++ b/crates/hall/src/lease_table.rs
@@ -34,9 +34,9 @@
     /// How it stands.
     pub(crate) state: LeaseState,
     /// Its worker certainly keeps it until then.
-    pub(crate) firm_until: Instant,
+    pub(crate) valid_until: Instant,
     /// Its worker has certainly dropped it by then.
-    pub(crate) gone_by: Instant,
+    pub(crate) expired_by: Instant,
 }
 
 /// Leases by name and by worker.
@@ -103,7 +103,7 @@
 
     /// Leases that have certainly lapsed by `now`; they are forgotten.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(ids::LeaseId, LeaseEntry)> {
-        let lapsed = self.entries.iter().filter(|(_, it)| it.gone_by <= now);
+        let lapsed = self.entries.iter().filter(|(_, it)| it.expired_by <= now);
         let names = lapsed.map(|(name, _)| name.clone()).collect::<Vec<_>>();
         names.into_iter().filter_map(|it| Some((it.clone(), self.remove(&it)?))).collect()
     }
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -27,8 +27,8 @@
             accelerators: slot.accelerators.clone(),
             demand,
             state: LeaseState::Reserving,
-            firm_until: now,
-            gone_by: latest + self.options.lease_term() + self.options.lease_margin(),
+            valid_until: now,
+            expired_by: latest + self.options.lease_term() + self.options.lease_margin(),
         })
     }
 
@@ -50,17 +50,17 @@
     }
 
     /// The worker granted or renewed a lease by an exchange that was sent at `sent_at`.
-    pub(crate) fn note_reserved(&mut self, lease: &str, sent_at: Instant) {
+    pub(crate) fn extend_lease(&mut self, lease: &str, sent_at: Instant) {
         let (term, margin) = (self.options.lease_term(), self.options.lease_margin());
         let Some(entry) = self.leases.get_mut(lease) else { return };
         if entry.state == LeaseState::Reserving {
             entry.state = LeaseState::Held;
         } else {
-            let left = entry.firm_until.saturating_duration_since(Instant::now());
+            let left = entry.valid_until.saturating_duration_since(Instant::now());
             metric::lease_margin(&self.hall, left);
         }
-        entry.firm_until = entry.firm_until.max(sent_at + term.saturating_sub(margin));
-        entry.gone_by = entry.gone_by.max(Instant::now() + term + margin);
+        entry.valid_until = entry.valid_until.max(sent_at + term.saturating_sub(margin));
+        entry.expired_by = entry.expired_by.max(Instant::now() + term + margin);
     }
 
     /// Gives a lease back; it counts as held until its worker confirms or it has lapsed.
@@ -80,7 +80,7 @@
     }
 
     /// Idle serving leases that stand in the way of a reservation; they are being released.
-    pub(crate) fn make_room(
+    pub(crate) fn evict_idle_leases(
         &mut self,
         slot: &work::TaskAssignment,
         demand: &work::TaskDemand,
@@ -116,7 +116,7 @@
     /// Releases leases that stood in the way and that this scheduler does not know: they were
     /// reserved by an earlier tenure, or by a reservation of ours that landed after its release.
     /// Without this, an accelerator would look free and refuse everybody for a term.
-    pub(crate) fn release_strays(&mut self, worker: &ids::WorkerId, names: &[ids::LeaseId]) {
+    pub(crate) fn release_stray_leases(&mut self, worker: &ids::WorkerId, names: &[ids::LeaseId]) {
         for name in names {
             if self.leases.get(name).is_some() {
                 continue;
@@ -126,12 +126,12 @@
                 self.fence();
                 return;
             }
-            self.enter_stray(worker, purpose, Vec::new());
+            self.insert_stray_lease(worker, purpose, Vec::new());
         }
     }
 
     /// Enters an unknown lease found on a worker, to be released.
-    pub(crate) fn enter_stray(
+    pub(crate) fn insert_stray_lease(
         &mut self,
         worker: &ids::WorkerId,
         purpose: lease::LeasePurpose,
@@ -144,8 +144,8 @@
             accelerators,
             demand: work::TaskDemand::default(),
             state: LeaseState::Releasing,
-            firm_until: now,
-            gone_by: now + self.options.lease_term() + self.options.lease_margin(),
+            valid_until: now,
+            expired_by: now + self.options.lease_term() + self.options.lease_margin(),
         };
         tracing::info!(
             hall = self.hall,
--- a/crates/hall/src/request.rs
+++ b/crates/hall/src/request.rs
@@ -31,7 +31,7 @@
     Picture(PendingCall<model::HallQuery>),
 }
 
-impl<C: SeatCall> PendingCall<C> {
+impl<C: SchedulerCall> PendingCall<C> {
     /// Says that this instance does not schedule the hall; the call had no effect.
     pub(crate) fn decline(self) {
         let _ = self.reply.send(C::not_holder(None));
@@ -39,11 +39,11 @@
 }
 
 /// A call that a seat can pass to its scheduler.
-pub trait SeatCall: call::HallCall {
+pub trait SchedulerCall: call::HallCall {
     /// Whether a call that was under way when its scheduler stopped may be sent to the next one as
     /// if it had had no effect. A submission may not: its row may be on its way to the table, and
     /// an entry that goes on to another hall and is refused there would say "not run".
-    const MAY_MOVE_ON: bool;
+    const MAY_RESEND: bool;
 
     /// The call as a request.
     fn request(self, reply: oneshot::Sender<Self::Reply>) -> HallRequest;
@@ -52,10 +52,10 @@
     fn not_holder(holder: Option<ids::PeerAddress>) -> Self::Reply;
 }
 
-macro_rules! seat_calls {
-    ($($call:ident => $reply:ident as $request:ident, moves on: $moves:literal;)*) => {
-        $(impl SeatCall for model::$call {
-            const MAY_MOVE_ON: bool = $moves;
+macro_rules! scheduler_calls {
+    ($($call:ident => $reply:ident as $request:ident, may resend: $may_resend:literal;)*) => {
+        $(impl SchedulerCall for model::$call {
+            const MAY_RESEND: bool = $may_resend;
 
             fn request(self, reply: oneshot::Sender<Self::Reply>) -> HallRequest {
                 HallRequest::$request(PendingCall { call: self, reply })
@@ -68,12 +68,12 @@
     };
 }
 
-seat_calls! {
-    GrantRequest => GrantReply as Grant, moves on: true;
-    GrantReturns => ReturnReply as Returns, moves on: true;
-    GrantReport => ReturnReply as Report, moves on: true;
-    JobSubmit => JobReply as Submit, moves on: false;
-    JobQuery => JobReply as Query, moves on: true;
-    JobCancel => JobReply as Cancel, moves on: true;
-    HallQuery => HallReply as Picture, moves on: true;
+scheduler_calls! {
+    GrantRequest => GrantReply as Grant, may resend: true;
+    GrantReturns => ReturnReply as Returns, may resend: true;
+    GrantReport => ReturnReply as Report, may resend: true;
+    JobSubmit => JobReply as Submit, may resend: false;
+    JobQuery => JobReply as Query, may resend: true;
+    JobCancel => JobReply as Cancel, may resend: true;
+    HallQuery => HallReply as Picture, may resend: true;
 }
--- a/crates/hall/src/serve_task.rs
+++ b/crates/hall/src/serve_task.rs
@@ -10,7 +10,7 @@
 
 /// What to reserve.
 #[derive(Clone, Debug)]
-pub(crate) struct ServePlan {
+pub(crate) struct ReservePlan {
     /// The request's grant.
     pub(crate) grant: ids::GrantId,
     /// Control address of the worker.
@@ -25,7 +25,7 @@
 
 /// What became of it.
 #[derive(Clone, Debug)]
-pub(crate) struct ServeReport {
+pub(crate) struct ReserveReport {
     /// The request's grant.
     pub(crate) grant: ids::GrantId,
     /// The lease.
@@ -49,15 +49,15 @@
     /// Nothing was sent; the lease does not exist.
     Unsent,
     /// The lease may exist.
-    Unsure,
+    Ambiguous,
 }
 
 /// Releases what is in the way, then reserves.
 pub(crate) async fn run<W: WorkerControl>(
     workers: W,
     tenure: tenure::TenureWatch,
-    plan: ServePlan,
-) -> ServeReport {
+    plan: ReservePlan,
+) -> ReserveReport {
     if !plan.evict.is_empty() {
         let release = model::LeaseRelease { leases: plan.evict };
         let released = workers.release(&plan.address, release);
@@ -65,7 +65,7 @@
     }
     let (sent_at, outcome) =
         reserve(&workers, &tenure, &plan.address, &plan.reserve, plan.deadline).await;
-    ServeReport { grant: plan.grant, lease: plan.reserve.lease, sent_at, outcome }
+    ReserveReport { grant: plan.grant, lease: plan.reserve.lease, sent_at, outcome }
 }
 
 /// Reserves, and asks again where the answer is lost: a worker grants a lease again that it has,
@@ -95,7 +95,7 @@
             Ok(Err(_)) | Err(_) => unsure = true,
         }
     }
-    let outcome = if unsure { ReserveOutcome::Unsure } else { ReserveOutcome::Unsent };
+    let outcome = if unsure { ReserveOutcome::Ambiguous } else { ReserveOutcome::Unsent };
     (sent_at, outcome)
 }
 
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -16,7 +16,7 @@
 
 use crate::backend;
 use crate::options;
-use crate::request::SeatCall;
+use crate::request::SchedulerCall;
 use crate::seat::{self, SeatView};
 use crate::watch_reader;
 
@@ -74,7 +74,7 @@
 
     /// Answers a call, or says who may. `None` where this instance stopped scheduling the hall
     /// while the call was under way, and nobody can tell whether it had an effect.
-    pub async fn ask<C: SeatCall>(&self, call: C) -> Option<C::Reply> {
+    pub async fn ask<C: SchedulerCall>(&self, call: C) -> Option<C::Reply> {
         let Some(mut view) = self.view(call.hall()) else { return Some(C::not_holder(None)) };
         // Between taking a hall and knowing how it stands a call waits instead of being refused.
         let taken = view.wait_for(|it| !matches!(it, SeatView::TakingOver));
@@ -90,7 +90,7 @@
         let passed = address.send(call.request(reply)).await.is_ok();
         match answer.await {
             Ok(answer) if C::redirect(&answer) != Some(None) => return Some(answer),
-            Err(_) if passed && !C::MAY_MOVE_ON => return None,
+            Err(_) if passed && !C::MAY_RESEND => return None,
             Ok(_) | Err(_) => {}
         }
         Some(C::not_holder(successor(view).await))
@@ -250,7 +250,7 @@
 }
 
 impl<B: backend::HallBackend> HallService<B> {
-    async fn serve_call<C: SeatCall>(&self, body: &Bytes) -> Option<link::ServedReply> {
+    async fn serve_call<C: SchedulerCall>(&self, body: &Bytes) -> Option<link::ServedReply> {
         dispatch::try_answer(body, async |call: C| {
             self.ask(call).await.ok_or(error::ServeFault::Silent)
         })
--- a/crates/hall/src/sync.rs
+++ b/crates/hall/src/sync.rs
@@ -79,7 +79,7 @@
         let renews = matches!(report.plan.query, SyncQuery::Renew { .. });
         for status in &listing.leases {
             if renews {
-                self.note_reserved(&status.lease, report.sent_at);
+                self.extend_lease(&status.lease, report.sent_at);
             }
             self.note_status(status);
         }
@@ -118,7 +118,7 @@
         for lease in held {
             let listed = listing.leases.iter().any(|it| it.lease == lease);
             // Reserved after the list was asked for: it cannot be on it.
-            let older = self.leases.get(&lease).is_some_and(|it| it.firm_until < report.sent_at);
+            let older = self.leases.get(&lease).is_some_and(|it| it.valid_until < report.sent_at);
             if !listed && (older || self.nodes[worker].state == NodeState::Unlisted) {
                 self.lease_lapsed(&lease, worker);
             }
@@ -133,7 +133,7 @@
                 self.fence();
                 return false;
             }
-            self.enter_stray(worker, purpose, status.accelerators.clone());
+            self.insert_stray_lease(worker, purpose, status.accelerators.clone());
             clean = false;
         }
         clean
@@ -145,7 +145,7 @@
             // The renewal may have landed without its answer.
             for lease in leases {
                 if let Some(entry) = self.leases.get_mut(lease) {
-                    entry.gone_by = entry.gone_by.max(Instant::now() + term + margin);
+                    entry.expired_by = entry.expired_by.max(Instant::now() + term + margin);
                 }
             }
         }
@@ -169,7 +169,7 @@
             LeasePurpose::Serve { .. } => None,
         });
         for job in tasks.collect::<Vec<_>>() {
-            self.look_at_gang(job);
+            self.advance_gang(job);
         }
     }
 
@@ -187,7 +187,7 @@
         if status.exit.is_some() {
             member.exit = status.exit.clone();
         }
-        self.look_at_gang(job);
+        self.advance_gang(job);
     }
 
     /// A lease is proven gone.
@@ -195,7 +195,7 @@
         let Some(entry) = self.leases.remove(lease) else { return };
         self.grants.idle.remove(lease);
         if let LeasePurpose::Task { job, .. } = entry.purpose {
-            self.look_at_gang(job);
+            self.advance_gang(job);
         }
     }
 
@@ -210,8 +210,8 @@
         self.leases.remove(lease);
         self.grants.idle.remove(lease);
         if let LeasePurpose::Task { job, start, .. } = purpose {
-            self.member_lapsed(job, start, worker);
-            self.look_at_gang(job);
+            self.on_member_lapsed(job, start, worker);
+            self.advance_gang(job);
         }
     }
 
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -114,7 +114,7 @@
         actor.take_log(sealed);
     }
     adopt::adopt(&mut actor, records, &listings);
-    adopt::release_strays(&mut actor).await;
+    adopt::release_stray_leases(&mut actor).await;
     let (address, mailbox) = xtra::Mailbox::bounded(MAILBOX);
     actor.address = Some(mailbox.address());
     if !log_sealed && !actor.fenced {
--- a/crates/hall/src/turn.rs
+++ b/crates/hall/src/turn.rs
@@ -70,9 +70,9 @@
             }
         };
         if self.jobs.entries.contains_key(&work) {
-            self.decide_job(decision);
+            self.apply_job_decision(decision);
         } else if self.is_request(&work) {
-            self.decide_request(decision);
+            self.apply_request_decision(decision);
         } else {
             self.decide_unknown(decision);
         }
@@ -126,9 +126,9 @@
 
     /// How long the request waits that waits longest.
     fn oldest_wait(&self) -> Duration {
-        let waiting = self.grants.waiting();
+        let waiting = self.grants.waiting_grants();
         let waits = waiting.iter().filter_map(|it| self.grants.get(it));
-        waits.map(|it| it.arrived.elapsed()).max().unwrap_or_default()
+        waits.map(|it| it.arrived_at.elapsed()).max().unwrap_or_default()
     }
 
     fn next_wake(&self, now: Instant) -> Instant {
@@ -139,7 +139,7 @@
         let commit = self.jobs.next_commit.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
         let deferred = self.deferred.iter().map(|it| it.at).min();
-        let timers = [policy, syncs, commit, flush, deferred, self.grants.next_due()];
+        let timers = [policy, syncs, commit, flush, deferred, self.grants.next_expiry()];
         let next = timers.into_iter().flatten().min();
         let latest = now + SUMMARY_INTERVAL;
         next.unwrap_or(latest).clamp(now + SHORTEST_WAKE, latest)
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use almondpass_hall::{request::SeatCall, service};
+use almondpass_hall::{request::SchedulerCall, service};
 use almondpass_peer::link::PeerLink;
 use almondpass_ports::keys;
 use almondpass_schema::{ids, model, time};
@@ -23,11 +23,11 @@
 }
 
 impl EntryLink {
-    async fn ask<C: SeatCall>(&self, call: C, deadline: Duration) -> Option<C::Reply> {
+    async fn ask<C: SchedulerCall>(&self, call: C, deadline: Duration) -> Option<C::Reply> {
         tokio::time::timeout(deadline, self.search(call)).await.ok()
     }
 
-    async fn search<C: SeatCall>(&self, call: C) -> C::Reply {
+    async fn search<C: SchedulerCall>(&self, call: C) -> C::Reply {
         loop {
             let Some(reply) = self.service.ask(call.clone()).await else {
                 std::future::pending().await
