--- a/crates/policy/src/headroom.rs
+++ b/crates/policy/src/headroom.rs
@@ -82,7 +82,7 @@
             outside += 1;
             let holder = self.ledger.holder[at as usize];
             if holder == NONE {
-                free += i64::from(self.is_available(at));
+                free += i64::from(self.is_accelerator_available(at));
             } else if self.items.at(holder).booking == Booking::NonReclaimable {
                 hard_held += 1;
             }
@@ -110,7 +110,7 @@
     fn waiting_needs(&self) -> (u32, u32) {
         let mut urgent = 0_u32;
         let mut hard = 0_u32;
-        for it in self.queue.active().filter_map(|it| self.queue.group(it)) {
+        for it in self.queue.active_groups().filter_map(|it| self.queue.group(it)) {
             let rule = &self.catalog.classes[it.key.class as usize];
             let one = it.key.tasks.saturating_mul(it.key.demand.accelerators);
             let width = one.saturating_mul(it.entries.len() as u32);
