--- a/crates/daemon/src/assembly.rs
+++ b/crates/daemon/src/assembly.rs
@@ -238,7 +238,7 @@
         let member_timing =
             member_service::MemberTiming { beat: timing.beat.0, poll: timing.instance_poll.0 };
         let members = wiring::Members::new(own.clone(), member_timing, link.clone(), beats.clone());
-        let halls = wiring::Halls::start(hall_service::ServiceParts {
+        let halls = wiring::Halls::start(hall_service::ServiceDependencies {
             ports: backend::HallPorts {
                 table: table.clone(),
                 objects,
--- a/crates/daemon/src/local_halls.rs
+++ b/crates/daemon/src/local_halls.rs
@@ -17,7 +17,7 @@
 
 impl local::LocalHalls for OwnHalls {
     fn holds(&self, hall: &ids::HallName) -> bool {
-        self.halls.held().contains(hall)
+        self.halls.held_halls().contains(hall)
     }
 
     /// Goes through the same reader of messages as a call from another instance, so that both
--- a/crates/fleet-tests/src/calm.rs
+++ b/crates/fleet-tests/src/calm.rs
@@ -94,7 +94,7 @@
     let mut pictures = String::new();
     for hall in document::HALLS {
         let query = model::HallQuery { hall: hall.to_string() };
-        let asked = storm.world.nodes.iter().find(|it| it.halls.held().contains(&query.hall));
+        let asked = storm.world.nodes.iter().find(|it| it.halls.held_halls().contains(&query.hall));
         let Some(node) = asked else { continue };
         let halls = node.halls.clone();
         let asked = node.spawn(async move { halls.ask(query).await });
--- a/crates/fleet-tests/src/node.rs
+++ b/crates/fleet-tests/src/node.rs
@@ -106,7 +106,7 @@
         let member_timing =
             member::MemberTiming { beat: timing.beat.0, poll: timing.instance_poll.0 };
         let members = peers::Members::new(own, member_timing, link.clone(), beats.clone());
-        let halls = peers::Halls::start(hall::ServiceParts {
+        let halls = peers::Halls::start(hall::ServiceDependencies {
             ports: backend::HallPorts {
                 table: table.clone(),
                 objects,
--- a/crates/fleet-tests/src/peers.rs
+++ b/crates/fleet-tests/src/peers.rs
@@ -79,7 +79,7 @@
     fn heard(&self, beat: &model::PeerBeat) {
         self.keeper.heard(beat.config_version, &beat.address);
         if let Some(halls) = self.halls.get() {
-            halls.observe(&beat.halls);
+            halls.observe_epochs(&beat.halls);
         }
     }
 }
--- a/crates/fleet-tests/src/world.rs
+++ b/crates/fleet-tests/src/world.rs
@@ -282,7 +282,7 @@
         let rows = self.site.fakes.table().peek("").into_iter();
         let rows = rows.filter(|it| it.key.ends_with(&job)).map(|it| (it.key, it.version));
         let rows = rows.collect::<Vec<_>>();
-        let held = self.nodes.iter().map(|it| (&it.id, it.halls.held())).collect::<Vec<_>>();
+        let held = self.nodes.iter().map(|it| (&it.id, it.halls.held_halls())).collect::<Vec<_>>();
         format!("rows {rows:?}, held {held:?}")
     }
 
--- a/crates/hall/examples/measure_hall.rs
+++ b/crates/hall/examples/measure_hall.rs
@@ -79,7 +79,7 @@
     let third = start(&site, "c");
     support::pass(Duration::from_secs(5)).await;
     other.crash(&site);
-    while third.service.held().is_empty() {
+    while third.service.held_halls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let taken = Instant::now();
--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -22,9 +22,9 @@
 use crate::options;
 use crate::request;
 use crate::serve_task;
-use crate::sync_task;
 use crate::tenure;
 use crate::worker_node;
+use crate::worker_poll_task;
 
 /// The scheduler of one hall.
 pub struct HallActor<B: backend::HallBackend> {
@@ -46,13 +46,13 @@
     /// Set once anything showed a newer tenure.
     pub(crate) fenced: bool,
     /// Tells the seat of it.
-    pub(crate) fences: watch::Sender<bool>,
+    pub(crate) fence_signal: watch::Sender<bool>,
     /// Answered once nothing is in flight; from then on nothing is begun.
     pub(crate) freeze: Option<oneshot::Sender<()>>,
     pub(crate) frozen: bool,
     pub(crate) summary: watch::Sender<Option<model::HallBeat>>,
     pub(crate) next_summary: Instant,
-    pub(crate) next_lapse_look: Instant,
+    pub(crate) next_lapse_check: Instant,
     pub(crate) wake: Arc<Notify>,
     pub(crate) address: Option<xtra::WeakAddress<HallActor<B>>>,
 }
@@ -64,13 +64,13 @@
 }
 
 /// Decide, look at timers, and say when to be called next.
-pub(crate) struct Turn;
+pub(crate) struct RunRound;
 /// Begin nothing, and answer when nothing is in flight any more.
 pub struct Freeze;
 /// Another instance schedules the hall: stop.
 pub struct Resign;
 /// The configuration changed.
-pub(crate) struct Configured(pub(crate) Arc<active::ActiveConfig>);
+pub(crate) struct ConfigChanged(pub(crate) Arc<active::ActiveConfig>);
 /// Instances or workers changed.
 pub(crate) struct MembersChanged(pub(crate) Arc<snapshot::MemberSnapshot>);
 
@@ -93,7 +93,7 @@
 ) {
     tokio::spawn(async move {
         loop {
-            let Ok(next) = address.send(Turn).await else { return };
+            let Ok(next) = address.send(RunRound).await else { return };
             tokio::select! {
                 () = wake.notified() => {}
                 () = tokio::time::sleep_until(next) => {}
@@ -115,12 +115,12 @@
 }
 
 handlers! {
-    Turn => on_turn -> Instant;
+    RunRound => on_run_round -> Instant;
     Freeze => on_freeze -> oneshot::Receiver<()>;
-    Configured => on_configured -> ();
-    MembersChanged => on_members -> ();
+    ConfigChanged => on_config_changed -> ();
+    MembersChanged => on_members_changed -> ();
     request::HallRequest => on_request -> ();
-    sync_task::SyncReport => on_synced -> ();
+    worker_poll_task::PollReport => on_poll_report -> ();
     gang_task::GangReserved => on_gang_reserved -> oneshot::Receiver<bool>;
     gang_task::GangStartReport => on_gang_report -> ();
     serve_task::ReserveReport => on_reserve_report -> ();
@@ -144,7 +144,7 @@
     pub(crate) fn fence(&mut self) {
         tracing::warn!(hall = self.hall, epoch = self.tenure.epoch(), "a newer tenure was seen");
         self.fenced = true;
-        self.fences.send_replace(true);
+        self.fence_signal.send_replace(true);
     }
 
     /// Whether the scheduler may begin something.
@@ -153,28 +153,28 @@
     }
 
     /// Whether nobody else can hold the hall.
-    pub(crate) fn is_firm(&self) -> bool {
+    pub(crate) fn is_sole_holder(&self) -> bool {
         !self.fenced && self.tenure.standing() == tenure::TenureStanding::Firm
     }
 
-    pub(crate) fn wall(&self) -> time::WallTime {
+    pub(crate) fn wall_time(&self) -> time::WallTime {
         self.options.clock.now()
     }
 
     /// Tells the policy something; it decides at the next turn.
-    pub(crate) fn tell(&mut self, event: event::HallEvent) {
-        let now = self.wall();
+    pub(crate) fn apply_event(&mut self, event: event::HallEvent) {
+        let now = self.wall_time();
         self.policy.apply(event, now);
         self.wake.notify_one();
     }
 
     /// Tells the policy something later.
-    pub(crate) fn tell_at(&mut self, at: Instant, event: event::HallEvent) {
+    pub(crate) fn defer_event(&mut self, at: Instant, event: event::HallEvent) {
         self.deferred.push_back(DeferredEvent { at, event });
     }
 
     /// Where tasks report to.
-    pub(crate) fn reports(&self) -> xtra::WeakAddress<HallActor<B>> {
+    pub(crate) fn own_address(&self) -> xtra::WeakAddress<HallActor<B>> {
         self.address.clone().expect("a started actor knows its address")
     }
 
@@ -196,7 +196,7 @@
     }
 
     pub(crate) fn picture(&self) -> model::HallPicture {
-        let mut picture = self.policy.picture(self.wall());
+        let mut picture = self.policy.picture(self.wall_time());
         picture.epoch = self.tenure.epoch();
         picture.holder = self.options.instance.clone();
         picture
@@ -206,13 +206,13 @@
         let (sender, receiver) = oneshot::channel();
         self.frozen = true;
         self.freeze = Some(sender);
-        self.settle_freeze();
+        self.finish_freeze();
         receiver
     }
 
     /// Answers a hand-over once every write and every start in flight is settled: the successor
     /// reads rows and leases, and would take a gang in the middle of its start for incomplete.
-    pub(crate) fn settle_freeze(&mut self) {
+    pub(crate) fn finish_freeze(&mut self) {
         if self.freeze.is_none() {
             return;
         }
--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -44,7 +44,7 @@
                 }
                 work.reply = Some(reply);
                 self.grants.insert(grant, *work);
-                self.tell(event::HallEvent::Arrived(item));
+                self.apply_event(event::HallEvent::Arrived(item));
             }
         }
     }
@@ -72,7 +72,7 @@
         if let Some(answer) = self.check_limits(&call) {
             return Admission::Answer(grant_table::mark_unrecorded(answer));
         }
-        let left = call.deadline.since(self.wall());
+        let left = call.deadline.since(self.wall_time());
         if left.is_zero() {
             let text = "the deadline passed before the request arrived";
             let code = model::WaitCode::DeadlineMissed;
@@ -140,7 +140,7 @@
             return Some(grant_table::refused_reply(model::WaitCode::KeyRequired, text));
         };
         let window = self.config.document.bounds.idempotency_window.0;
-        let now = self.wall();
+        let now = self.wall_time();
         // Records of older keys are dropped: such a key may have been sent before, and nobody
         // would know. "Not run" is true of this request: it is not sent.
         if made_at + window < now {
@@ -211,7 +211,7 @@
             guarantee: None,
             declared_run: None,
             deadline: Some(work.call.deadline),
-            submitted_at: self.wall() - work.arrived_at.elapsed(),
+            submitted_at: self.wall_time() - work.arrived_at.elapsed(),
             attempt: work.call.attempt,
             saved_run: Duration::ZERO,
             exclude,
@@ -228,7 +228,7 @@
 
     pub(crate) fn has_upstream(&self, worker: &str, upstream: &str) -> bool {
         let node = self.nodes.get(worker);
-        node.is_some_and(|it| it.upstream(upstream).is_some())
+        node.is_some_and(|it| it.upstream_address(upstream).is_some())
             && !hall_layout::is_upstream_drained(&self.config, upstream, worker)
     }
 }
--- a/crates/hall/src/adopt.rs
+++ b/crates/hall/src/adoption.rs
@@ -53,10 +53,10 @@
         if listings.contains_key(worker) {
             node.state = NodeState::Live;
         } else {
-            node.failures = 1;
+            node.failed_polls = 1;
             apply(actor, event::HallEvent::WorkerLost(worker.clone()));
         }
-        actor.tell_draining(worker);
+        actor.update_draining(worker);
     }
 }
 
@@ -81,7 +81,7 @@
         for lease in released.ok().flatten().into_iter().flatten() {
             // Not only strays: a gang that ended while nobody watched is among them, and its end
             // follows from its last lease being gone.
-            actor.lease_gone(&lease);
+            actor.on_lease_released(&lease);
         }
     }
 }
@@ -244,7 +244,7 @@
         });
     }
     let placement = members.iter().map(|it| it.slot.clone()).collect();
-    let wall = actor.wall();
+    let wall = actor.wall_time();
     let Some(entry) = actor.jobs.entries.get_mut(&job) else { return };
     let ran = match entry.record.state {
         model::JobState::Running => wall.since(entry.record.state_since),
@@ -322,7 +322,7 @@
         guarantee: None,
         declared_run: None,
         deadline: None,
-        submitted_at: actor.wall(),
+        submitted_at: actor.wall_time(),
         attempt: 0,
         saved_run: Duration::ZERO,
         exclude: Vec::new(),
@@ -341,7 +341,7 @@
     actor.grants.adopted.insert(lease, slot);
     let accelerators = status.accelerators.clone();
     let placement = vec![work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators }];
-    let started_at = actor.wall();
+    let started_at = actor.wall_time();
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
@@ -359,7 +359,7 @@
 }
 
 fn apply<B: backend::HallBackend>(actor: &mut HallActor<B>, event: event::HallEvent) {
-    let now = actor.wall();
+    let now = actor.wall_time();
     actor.policy.apply(event, now);
 }
 
--- a/crates/hall/src/deadline.rs
+++ b/crates/hall/src/deadline.rs
@@ -23,6 +23,6 @@
 }
 
 /// Name of the table service in errors that it did not answer.
-pub(crate) const TABLE: &str = "table";
+pub(crate) const TABLE_SERVICE: &str = "table";
 /// Name of the object store in errors that it did not answer.
-pub(crate) const OBJECTS: &str = "objects";
+pub(crate) const OBJECT_STORE: &str = "objects";
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -60,10 +60,10 @@
 
     /// Stops gangs of which a member may have lapsed: its worker did not answer for a term.
     pub(crate) fn stop_lapsed_gangs(&mut self, now: Instant) {
-        if now < self.next_lapse_look {
+        if now < self.next_lapse_check {
             return;
         }
-        self.next_lapse_look = now + LAPSE_LOOK;
+        self.next_lapse_check = now + LAPSE_LOOK;
         let lapsed = self
             .leases
             .iter()
@@ -104,12 +104,12 @@
     /// had anyhow, and the job need not wait until it lapses.
     fn is_given_back(&self, gang: &Gang, member: &GangMember) -> bool {
         let Some(lease) = self.leases.get(&member.lease) else { return true };
-        let silent = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failures);
+        let silent = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failed_polls);
         !gang.start_sent && silent
     }
 
     fn look_at_exits(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
         let ended = |it: &&GangMember| {
@@ -144,14 +144,14 @@
                 entry.record.state_since = wall;
             }
             self.mark_dirty(job);
-            self.tell(event::HallEvent::Checkpointed(job));
+            self.apply_event(event::HallEvent::Checkpointed(job));
         }
     }
 
     /// Work that may run only once keeps its leases until its end is durable: a successor that
     /// found neither the end in the row nor the leases at the workers could not tell it.
     fn gang_succeeded(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if !entry.repeatable {
             let durable =
@@ -182,7 +182,7 @@
             GangEnding::NotStarted { worker, fault } => {
                 self.requeue_row(job);
                 let failed = event::HallEvent::StartFailed { work: job, worker, fault };
-                self.tell(failed);
+                self.apply_event(failed);
             }
             GangEnding::Ended(exit) => {
                 if exit == event::WorkExit::Stopped {
@@ -200,7 +200,7 @@
                 if let event::WorkExit::Failed { worker } = &exit {
                     entry.record.failed_on.push(worker.clone());
                 }
-                self.tell(event::HallEvent::Ended { work: job, exit });
+                self.apply_event(event::HallEvent::Ended { work: job, exit });
             }
         }
     }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -47,8 +47,8 @@
     ) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else {
             let fault = event::StartFault::Withdrawn;
-            self.tell(event::HallEvent::Cancelled(job));
-            self.tell(event::HallEvent::StartFailed { work: job, worker: None, fault });
+            self.apply_event(event::HallEvent::Cancelled(job));
+            self.apply_event(event::HallEvent::StartFailed { work: job, worker: None, fault });
             return;
         };
         let (repeatable, class) = (entry.repeatable, entry.record.submission.class.clone());
@@ -57,7 +57,7 @@
             placement.iter().all(|it| self.has_upstream(&it.worker, upstream))
         });
         // Work that may run only once needs its row first, which a cut-off holder cannot write.
-        if !servable || (!repeatable && !self.is_firm()) {
+        if !servable || (!repeatable && !self.is_sole_holder()) {
             self.withdraw_start(job);
             return;
         }
@@ -69,7 +69,7 @@
             "starts a gang");
         self.note_reason(job, reason);
         let (workers, tenure, reports) =
-            (self.ports.workers.clone(), self.tenure.clone(), self.reports());
+            (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
         tokio::spawn(gang_task::run::<B>(workers, tenure, plan, reports));
     }
 
@@ -77,7 +77,7 @@
     fn withdraw_start(&mut self, job: ids::JobId) {
         let fault = event::StartFault::Withdrawn;
         let failed = event::HallEvent::StartFailed { work: job, worker: None, fault };
-        self.tell_at(Instant::now() + WITHDRAWN_DELAY, failed);
+        self.defer_event(Instant::now() + WITHDRAWN_DELAY, failed);
     }
 
     fn plan_gang(
@@ -152,7 +152,7 @@
     ) -> oneshot::Receiver<bool> {
         let (sender, receiver) = oneshot::channel();
         let may_act = !self.fenced && self.tenure.may_act();
-        let wall = self.wall();
+        let wall = self.wall_time();
         let leases = self.member_leases(reserved.job, reserved.start);
         for (rank, sent_at) in &reserved.sent_at {
             if let Some((_, lease)) = leases.iter().find(|(it, _)| it == rank) {
@@ -186,7 +186,7 @@
 
     /// The row says that a start may have been sent: send it.
     pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
-        let firm = self.is_firm();
+        let firm = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
             it.state == model::JobState::Starting && it.attempt == entry.record.attempt
@@ -204,7 +204,7 @@
 
     pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let cancelled = entry.record.cancel_requested;
         let waited = entry.arrived.elapsed();
@@ -221,7 +221,7 @@
                     (entry.record.account.clone(), entry.record.submission.class.clone());
                 metric::wait(&account, &class, waited);
                 self.mark_dirty(job);
-                self.tell(event::HallEvent::Started(job));
+                self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
                     self.sync_soon(&worker);
                 }
@@ -247,13 +247,13 @@
                 self.stop_gang(job, GangEnding::NotStarted { worker, fault });
             }
         }
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     /// Takes back that a start may have been sent. Proof: the task that would have sent it says
     /// that it was called off before, and it sends nothing afterwards.
     fn start_was_not_sent(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if let Some(gang) = entry.gang.as_mut() {
             gang.start_sent = false;
@@ -268,7 +268,7 @@
     }
 
     fn checkpoint_gang(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
         gang.checkpoint_asked = true;
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -68,7 +68,7 @@
         let Some(slot) = self.grants.adopted.remove(lease) else { return };
         self.release(lease);
         let exit = event::WorkExit::Stopped;
-        self.tell(event::HallEvent::Ended { work: slot.work, exit });
+        self.apply_event(event::HallEvent::Ended { work: slot.work, exit });
     }
 
     /// The request is over: its slot is free.
@@ -96,7 +96,7 @@
             }
         };
         // Whether to try again is the entry's decision, under a grant of its own.
-        self.tell(event::HallEvent::Ended { work: grant, exit });
+        self.apply_event(event::HallEvent::Ended { work: grant, exit });
     }
 
     /// A request that has no grant gets its last answer.
@@ -108,7 +108,7 @@
         // A keyed request waits only after its key was looked up.
         work.answer(grant_table::mark_unrecorded(answer));
         metric::outcome(&work.call.account, &work.call.class, model::RequestOutcome::NotRun);
-        self.tell(event::HallEvent::Cancelled(grant));
+        self.apply_event(event::HallEvent::Cancelled(grant));
         if !work.is_waiting() {
             let fault = event::StartFault::Withdrawn;
             self.report_start_failure(grant, fault, None);
@@ -142,7 +142,7 @@
                     self.end_grant(grant, model::RequestOutcome::Unknown, false);
                 }
                 _ => {
-                    let wall = self.wall();
+                    let wall = self.wall_time();
                     let reason = self.policy.reason(&grant, wall);
                     let text = reason.map_or_else(String::new, |it| format!(": {}", it.text));
                     let text = format!("no slot before the deadline{text}");
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -33,13 +33,13 @@
 
     /// The upstream left the worker since the request arrived: let the policy place it again.
     fn place_elsewhere(&mut self, grant: ids::GrantId) {
-        self.tell(event::HallEvent::Cancelled(grant));
+        self.apply_event(event::HallEvent::Cancelled(grant));
         self.report_start_failure(grant, event::StartFault::Withdrawn, None);
         let Some(work) = self.grants.remove(&grant) else { return };
         let again = Uuid::now_v7();
         let item = self.work_item(again, &work);
         self.grants.insert(again, grant_table::GrantEntry { stage: GrantStage::Waiting, ..work });
-        self.tell(event::HallEvent::Arrived(item));
+        self.apply_event(event::HallEvent::Arrived(item));
     }
 
     /// An idle serving lease of just this place that lasts long enough for the first byte.
@@ -87,7 +87,7 @@
         let deadline = self.options.call_deadline();
         let plan = serve_task::ReservePlan { grant, address, evict, reserve, deadline };
         let (workers, tenure, reports) =
-            (self.ports.workers.clone(), self.tenure.clone(), self.reports());
+            (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
         tokio::spawn(async move {
             let _ = reports.send(serve_task::run(workers, tenure, plan).await).await;
         });
@@ -123,7 +123,7 @@
                 self.slot_failed(wanted, &report, event::StartFault::Unreachable, worker);
             }
         }
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     fn slot_failed(
@@ -152,7 +152,7 @@
         fault: event::StartFault,
         worker: Option<ids::WorkerId>,
     ) {
-        self.tell(event::HallEvent::StartFailed { work: grant, worker, fault });
+        self.apply_event(event::HallEvent::StartFailed { work: grant, worker, fault });
     }
 
     /// A serving lease is held for the request: grant, or log the intent first.
@@ -222,7 +222,7 @@
         metric::wait(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         tracing::debug!(hall = self.hall, request = %slot.request, grant = %grant,
             worker = slot.worker, "granted a slot");
-        self.tell(event::HallEvent::Started(grant));
+        self.apply_event(event::HallEvent::Started(grant));
         if !told {
             // Proof for "not run": the answer found no reader in this process, so no entry
             // learnt of the grant.
@@ -237,7 +237,7 @@
             return None;
         }
         let node = self.nodes.get(worker)?;
-        let left = work.call.deadline.since(self.wall());
+        let left = work.call.deadline.since(self.wall_time());
         let start_by = self.options.timing.grant_start_by.0;
         let term = left.min(work.class.max_run.0) + start_by;
         Some(model::SlotGrant {
@@ -246,7 +246,7 @@
             hall: self.hall.clone(),
             epoch: self.tenure.epoch(),
             worker: worker.clone(),
-            address: node.upstream(&work.class.upstream)?.clone(),
+            address: node.upstream_address(&work.class.upstream)?.clone(),
             upstream: work.class.upstream.clone(),
             lease: lease.clone(),
             start_by: time::TimeSpan(start_by),
--- a/crates/hall/src/intent_log.rs
+++ b/crates/hall/src/intent_log.rs
@@ -252,7 +252,8 @@
     async fn floor(&self) -> Result<model::IntentFloor, error::HallError> {
         let get = model::TableGet { keys: vec![keys::intent_floor(&self.hall)] };
         let rows = self.ports.table.get(get);
-        let rows = deadline::within(self.deadline, READ_STEP, deadline::TABLE, rows).await?.rows;
+        let rows =
+            deadline::within(self.deadline, READ_STEP, deadline::TABLE_SERVICE, rows).await?.rows;
         let floor = rows.first().map(|it| codec::decode_row("read the floor of the intents", it));
         let floor = floor.transpose()?.flatten();
         Ok(floor.unwrap_or(model::IntentFloor { table: FIRST_BATCH, objects: FIRST_BATCH }))
@@ -268,7 +269,8 @@
                 limit: READ_PAGE,
             };
             let page = self.ports.table.scan(scan);
-            let page = deadline::within(self.deadline, READ_STEP, deadline::TABLE, page).await?;
+            let page =
+                deadline::within(self.deadline, READ_STEP, deadline::TABLE_SERVICE, page).await?;
             for row in &page.rows {
                 let Some(number) = batch_number(&row.key) else { continue };
                 if let Some(batch) = codec::decode_row("read an intent batch", row)? {
@@ -292,7 +294,8 @@
                 limit: READ_PAGE,
             };
             let page = self.ports.objects.list(list);
-            let page = deadline::within(self.deadline, READ_STEP, deadline::OBJECTS, page).await?;
+            let page =
+                deadline::within(self.deadline, READ_STEP, deadline::OBJECT_STORE, page).await?;
             for key in &page.keys {
                 let Some(number) = batch_number(key) else { continue };
                 if let Some(batch) = self.read_object(number).await? {
@@ -320,7 +323,7 @@
         transaction: model::TableTransaction,
     ) -> Result<model::TableOutcome, peer_error::CallError> {
         let call = self.ports.table.transact(transaction);
-        deadline::within(self.deadline, WRITE_STEP, deadline::TABLE, call).await
+        deadline::within(self.deadline, WRITE_STEP, deadline::TABLE_SERVICE, call).await
     }
 
     async fn put(
@@ -328,7 +331,7 @@
         put: model::ObjectPut,
     ) -> Result<model::ObjectPutOutcome, peer_error::CallError> {
         let call = self.ports.objects.put(put);
-        deadline::within(self.deadline, WRITE_STEP, deadline::OBJECTS, call).await
+        deadline::within(self.deadline, WRITE_STEP, deadline::OBJECT_STORE, call).await
     }
 
     async fn get_object(
@@ -336,7 +339,7 @@
         key: ids::ObjectKey,
     ) -> Result<model::ObjectFound, peer_error::CallError> {
         let call = self.ports.objects.get(model::ObjectGet { key });
-        deadline::within(self.deadline, READ_STEP, deadline::OBJECTS, call).await
+        deadline::within(self.deadline, READ_STEP, deadline::OBJECT_STORE, call).await
     }
 
     fn seal_batch(&self) -> model::IntentBatch {
--- a/crates/hall/src/intents.rs
+++ b/crates/hall/src/intents.rs
@@ -41,7 +41,7 @@
         entries.append(&mut self.intents.intents);
         self.intents.flush_at = None;
         let log = self.intent_log();
-        let reports = self.reports();
+        let reports = self.own_address();
         tokio::spawn(async move {
             let report = intent_task::append(log, before, entries).await;
             let _ = reports.send(report).await;
@@ -73,7 +73,7 @@
             self.retry_outcomes(report.entries);
         }
         self.append_intents(Instant::now());
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     fn retry_outcomes(&mut self, entries: Vec<model::IntentEntry>) {
@@ -89,7 +89,7 @@
         // A batch of an earlier try may have taken its number with this append, so the bound is
         // that of the youngest key there can be.
         let window = self.config.document.bounds.idempotency_window.0;
-        let until = self.wall() + window + intent_book::CLOCK_SLACK * 2;
+        let until = self.wall_time() + window + intent_book::CLOCK_SLACK * 2;
         for number in report.before.table.next..report.cursors.table.next {
             self.intents.table_batches.push_back(intent_task::BatchAge { number, until });
         }
@@ -101,7 +101,7 @@
     /// Seals the log and reads it, again and again until both stores answered.
     pub(crate) fn seal_intents(&self, delay: Duration) {
         let log = self.intent_log();
-        let reports = self.reports();
+        let reports = self.own_address();
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
             let report = intent_task::seal(log).await;
@@ -157,11 +157,11 @@
 
     /// Drops what no longer matters from memory and from the stores.
     pub(crate) fn trim_intents(&mut self, now: Instant) {
-        if self.intents.next_trim.is_some_and(|it| now < it) || !self.is_firm() {
+        if self.intents.next_trim.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
         }
         self.intents.next_trim = Some(now + TRIM_INTERVAL);
-        let wall = self.wall();
+        let wall = self.wall_time();
         let window = self.config.document.bounds.idempotency_window.0;
         self.intents.book.trim(wall - (window + intent_book::CLOCK_SLACK));
         metric::intent_keys(&self.hall, self.intents.book.n_keys());
@@ -183,7 +183,7 @@
             objects: object.map_or(cursors.objects.next, |it| it.number),
         };
         let log = self.intent_log();
-        let reports = self.reports();
+        let reports = self.own_address();
         tokio::spawn(async move {
             let _ = reports.send(intent_task::trim(log, numbers, floor).await).await;
         });
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -30,7 +30,7 @@
         };
         self.jobs.committing = true;
         let (table, tenure, reports) =
-            (self.ports.table.clone(), self.tenure.clone(), self.reports());
+            (self.ports.table.clone(), self.tenure.clone(), self.own_address());
         let deadline = self.options.call_deadline();
         tokio::spawn(async move {
             let _ = reports.send(commit::run(table, tenure, plan, deadline).await).await;
@@ -56,7 +56,7 @@
         Some(commit::CommitPlan {
             hall: self.hall.clone(),
             writes,
-            at: self.wall(),
+            at: self.wall_time(),
             number: self.jobs.commit_number,
             after: self.jobs.commit_version,
             unsure: false,
@@ -98,7 +98,7 @@
             }
         }
         self.wake.notify_one();
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     fn job_committed(&mut self, write: commit::JobWrite) {
@@ -116,10 +116,10 @@
             let saved_run = entry.saved_run;
             if let Some(class) = self.config.class(&record.submission.class).cloned() {
                 let item = self.job_item(&record, &class, saved_run);
-                self.tell(event::HallEvent::Arrived(item));
+                self.apply_event(event::HallEvent::Arrived(item));
             }
             if self.jobs.entries.get(&job).is_some_and(|it| it.record.cancel_requested) {
-                self.tell(event::HallEvent::Cancelled(job));
+                self.apply_event(event::HallEvent::Cancelled(job));
             }
         }
         self.resume_logged_start(job);
@@ -165,11 +165,11 @@
 
     /// Drops jobs that ended long ago.
     pub(crate) fn sweep_jobs(&mut self, now: Instant) {
-        if self.jobs.next_sweep.is_some_and(|it| now < it) || !self.is_firm() {
+        if self.jobs.next_sweep.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
         }
         self.jobs.next_sweep = Some(now + SWEEP_INTERVAL);
-        let oldest = self.wall() - self.config.document.bounds.job_retention.0;
+        let oldest = self.wall_time() - self.config.document.bounds.job_retention.0;
         let (table, tenure, hall) =
             (self.ports.table.clone(), self.tenure.clone(), self.hall.clone());
         tokio::spawn(async move {
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -70,7 +70,7 @@
             let text = format!("expected a known client account, found {}", call.account);
             return Some(refused(model::WaitCode::UnknownAccount, text, None));
         };
-        if !self.is_firm() {
+        if !self.is_sole_holder() {
             let text = "a job is accepted only once it is durable, and the table does not answer";
             return Some(refused(model::WaitCode::StoreUnavailable, text, Some(STORE_RETRY_AFTER)));
         }
@@ -86,7 +86,7 @@
     }
 
     fn new_record(&self, call: &model::JobSubmit) -> model::JobRecord {
-        let now = self.wall();
+        let now = self.wall_time();
         model::JobRecord {
             job: call.job,
             account: call.account.clone(),
@@ -160,7 +160,8 @@
         tokio::spawn(async move {
             let get = model::TableGet { keys: vec![keys::job(&account, &job)] };
             // Without an answer the reply is dropped: "not found" would be a guess.
-            let rows = deadline::within(deadline, "read a job", deadline::TABLE, table.get(get));
+            let rows =
+                deadline::within(deadline, "read a job", deadline::TABLE_SERVICE, table.get(get));
             let Ok(rows) = rows.await else { return };
             let row = rows.rows.first();
             let record = row.and_then(|it| codec::decode_row("read a job", it).ok().flatten());
@@ -172,7 +173,7 @@
     /// Adds why a job waits now.
     fn with_reason(&self, mut record: model::JobRecord) -> model::JobRecord {
         if !job_table::is_terminal(record.state)
-            && let Some(reason) = self.policy.reason(&record.job, self.wall())
+            && let Some(reason) = self.policy.reason(&record.job, self.wall_time())
         {
             record.reason = Some(reason);
         }
@@ -204,7 +205,7 @@
         // Answered once durable: a successor must know of it too.
         entry.waiters.push(reply);
         self.mark_dirty(call.job);
-        self.tell(event::HallEvent::Cancelled(call.job));
+        self.apply_event(event::HallEvent::Cancelled(call.job));
     }
 
     /// The row of a job differs from what is known.
@@ -228,7 +229,7 @@
     }
 
     pub(crate) fn requeue_row(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if entry.is_over() || entry.gang.is_some() {
             return;
@@ -243,8 +244,8 @@
 
     /// Nobody can tell what became of work that may run only once. It is never started again.
     pub(crate) fn lose_job(&mut self, job: ids::JobId) {
-        self.tell(event::HallEvent::Cancelled(job));
-        self.tell(event::HallEvent::Ended { work: job, exit: event::WorkExit::Stopped });
+        self.apply_event(event::HallEvent::Cancelled(job));
+        self.apply_event(event::HallEvent::Ended { work: job, exit: event::WorkExit::Stopped });
         let reason = model::WaitReason {
             code: model::WaitCode::JobFaulty,
             text: "it may have run, and no worker can tell".to_owned(),
@@ -277,7 +278,7 @@
     }
 
     fn end_job(&mut self, job: ids::JobId, state: model::JobState, reason: model::WaitReason) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if entry.is_over() {
             return;
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -74,7 +74,7 @@
     /// Has the worker called at the next turn.
     pub(crate) fn sync_soon(&mut self, worker: &str) {
         if let Some(node) = self.nodes.get_mut(worker) {
-            node.next_sync = Instant::now();
+            node.next_poll = Instant::now();
         }
         self.wake.notify_one();
     }
--- a/crates/hall/src/metric.rs
+++ b/crates/hall/src/metric.rs
@@ -85,12 +85,12 @@
 }
 
 /// Seconds of one turn of the policy.
-pub(crate) fn turn(hall: &str, span: Duration) {
+pub(crate) fn policy_round(hall: &str, span: Duration) {
     histogram("almondpass_policy_turn_seconds", hall, span);
 }
 
 /// Free runs, fragmentation and queue of a hall.
-pub(crate) fn picture(hall: &ids::HallName, beat: &model::HallBeat, fragmentation: f64) {
+pub(crate) fn capacity(hall: &ids::HallName, beat: &model::HallBeat, fragmentation: f64) {
     gauge("almondpass_free_accelerators", hall, f64::from(beat.free_accelerators));
     gauge("almondpass_longest_free_run", hall, f64::from(beat.longest_run));
     gauge("almondpass_queued", hall, f64::from(beat.queued));
--- a/crates/hall/src/turn.rs
+++ b/crates/hall/src/round.rs
@@ -6,12 +6,12 @@
 use almondpass_schema::{model, time};
 use tokio::time::Instant;
 
-use crate::actor::{HallActor, Turn};
+use crate::actor::{HallActor, RunRound};
 use crate::backend;
 use crate::metric;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    pub(crate) fn on_turn(&mut self, _: Turn) -> Instant {
+    pub(crate) fn on_run_round(&mut self, _: RunRound) -> Instant {
         let now = Instant::now();
         self.stop_lapsed_gangs(now);
         self.expire_grants(now);
@@ -19,13 +19,13 @@
         if self.may_act() {
             self.decide();
         }
-        self.sync_workers(now);
+        self.poll_workers(now);
         self.commit_jobs(now);
         self.append_intents(now);
         self.trim_intents(now);
         self.sweep_jobs(now);
         self.summarise(now);
-        self.settle_freeze();
+        self.finish_freeze();
         self.next_wake(now)
     }
 
@@ -33,7 +33,7 @@
         for _ in 0..self.deferred.len() {
             let Some(deferred) = self.deferred.pop_front() else { return };
             if deferred.at <= now {
-                self.tell(deferred.event);
+                self.apply_event(deferred.event);
             } else {
                 self.deferred.push_back(deferred);
             }
@@ -42,9 +42,9 @@
 
     fn decide(&mut self) {
         let started = std::time::Instant::now();
-        let wall = self.wall();
+        let wall = self.wall_time();
         let decisions = self.policy.run_round(wall);
-        metric::turn(&self.hall, started.elapsed());
+        metric::policy_round(&self.hall, started.elapsed());
         for decision in decisions {
             self.carry_out(decision);
         }
@@ -81,8 +81,8 @@
     /// Work that was answered in the meantime.
     fn decide_unknown(&mut self, decision: decision::Decision) {
         let decision::Decision::Start { work, .. } = decision else { return };
-        self.tell(almondpass_policy::event::HallEvent::Cancelled(work));
-        self.tell(almondpass_policy::event::HallEvent::StartFailed {
+        self.apply_event(almondpass_policy::event::HallEvent::Cancelled(work));
+        self.apply_event(almondpass_policy::event::HallEvent::StartFailed {
             work,
             worker: None,
             fault: almondpass_policy::event::StartFault::Withdrawn,
@@ -96,7 +96,7 @@
         self.next_summary = now + SUMMARY_INTERVAL;
         let picture = self.picture();
         let beat = self.beat(&picture);
-        metric::picture(&self.hall, &beat, picture.fragmentation);
+        metric::capacity(&self.hall, &beat, picture.fragmentation);
         self.summary.send_replace(Some(beat));
     }
 
@@ -132,10 +132,10 @@
     }
 
     fn next_wake(&self, now: Instant) -> Instant {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let policy = self.policy.next_wake(wall).filter(|_| self.may_act());
         let policy = policy.map(|it| now + it.since(wall).max(SHORTEST_WAKE));
-        let syncs = self.nodes.values().filter(|it| !it.syncing).map(|it| it.next_sync).min();
+        let syncs = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
         let commit = self.jobs.next_commit.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
         let deferred = self.deferred.iter().map(|it| it.at).min();
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -21,7 +21,7 @@
 use crate::watch_reader;
 
 /// Everything that an instance needs to take part in scheduling halls.
-pub struct ServiceParts<B: backend::HallBackend> {
+pub struct ServiceDependencies<B: backend::HallBackend> {
     /// Clients.
     pub ports: backend::HallPorts<B>,
     /// This instance.
@@ -38,7 +38,7 @@
 }
 
 struct ServiceInner<B: backend::HallBackend> {
-    parts: ServiceParts<B>,
+    parts: ServiceDependencies<B>,
     reader: watch_reader::WatchReader,
     seats: Mutex<BTreeMap<ids::HallName, SeatHandle<B>>>,
     leaving: watch::Sender<bool>,
@@ -61,7 +61,7 @@
 
 impl<B: backend::HallBackend> HallService<B> {
     /// Starts a seat for every hall of the configuration, and keeps to its changes.
-    pub fn start(parts: ServiceParts<B>) -> HallService<B> {
+    pub fn start(parts: ServiceDependencies<B>) -> HallService<B> {
         let (leaving, left) = watch::channel(false);
         let config = parts.config.clone();
         let reader = watch_reader::WatchReader::start(parts.ports.table.clone(), &parts.options);
@@ -116,7 +116,7 @@
 
     /// Learns of tenures from the beats of others. A holder that is cut off from the table, but
     /// not from its peers, learns in this way that it is one no longer.
-    pub fn observe(&self, beats: &[model::HallBeat]) {
+    pub fn observe_epochs(&self, beats: &[model::HallBeat]) {
         let seats = self.seats();
         for beat in beats {
             if let Some(handle) = seats.get(&beat.hall) {
@@ -130,7 +130,7 @@
     }
 
     /// Halls that this instance schedules.
-    pub fn held(&self) -> Vec<ids::HallName> {
+    pub fn held_halls(&self) -> Vec<ids::HallName> {
         let seats = self.seats();
         let held = seats.iter().filter(|(_, it)| {
             matches!(&*it.view.borrow(), SeatView::Holding { .. } | SeatView::TakingOver)
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -15,9 +15,8 @@
 use tokio::time::Instant;
 
 use crate::actor::{self, HallActor};
-use crate::adopt;
+use crate::adoption;
 use crate::backend;
-use crate::changes;
 use crate::codec;
 use crate::deadline;
 use crate::error;
@@ -29,6 +28,7 @@
 use crate::lease_table;
 use crate::options;
 use crate::tenure;
+use crate::worker_updates;
 
 /// What a takeover is built upon.
 pub(crate) struct TakeoverParts<B: backend::HallBackend> {
@@ -73,7 +73,7 @@
             return None;
         }
     };
-    let nodes = changes::first_nodes(&config, &members, &parts.hall);
+    let nodes = worker_updates::initial_nodes(&config, &members, &parts.hall);
     let log = intent_log::IntentLog {
         ports: parts.ports.clone(),
         hall: parts.hall.clone(),
@@ -98,23 +98,23 @@
         intents: intent_task::IntentState::default(),
         deferred: VecDeque::new(),
         fenced: sealed.fenced,
-        fences: watch::channel(sealed.fenced).0,
+        fence_signal: watch::channel(sealed.fenced).0,
         freeze: None,
         frozen: false,
         summary: watch::channel(None).0,
         next_summary: Instant::now(),
-        next_lapse_look: Instant::now(),
+        next_lapse_check: Instant::now(),
         wake: Arc::new(Notify::new()),
         address: None,
     };
     let summary = actor.summary.subscribe();
-    let fenced = actor.fences.subscribe();
+    let fenced = actor.fence_signal.subscribe();
     let log_sealed = sealed.sealed.is_some();
     if let Some(sealed) = sealed.sealed {
         actor.take_log(sealed);
     }
-    adopt::adopt(&mut actor, records, &listings);
-    adopt::release_stray_leases(&mut actor).await;
+    adoption::adopt(&mut actor, records, &listings);
+    adoption::release_stray_leases(&mut actor).await;
     let (address, mailbox) = xtra::Mailbox::bounded(MAILBOX);
     actor.address = Some(mailbox.address());
     if !log_sealed && !actor.fenced {
@@ -137,7 +137,7 @@
             let sent = tokio::select! {
                 Ok(()) = config.changed() => {
                     let config = Arc::clone(&config.borrow_and_update());
-                    address.send(actor::Configured(config)).await
+                    address.send(actor::ConfigChanged(config)).await
                 }
                 Ok(()) = members.changed() => {
                     let members = Arc::clone(&members.borrow_and_update());
@@ -179,11 +179,12 @@
         let (table, deadline) = (&parts.ports.table, parts.options.call_deadline());
         let prefix = keys::hall_jobs(&parts.hall);
         let scan = model::TableScan { prefix, after: after.take(), limit: READ_PAGE };
-        let page = deadline::within(deadline, READ_STEP, deadline::TABLE, table.scan(scan)).await?;
+        let page = deadline::within(deadline, READ_STEP, deadline::TABLE_SERVICE, table.scan(scan))
+            .await?;
         let rows = page.rows.iter().filter_map(job_row_key).collect::<Vec<_>>();
         if !rows.is_empty() {
             let rows = table.get(model::TableGet { keys: rows });
-            let rows = deadline::within(deadline, READ_STEP, deadline::TABLE, rows).await?;
+            let rows = deadline::within(deadline, READ_STEP, deadline::TABLE_SERVICE, rows).await?;
             for row in rows.rows {
                 records.extend(codec::decode_row::<model::JobRecord>("read a job", &row)?);
             }
--- a/crates/hall/src/worker_node.rs
+++ b/crates/hall/src/worker_node.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodeState {
     /// Its leases are to be listed before anything is placed on it.
-    Unlisted,
+    LeasesUnknown,
     /// It answers, and nothing unknown is on it.
     Live,
 }
@@ -25,11 +25,11 @@
     /// Whether the policy was told that it takes no new work.
     pub(crate) draining: bool,
     /// Calls without an answer since the last answer.
-    pub(crate) failures: u32,
+    pub(crate) failed_polls: u32,
     /// Whether a call is on its way.
-    pub(crate) syncing: bool,
+    pub(crate) polling: bool,
     /// When it is to be called next.
-    pub(crate) next_sync: Instant,
+    pub(crate) next_poll: Instant,
 }
 
 impl WorkerNode {
@@ -38,11 +38,11 @@
         WorkerNode {
             entry: None,
             kind,
-            state: NodeState::Unlisted,
+            state: NodeState::LeasesUnknown,
             draining: false,
-            failures: 0,
-            syncing: false,
-            next_sync: now,
+            failed_polls: 0,
+            polling: false,
+            next_poll: now,
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Where an upstream answers on it, unless that leaves.
-    pub(crate) fn upstream(&self, name: &str) -> Option<&ids::PeerAddress> {
+    pub(crate) fn upstream_address(&self, name: &str) -> Option<&ids::PeerAddress> {
         let upstreams = self.entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
         let found = upstreams.iter().find(|it| it.upstream == name && !it.leaving)?;
         Some(&found.address)
--- a/crates/hall/src/sync.rs
+++ b/crates/hall/src/worker_poll.rs
@@ -12,17 +12,17 @@
 use crate::lease::LeasePurpose;
 use crate::lease_table::LeaseState;
 use crate::metric;
-use crate::sync_task::{self, SyncQuery};
 use crate::worker_node::NodeState;
+use crate::worker_poll_task::{self, PollQuery};
 
 impl<B: backend::HallBackend> HallActor<B> {
     /// Calls the workers whose time has come.
-    pub(crate) fn sync_workers(&mut self, now: Instant) {
+    pub(crate) fn poll_workers(&mut self, now: Instant) {
         // A holder that does not know whether it still is one must not keep leases alive.
         if self.fenced || !self.tenure.may_act() {
             return;
         }
-        let due = self.nodes.iter().filter(|(_, it)| !it.syncing && it.next_sync <= now);
+        let due = self.nodes.iter().filter(|(_, it)| !it.polling && it.next_poll <= now);
         for worker in due.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
             self.sync_worker(worker, now);
         }
@@ -31,36 +31,36 @@
     fn sync_worker(&mut self, worker: ids::WorkerId, now: Instant) {
         let Some(node) = self.nodes.get_mut(&worker) else { return };
         let Some(address) = node.address().cloned() else {
-            node.next_sync = now + UNLISTED_RETRY;
+            node.next_poll = now + UNLISTED_RETRY;
             return;
         };
-        node.syncing = true;
+        node.polling = true;
         // After a failure the worker is asked to list, not to renew: a renewal that may have
         // landed would move the time by which its leases have certainly lapsed on and on.
-        let lists = node.state == NodeState::Unlisted || 0 < node.failures;
+        let lists = node.state == NodeState::LeasesUnknown || 0 < node.failed_polls;
         let release = self.leases.in_state(&worker, LeaseState::Releasing);
         let query = if lists {
-            SyncQuery::List
+            PollQuery::List
         } else {
             let leases = self.leases.in_state(&worker, LeaseState::Held);
-            SyncQuery::Renew { leases, term: self.options.lease_term() }
+            PollQuery::Renew { leases, term: self.options.lease_term() }
         };
         let deadline = self.options.call_deadline();
-        let plan = sync_task::SyncPlan { worker, address, release, query, deadline };
-        let (workers, reports) = (self.ports.workers.clone(), self.reports());
+        let plan = worker_poll_task::PollPlan { worker, address, release, query, deadline };
+        let (workers, reports) = (self.ports.workers.clone(), self.own_address());
         tokio::spawn(async move {
-            let _ = reports.send(sync_task::run(workers, plan).await).await;
+            let _ = reports.send(worker_poll_task::run(workers, plan).await).await;
         });
     }
 
-    pub(crate) fn on_synced(&mut self, report: sync_task::SyncReport) {
+    pub(crate) fn on_poll_report(&mut self, report: worker_poll_task::PollReport) {
         let worker = report.plan.worker.clone();
         if let Some(node) = self.nodes.get_mut(&worker) {
-            node.syncing = false;
+            node.polling = false;
         }
         if report.released {
             for lease in &report.plan.release {
-                self.lease_gone(lease);
+                self.on_lease_released(lease);
             }
         }
         match &report.listing {
@@ -73,10 +73,10 @@
     fn on_worker_answer(
         &mut self,
         worker: &ids::WorkerId,
-        report: &sync_task::SyncReport,
+        report: &worker_poll_task::PollReport,
         listing: &model::LeaseListing,
     ) {
-        let renews = matches!(report.plan.query, SyncQuery::Renew { .. });
+        let renews = matches!(report.plan.query, PollQuery::Renew { .. });
         for status in &listing.leases {
             if renews {
                 self.extend_lease(&status.lease, report.sent_at);
@@ -90,20 +90,20 @@
         let clean = renews || self.reconcile(worker, report, listing);
         let interval = self.sync_interval(worker);
         let Some(node) = self.nodes.get_mut(worker) else { return };
-        node.failures = 0;
+        node.failed_polls = 0;
         let now = Instant::now();
         if !clean {
-            node.next_sync = now;
+            node.next_poll = now;
             return;
         }
-        let back = node.state == NodeState::Unlisted;
+        let back = node.state == NodeState::LeasesUnknown;
         node.state = NodeState::Live;
         // After a list, renew at once: the leases were not renewed by it.
-        node.next_sync = if renews { now + interval } else { now };
+        node.next_poll = if renews { now + interval } else { now };
         if back {
             tracing::info!(hall = self.hall, worker, "a worker answers");
-            self.tell(event::HallEvent::WorkerBack(worker.clone()));
-            self.tell_draining(worker);
+            self.apply_event(event::HallEvent::WorkerBack(worker.clone()));
+            self.update_draining(worker);
         }
     }
 
@@ -111,7 +111,7 @@
     fn reconcile(
         &mut self,
         worker: &ids::WorkerId,
-        report: &sync_task::SyncReport,
+        report: &worker_poll_task::PollReport,
         listing: &model::LeaseListing,
     ) -> bool {
         let held = self.leases.in_state(worker, LeaseState::Held);
@@ -119,7 +119,7 @@
             let listed = listing.leases.iter().any(|it| it.lease == lease);
             // Reserved after the list was asked for: it cannot be on it.
             let older = self.leases.get(&lease).is_some_and(|it| it.valid_until < report.sent_at);
-            if !listed && (older || self.nodes[worker].state == NodeState::Unlisted) {
+            if !listed && (older || self.nodes[worker].state == NodeState::LeasesUnknown) {
                 self.lease_lapsed(&lease, worker);
             }
         }
@@ -139,9 +139,9 @@
         clean
     }
 
-    fn on_worker_silent(&mut self, worker: &ids::WorkerId, report: &sync_task::SyncReport) {
+    fn on_worker_silent(&mut self, worker: &ids::WorkerId, report: &worker_poll_task::PollReport) {
         let (term, margin) = (self.options.lease_term(), self.options.lease_margin());
-        if let SyncQuery::Renew { leases, .. } = &report.plan.query {
+        if let PollQuery::Renew { leases, .. } = &report.plan.query {
             // The renewal may have landed without its answer.
             for lease in leases {
                 if let Some(entry) = self.leases.get_mut(lease) {
@@ -150,13 +150,13 @@
             }
         }
         let Some(node) = self.nodes.get_mut(worker) else { return };
-        node.failures += 1;
-        node.next_sync = Instant::now() + self.options.timing.worker_poll.0;
-        let first = node.failures == 1;
-        if node.failures == LOST_AFTER && node.state == NodeState::Live {
-            node.state = NodeState::Unlisted;
+        node.failed_polls += 1;
+        node.next_poll = Instant::now() + self.options.timing.worker_poll.0;
+        let first = node.failed_polls == 1;
+        if node.failed_polls == LOST_AFTER && node.state == NodeState::Live {
+            node.state = NodeState::LeasesUnknown;
             tracing::warn!(hall = self.hall, worker, "a worker does not answer");
-            self.tell(event::HallEvent::WorkerLost(worker.clone()));
+            self.apply_event(event::HallEvent::WorkerLost(worker.clone()));
         }
         if first {
             self.look_at_gangs_on(worker);
@@ -191,7 +191,7 @@
     }
 
     /// A lease is proven gone.
-    pub(crate) fn lease_gone(&mut self, lease: &ids::LeaseId) {
+    pub(crate) fn on_lease_released(&mut self, lease: &ids::LeaseId) {
         let Some(entry) = self.leases.remove(lease) else { return };
         self.grants.idle.remove(lease);
         if let LeasePurpose::Task { job, .. } = entry.purpose {
--- a/crates/hall/src/sync_task.rs
+++ b/crates/hall/src/worker_poll_task.rs
@@ -8,7 +8,7 @@
 
 /// What to tell a worker and ask of it.
 #[derive(Clone, Debug)]
-pub(crate) struct SyncPlan {
+pub(crate) struct PollPlan {
     /// The worker.
     pub(crate) worker: ids::WorkerId,
     /// Its control address.
@@ -16,14 +16,14 @@
     /// Leases to release.
     pub(crate) release: Vec<ids::LeaseId>,
     /// What to ask.
-    pub(crate) query: SyncQuery,
+    pub(crate) query: PollQuery,
     /// For each call.
     pub(crate) deadline: Duration,
 }
 
 /// What to ask of a worker.
 #[derive(Clone, Debug)]
-pub(crate) enum SyncQuery {
+pub(crate) enum PollQuery {
     /// Renew these leases.
     Renew {
         /// The leases.
@@ -37,9 +37,9 @@
 
 /// What a worker said.
 #[derive(Clone, Debug)]
-pub(crate) struct SyncReport {
+pub(crate) struct PollReport {
     /// What was asked.
-    pub(crate) plan: SyncPlan,
+    pub(crate) plan: PollPlan,
     /// When the renewal was sent.
     pub(crate) sent_at: Instant,
     /// Whether the release was confirmed.
@@ -49,17 +49,17 @@
 }
 
 /// Carries the plan out.
-pub(crate) async fn run<W: WorkerControl>(workers: W, plan: SyncPlan) -> SyncReport {
+pub(crate) async fn run<W: WorkerControl>(workers: W, plan: PollPlan) -> PollReport {
     let released = release(&workers, &plan).await;
     let sent_at = Instant::now();
     let listing = async {
         match &plan.query {
-            SyncQuery::Renew { leases, term } => {
+            PollQuery::Renew { leases, term } => {
                 let term = time::TimeSpan(*term);
                 let renew = model::LeaseRenew { leases: leases.clone(), term };
                 workers.renew(&plan.address, renew).await
             }
-            SyncQuery::List => workers.leases(&plan.address).await,
+            PollQuery::List => workers.leases(&plan.address).await,
         }
     };
     let listing = match tokio::time::timeout(plan.deadline, listing).await {
@@ -70,10 +70,10 @@
         }
         Err(_) => None,
     };
-    SyncReport { plan, sent_at, released, listing }
+    PollReport { plan, sent_at, released, listing }
 }
 
-async fn release<W: WorkerControl>(workers: &W, plan: &SyncPlan) -> bool {
+async fn release<W: WorkerControl>(workers: &W, plan: &PollPlan) -> bool {
     if plan.release.is_empty() {
         return true;
     }
--- a/crates/hall/src/changes.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -8,18 +8,18 @@
 use almondpass_schema::ids;
 use tokio::time::Instant;
 
-use crate::actor::{Configured, HallActor, MembersChanged};
+use crate::actor::{ConfigChanged, HallActor, MembersChanged};
 use crate::backend;
 use crate::hall_layout;
 use crate::worker_node;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    pub(crate) fn on_configured(&mut self, configured: Configured) {
-        let Configured(config) = configured;
+    pub(crate) fn on_config_changed(&mut self, configured: ConfigChanged) {
+        let ConfigChanged(config) = configured;
         if config.version <= self.config.version {
             return;
         }
-        let wall = self.wall();
+        let wall = self.wall_time();
         if let Err(fault) = self.policy.configure(Arc::clone(&config.document), wall) {
             // The rules let only documents in that fit, so this hall was taken out of it, or
             // workers are gone that a guarantee needs. The old one goes on here.
@@ -28,22 +28,22 @@
             return;
         }
         self.config = config;
-        self.lay_out();
+        self.update_workers();
         self.wake.notify_one();
     }
 
-    pub(crate) fn on_members(&mut self, changed: MembersChanged) {
+    pub(crate) fn on_members_changed(&mut self, changed: MembersChanged) {
         let MembersChanged(members) = changed;
         self.members = members;
         let live = &self.members.instances;
         // The exchanges of an instance that is gone were cut with it.
         self.grants.unreported.retain(|it| live.contains_key(it));
         self.release_unused_adopted();
-        self.lay_out();
+        self.update_workers();
     }
 
     /// Brings the workers in line with the configuration and the instance list.
-    pub(crate) fn lay_out(&mut self) {
+    pub(crate) fn update_workers(&mut self) {
         let now = Instant::now();
         let layout = hall_layout::workers(&self.config, &self.hall);
         let names = layout.iter().map(|(name, _)| name.clone()).collect::<BTreeSet<_>>();
@@ -63,21 +63,21 @@
         self.nodes
             .retain(|name, _| names.contains(name) || leases.on_worker(name).next().is_some());
         for worker in names {
-            self.tell_draining(&worker);
+            self.update_draining(&worker);
         }
     }
 
     /// Tells the policy whether a worker takes new work.
-    pub(crate) fn tell_draining(&mut self, worker: &ids::WorkerId) {
+    pub(crate) fn update_draining(&mut self, worker: &ids::WorkerId) {
         let draining = self.is_draining(worker);
         let Some(node) = self.nodes.get_mut(worker) else { return };
         let live = node.state == worker_node::NodeState::Live;
         let changed = node.draining != draining;
         node.draining = draining;
         if draining && (changed || live) {
-            self.tell(event::HallEvent::WorkerDraining(worker.clone()));
+            self.apply_event(event::HallEvent::WorkerDraining(worker.clone()));
         } else if changed {
-            self.tell(event::HallEvent::WorkerUndrained(worker.clone()));
+            self.apply_event(event::HallEvent::WorkerUndrained(worker.clone()));
         }
     }
 
@@ -98,7 +98,7 @@
 }
 
 /// Workers as the configuration and the instance list have them, before anything is known.
-pub(crate) fn first_nodes(
+pub(crate) fn initial_nodes(
     config: &active::ActiveConfig,
     members: &almondpass_membership::snapshot::MemberSnapshot,
     hall: &str,
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -170,7 +170,7 @@
             return;
         }
         for instance in &self.instances {
-            instance.service.observe(&beats);
+            instance.service.observe_epochs(&beats);
         }
     }
 
--- a/crates/hall/tests/hall/changes.rs
+++ b/crates/hall/tests/hall/changes.rs
@@ -67,9 +67,9 @@
             hall.name = "rajkot".to_owned();
             it.halls.push(hall);
         });
-        support::until("both are held", async || instance.service.held().len() == 2).await;
+        support::until("both are held", async || instance.service.held_halls().len() == 2).await;
         site.change_config(|it| it.halls.retain(|it| it.name != "rajkot"));
-        support::until("one is held", async || instance.service.held().len() == 1).await;
+        support::until("one is held", async || instance.service.held_halls().len() == 1).await;
         instance.granted(support::request(&site, support::CHECK)).await;
     }
 
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -91,7 +91,7 @@
         old.cut_off_from_table();
         support::until("the other holds", async || new.holds()).await;
         assert!(old.holds());
-        old.service.observe(&new.service.summaries());
+        old.service.observe_epochs(&new.service.summaries());
         support::until("the old one stopped", async || !old.holds()).await;
         let reply = old.grant(support::request(&site, support::CHECK)).await;
         assert!(matches!(reply, model::GrantReply::NotHolder { .. }));
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -121,7 +121,7 @@
             workers: self.fleet.seen_through(to_workers.clone()),
             link: self.net.link(&address),
         };
-        let service = service::HallService::start(service::ServiceParts {
+        let service = service::HallService::start(service::ServiceDependencies {
             ports,
             options: options::HallOptions {
                 instance: id.to_owned(),
