--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -13,7 +13,7 @@
 use crate::grant_table::{self, GrantStage};
 use crate::grants::{RETRY_AFTER, STORE_RETRY_AFTER};
 use crate::hall_layout;
-use crate::intent_book;
+use crate::intent_index;
 use crate::request;
 use crate::tenure;
 
@@ -147,7 +147,7 @@
             let text = format!("expected a key younger than {window:?}");
             return Some(grant_table::refused_reply(model::WaitCode::KeyTooOld, text));
         }
-        if now + intent_book::CLOCK_SLACK < made_at {
+        if now + intent_index::CLOCK_SLACK < made_at {
             let text = "expected a key that was made before now";
             return Some(grant_table::refused_reply(model::WaitCode::KeyRequired, text));
         }
@@ -163,8 +163,8 @@
                 STORE_RETRY_AFTER,
             ));
         }
-        if let intent_book::KeyStanding::Recorded { request, outcome } =
-            self.intents.book.standing(&call.account, key)
+        if let intent_index::KeyStatus::Recorded { request, outcome } =
+            self.intents.index.status(&call.account, key)
         {
             return Some(model::GrantReply::Recorded { outcome, request });
         }
--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -119,17 +119,17 @@
         repeatable,
         waiters: Vec::new(),
         gang: None,
-        tries: 0,
+        n_starts: 0,
         saved_run: Duration::ZERO,
-        arrived: Instant::now(),
+        arrived_at: Instant::now(),
     };
-    let item = class.map(|it| actor.job_item(&entry.record, &it, Duration::ZERO));
+    let item = class.map(|it| actor.job_work_item(&entry.record, &it, Duration::ZERO));
     actor.jobs.entries.insert(job, entry);
     match (item, members) {
         (Some(item), Some((start, members))) => adopt_gang(actor, item, start, members, listings),
         (_, None) if !repeatable && may_have_run => {
             // The row says that a start may have been sent, and no worker can tell the end.
-            actor.lose_job(job);
+            actor.end_job_unknown(job);
             return;
         }
         (Some(item), None) => {
@@ -181,14 +181,14 @@
 
 fn found_member(rank: u32, task: &FoundTask) -> GangMember {
     GangMember {
-        slot: work::TaskAssignment {
+        assignment: work::TaskAssignment {
             rank,
             worker: task.worker.clone(),
             accelerators: task.status.accelerators.clone(),
         },
         lease: task.status.lease.clone(),
         exit: task.status.exit.clone(),
-        checkpoint_before: task.status.checkpoint.clone(),
+        previous_checkpoint: task.status.checkpoint.clone(),
         checkpoint: task.status.checkpoint.clone(),
     }
 }
@@ -204,14 +204,14 @@
         return None;
     }
     Some(GangMember {
-        slot: work::TaskAssignment {
+        assignment: work::TaskAssignment {
             rank,
             worker: placed.worker.clone(),
             accelerators: placed.accelerators.clone(),
         },
         lease: placed.lease.clone(),
         exit: None,
-        checkpoint_before: None,
+        previous_checkpoint: None,
         checkpoint: None,
     })
 }
@@ -227,23 +227,23 @@
     let now = Instant::now();
     let demand = item.demand;
     for member in &members {
-        let listing = listings.get(&member.slot.worker);
+        let listing = listings.get(&member.assignment.worker);
         let status = listing.and_then(|it| it.leases.iter().find(|it| it.lease == member.lease));
-        let purpose = LeasePurpose::Task { job, start, rank: member.slot.rank };
+        let purpose = LeasePurpose::Task { job, start, rank: member.assignment.rank };
         let term = actor.options.lease_term();
         // Of a worker that did not answer it is only known that its lease lapses within a term.
         let left = status.map_or(term, |it| it.remaining.0);
         actor.leases.insert(LeaseEntry {
             purpose,
-            worker: member.slot.worker.clone(),
-            accelerators: member.slot.accelerators.clone(),
+            worker: member.assignment.worker.clone(),
+            accelerators: member.assignment.accelerators.clone(),
             demand,
             state: LeaseState::Held,
             valid_until: now + left,
             expired_by: now + term + actor.options.lease_margin(),
         });
     }
-    let placement = members.iter().map(|it| it.slot.clone()).collect();
+    let placement = members.iter().map(|it| it.assignment.clone()).collect();
     let wall = actor.wall_time();
     let Some(entry) = actor.jobs.entries.get_mut(&job) else { return };
     let ran = match entry.record.state {
@@ -255,10 +255,10 @@
         members,
         phase: GangPhase::Running,
         started_at: now.checked_sub(ran).unwrap_or(now),
-        checkpoint_asked: false,
-        stop_wanted: false,
+        checkpoint_requested: false,
+        stop_requested: false,
         start_sent: true,
-        reported: true,
+        start_reported: true,
     });
     entry.record.placement = crate::gangs::placements(entry.gang.as_ref());
     if entry.record.state != model::JobState::Running {
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -23,13 +23,13 @@
             GangPhase::Stopping { .. } => return,
             // The task that starts it is under way: a reservation of its that landed behind our
             // release would hold accelerators for a term. Its report comes soon.
-            GangPhase::Reserving | GangPhase::Starting if !gang.reported => {
-                gang.stop_wanted = true;
+            GangPhase::Reserving | GangPhase::Starting if !gang.start_reported => {
+                gang.stop_requested = true;
                 return;
             }
             // Dropping the sender calls the start off.
-            GangPhase::Logging(_) => {
-                gang.stop_wanted = true;
+            GangPhase::PersistingStart(_) => {
+                gang.stop_requested = true;
                 gang.phase = GangPhase::Reserving;
                 return;
             }
@@ -51,7 +51,7 @@
         worker: &ids::WorkerId,
     ) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        let Some(gang) = entry.gang_of(start) else { return };
+        let Some(gang) = entry.gang_for_start(start) else { return };
         if let GangPhase::Running = gang.phase {
             let exit = event::WorkExit::Lost { worker: worker.clone() };
             self.stop_gang(job, GangEnding::Ended(exit));
@@ -116,7 +116,7 @@
             matches!(it.exit, Some(model::TaskExit::Failed { .. } | model::TaskExit::Stopped))
         };
         if let Some(member) = gang.members.iter().find(ended) {
-            let worker = member.slot.worker.clone();
+            let worker = member.assignment.worker.clone();
             let exit = match member.exit {
                 Some(model::TaskExit::Failed { .. }) => event::WorkExit::Failed { worker },
                 _ => event::WorkExit::Lost { worker },
@@ -128,14 +128,14 @@
             self.gang_succeeded(job);
             return;
         }
-        let durable = gang.checkpoint_asked
+        let durable = gang.checkpoint_requested
             && gang.members.iter().all(|it| {
                 it.exit.is_some()
-                    || it.checkpoint.is_some() && it.checkpoint != it.checkpoint_before
+                    || it.checkpoint.is_some() && it.checkpoint != it.previous_checkpoint
             });
         if durable {
-            gang.checkpoint_asked = false;
-            let first = gang.members.iter().find(|it| it.slot.rank == 0);
+            gang.checkpoint_requested = false;
+            let first = gang.members.iter().find(|it| it.assignment.rank == 0);
             entry.record.checkpoint = first.and_then(|it| it.checkpoint.clone());
             entry.saved_run = gang.started_at.elapsed();
             // A gang saves its run now and then and runs on; only the policy's stop ends it.
@@ -178,7 +178,7 @@
         let ran = gang.started_at.elapsed();
         let never_again = !entry.repeatable && entry.record.state == model::JobState::Starting;
         match ending {
-            GangEnding::NotStarted { .. } if never_again => self.lose_job(job),
+            GangEnding::NotStarted { .. } if never_again => self.end_job_unknown(job),
             GangEnding::NotStarted { worker, fault } => {
                 self.requeue_row(job);
                 let failed = event::HallEvent::StartFailed { work: job, worker, fault };
@@ -194,7 +194,7 @@
                 let exit = if done { event::WorkExit::Succeeded } else { exit };
                 let ambiguous = matches!(exit, event::WorkExit::Lost { .. });
                 if !entry.repeatable && ambiguous {
-                    self.lose_job(job);
+                    self.end_job_unknown(job);
                     return;
                 }
                 if let event::WorkExit::Failed { worker } = &exit {
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -22,12 +22,12 @@
             }
             decision::Decision::Checkpoint { work, .. } => self.checkpoint_gang(work),
             decision::Decision::Stop { work, reason, .. } => {
-                self.note_reason(work, reason);
+                self.set_wait_reason(work, reason);
                 let ending = GangEnding::Ended(event::WorkExit::Stopped);
                 self.stop_gang(work, ending);
             }
             decision::Decision::Throttle { work, reason } => {
-                self.note_reason(work, reason);
+                self.set_wait_reason(work, reason);
                 self.signal_gang(work, model::TaskSignalKind::Throttle);
             }
             decision::Decision::Requeue { work, reason } => self.requeue_job(work, reason),
@@ -67,7 +67,7 @@
         };
         tracing::info!(hall = self.hall, job = %job, n_tasks = placement.len(), reason = reason.text,
             "starts a gang");
-        self.note_reason(job, reason);
+        self.set_wait_reason(job, reason);
         let (workers, tenure, reports) =
             (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
         tokio::spawn(gang_task::run::<B>(workers, tenure, plan, reports));
@@ -90,8 +90,8 @@
         if entry.gang.is_some() || entry.is_over() {
             return None;
         }
-        entry.tries += 1;
-        let start = lease::StartNumber { epoch: self.tenure.epoch(), attempt: entry.tries };
+        entry.n_starts += 1;
+        let start = lease::StartNumber { epoch: self.tenure.epoch(), attempt: entry.n_starts };
         let submission = entry.record.submission.clone();
         let checkpoint = entry.record.checkpoint.clone();
         let demand = work::TaskDemand {
@@ -115,10 +115,10 @@
                 reserve: self.reservation(&name, slot, &demand),
             });
             members.push(GangMember {
-                slot: slot.clone(),
+                assignment: slot.clone(),
                 lease: name,
                 exit: None,
-                checkpoint_before: None,
+                previous_checkpoint: None,
                 checkpoint: None,
             });
         }
@@ -128,10 +128,10 @@
             members,
             phase: GangPhase::Reserving,
             started_at: Instant::now(),
-            checkpoint_asked: false,
-            stop_wanted: false,
+            checkpoint_requested: false,
+            stop_requested: false,
             start_sent: false,
-            reported: false,
+            start_reported: false,
         });
         let arguments = submission.arguments.unwrap_or_default().into_bytes();
         Some(gang_task::GangPlan {
@@ -162,8 +162,11 @@
         let Some(entry) = self.jobs.entries.get_mut(&reserved.job) else { return receiver };
         let repeatable = entry.repeatable;
         let cancelled = entry.record.cancel_requested;
-        let Some(gang) = entry.gang_of(reserved.start) else { return receiver };
-        if cancelled || gang.stop_wanted || !may_act || !matches!(gang.phase, GangPhase::Reserving)
+        let Some(gang) = entry.gang_for_start(reserved.start) else { return receiver };
+        if cancelled
+            || gang.stop_requested
+            || !may_act
+            || !matches!(gang.phase, GangPhase::Reserving)
         {
             // A dropped sender calls the start off.
             return receiver;
@@ -173,7 +176,7 @@
             gang.phase = GangPhase::Starting;
             let _ = sender.send(true);
         } else {
-            gang.phase = GangPhase::Logging(sender);
+            gang.phase = GangPhase::PersistingStart(sender);
         }
         // From here on a start may be sent, and the row must never claim less.
         entry.record.attempt += 1;
@@ -193,11 +196,11 @@
         });
         let cancelled = entry.record.cancel_requested;
         let Some(gang) = entry.gang.as_mut() else { return };
-        if !durable || !matches!(gang.phase, GangPhase::Logging(_)) {
+        if !durable || !matches!(gang.phase, GangPhase::PersistingStart(_)) {
             return;
         }
         let phase = std::mem::replace(&mut gang.phase, GangPhase::Starting);
-        if let GangPhase::Logging(sender) = phase {
+        if let GangPhase::PersistingStart(sender) = phase {
             let _ = sender.send(firm && !cancelled);
         }
     }
@@ -207,10 +210,10 @@
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let cancelled = entry.record.cancel_requested;
-        let waited = entry.arrived.elapsed();
-        let Some(gang) = entry.gang_of(report.start) else { return };
-        gang.reported = true;
-        let unwanted = cancelled || gang.stop_wanted;
+        let waited = entry.arrived_at.elapsed();
+        let Some(gang) = entry.gang_for_start(report.start) else { return };
+        gang.start_reported = true;
+        let unwanted = cancelled || gang.stop_requested;
         match report.outcome {
             gang_task::GangStartOutcome::Started => {
                 gang.phase = GangPhase::Running;
@@ -271,9 +274,9 @@
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
-        gang.checkpoint_asked = true;
+        gang.checkpoint_requested = true;
         for member in &mut gang.members {
-            member.checkpoint_before = member.checkpoint.clone();
+            member.previous_checkpoint = member.checkpoint.clone();
         }
         entry.record.state = model::JobState::Checkpointing;
         entry.record.state_since = wall;
@@ -289,7 +292,7 @@
             return;
         };
         for member in &gang.members {
-            let node = self.nodes.get(&member.slot.worker);
+            let node = self.nodes.get(&member.assignment.worker);
             let Some(address) = node.and_then(|it| it.address().cloned()) else { continue };
             let workers = self.ports.workers.clone();
             let deadline = self.options.call_deadline();
@@ -309,7 +312,7 @@
     fn gang_workers(&self, job: ids::JobId) -> Vec<ids::WorkerId> {
         let gang = self.jobs.entries.get(&job).and_then(|it| it.gang.as_ref());
         let members = gang.map_or(&[][..], |it| it.members.as_slice());
-        members.iter().map(|it| it.slot.worker.clone()).collect()
+        members.iter().map(|it| it.assignment.worker.clone()).collect()
     }
 
     fn member_leases(
@@ -318,9 +321,9 @@
         start: lease::StartNumber,
     ) -> Vec<(u32, ids::LeaseId)> {
         let entry = self.jobs.entries.get_mut(&job);
-        let gang = entry.and_then(|it| it.gang_of(start));
+        let gang = entry.and_then(|it| it.gang_for_start(start));
         let members = gang.map_or(&[][..], |it| it.members.as_slice());
-        members.iter().map(|it| (it.slot.rank, it.lease.clone())).collect()
+        members.iter().map(|it| (it.assignment.rank, it.lease.clone())).collect()
     }
 }
 
@@ -328,9 +331,9 @@
 pub(crate) fn placements(gang: Option<&Gang>) -> Vec<model::TaskPlacement> {
     let members = gang.map_or(&[][..], |it| it.members.as_slice());
     let placements = members.iter().map(|it| model::TaskPlacement {
-        rank: it.slot.rank,
-        worker: it.slot.worker.clone(),
-        accelerators: it.slot.accelerators.clone(),
+        rank: it.assignment.rank,
+        worker: it.assignment.worker.clone(),
+        accelerators: it.assignment.accelerators.clone(),
         lease: it.lease.clone(),
     });
     placements.collect()
--- a/crates/hall/src/intent_book.rs
+++ b/crates/hall/src/intent_index.rs
@@ -8,7 +8,7 @@
 
 /// What a key that is offered again gets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeyStanding {
+pub enum KeyStatus {
     /// It may be sent: it is new, or every try ended without anything sent.
     Free,
     /// It was used before.
@@ -38,22 +38,22 @@
 
 /// Records of the keys of one hall.
 #[derive(Debug, Default)]
-pub struct IntentBook {
+pub struct IntentIndex {
     tries: HashMap<KeyOwner, Vec<KeyTry>>,
     owners: HashMap<ids::GrantId, KeyOwner>,
 }
 
-impl IntentBook {
+impl IntentIndex {
     /// How a key stands.
-    pub fn standing(&self, account: &str, key: ids::IdempotencyKey) -> KeyStanding {
+    pub fn status(&self, account: &str, key: ids::IdempotencyKey) -> KeyStatus {
         let owner = KeyOwner { account: account.to_owned(), key };
         let tries = self.tries.get(&owner).map_or(&[][..], Vec::as_slice);
         let used = tries.iter().filter(|it| it.outcome != Some(model::RequestOutcome::NotRun));
         // A settled try tells more than one that is still on its way.
         let Some(found) = used.max_by_key(|it| it.outcome.is_some()) else {
-            return KeyStanding::Free;
+            return KeyStatus::Free;
         };
-        KeyStanding::Recorded {
+        KeyStatus::Recorded {
             request: found.request,
             outcome: found.outcome.unwrap_or(model::RequestOutcome::Unknown),
         }
--- a/crates/hall/src/intent_task.rs
+++ b/crates/hall/src/intent_task.rs
@@ -6,14 +6,14 @@
 use tokio::time::Instant;
 
 use crate::backend;
-use crate::intent_book;
+use crate::intent_index;
 use crate::intent_log;
 
 /// The scheduler's end of the intent log.
 #[derive(Debug, Default)]
 pub(crate) struct IntentState {
     /// What became of keys.
-    pub(crate) book: intent_book::IntentBook,
+    pub(crate) index: intent_index::IntentIndex,
     /// Where the log goes on; taken by the append on its way, absent until the log is sealed.
     pub(crate) cursors: Option<intent_log::LogCursors>,
     /// Whether both stores are sealed, so that no older holder can add anything.
--- a/crates/hall/src/intents.rs
+++ b/crates/hall/src/intents.rs
@@ -7,7 +7,7 @@
 
 use crate::actor::HallActor;
 use crate::backend;
-use crate::intent_book;
+use crate::intent_index;
 use crate::intent_log;
 use crate::intent_task;
 use crate::metric;
@@ -21,7 +21,7 @@
 
     /// Notes the outcome of a grant under a key, and sees that the log learns it.
     pub(crate) fn log_outcome(&mut self, grant: ids::GrantId, outcome: model::RequestOutcome) {
-        let Some(entry) = self.intents.book.settle(grant, outcome) else { return };
+        let Some(entry) = self.intents.index.settle(grant, outcome) else { return };
         self.intents.outcomes.push(entry);
         let flush_at = Instant::now() + OUTCOME_DELAY;
         self.intents.flush_at.get_or_insert(flush_at);
@@ -89,7 +89,7 @@
         // A batch of an earlier try may have taken its number with this append, so the bound is
         // that of the youngest key there can be.
         let window = self.config.document.bounds.idempotency_window.0;
-        let until = self.wall_time() + window + intent_book::CLOCK_SLACK * 2;
+        let until = self.wall_time() + window + intent_index::CLOCK_SLACK * 2;
         for number in report.before.table.next..report.cursors.table.next {
             self.intents.table_batches.push_back(intent_task::BatchAge { number, until });
         }
@@ -118,19 +118,19 @@
             self.seal_intents(SEAL_RETRY);
             return;
         };
-        self.take_log(sealed);
+        self.load_intent_log(sealed);
         self.wake.notify_one();
     }
 
     /// Takes over what earlier tenures logged.
-    pub(crate) fn take_log(&mut self, sealed: intent_task::SealedLog) {
+    pub(crate) fn load_intent_log(&mut self, sealed: intent_task::SealedLog) {
         let window = self.config.document.bounds.idempotency_window.0;
         let batches = || sealed.table.iter().chain(&sealed.objects);
         for stored in batches() {
-            self.intents.book.replay(&stored.batch.entries);
+            self.intents.index.replay(&stored.batch.entries);
         }
         for stored in batches() {
-            self.intents.book.replay_outcomes(&stored.batch.entries);
+            self.intents.index.replay_outcomes(&stored.batch.entries);
         }
         let age = |stored: &intent_log::StoredBatch| intent_task::BatchAge {
             number: stored.number,
@@ -138,7 +138,7 @@
                 .batch
                 .entries
                 .iter()
-                .map(|it| intent_book::matters_until(it, window))
+                .map(|it| intent_index::matters_until(it, window))
                 .max()
                 .unwrap_or_default(),
         };
@@ -146,10 +146,10 @@
         self.intents.object_batches = sealed.objects.iter().map(age).collect();
         self.intents.cursors = Some(sealed.cursors);
         self.intents.sealed = true;
-        let n_open = self.intents.book.open_grants().len();
+        let n_open = self.intents.index.open_grants().len();
         tracing::info!(
             hall = self.hall,
-            n_keys = self.intents.book.n_keys(),
+            n_keys = self.intents.index.n_keys(),
             n_open,
             "read intents"
         );
@@ -163,8 +163,8 @@
         self.intents.next_trim = Some(now + TRIM_INTERVAL);
         let wall = self.wall_time();
         let window = self.config.document.bounds.idempotency_window.0;
-        self.intents.book.trim(wall - (window + intent_book::CLOCK_SLACK));
-        metric::intent_keys(&self.hall, self.intents.book.n_keys());
+        self.intents.index.trim(wall - (window + intent_index::CLOCK_SLACK));
+        metric::intent_keys(&self.hall, self.intents.index.n_keys());
         let Some(cursors) = self.intents.cursors.clone() else { return };
         let objects = &mut self.intents.object_batches;
         let n_objects = objects.len();
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -18,14 +18,14 @@
         if self.jobs.committing || self.fenced || !self.tenure.may_act() {
             return;
         }
-        if self.jobs.next_commit.is_none_or(|it| now < it) && !self.frozen {
+        if self.jobs.next_commit_at.is_none_or(|it| now < it) && !self.frozen {
             return;
         }
         if self.jobs.commit.is_none() {
             self.jobs.commit = self.next_group();
         }
         let Some(plan) = self.jobs.commit.clone() else {
-            self.jobs.next_commit = None;
+            self.jobs.next_commit_at = None;
             return;
         };
         self.jobs.committing = true;
@@ -73,7 +73,8 @@
                 for write in report.plan.writes {
                     self.job_committed(write);
                 }
-                self.jobs.next_commit = (!self.jobs.dirty.is_empty()).then_some(now + COMMIT_DELAY);
+                self.jobs.next_commit_at =
+                    (!self.jobs.dirty.is_empty()).then_some(now + COMMIT_DELAY);
             }
             CommitOutcome::Known(records) => {
                 self.jobs.commit = None;
@@ -81,7 +82,7 @@
                     self.job_was_known(record);
                 }
                 self.write_again(report.plan, false);
-                self.jobs.next_commit = Some(now);
+                self.jobs.next_commit_at = Some(now);
             }
             CommitOutcome::Fenced => {
                 self.fence();
@@ -90,11 +91,11 @@
             CommitOutcome::Unsent => {
                 self.jobs.commit = None;
                 self.write_again(report.plan, true);
-                self.jobs.next_commit = Some(now + COMMIT_RETRY);
+                self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
             CommitOutcome::Unsure => {
                 self.jobs.commit = Some(commit::CommitPlan { unsure: true, ..report.plan });
-                self.jobs.next_commit = Some(now + COMMIT_RETRY);
+                self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
         }
         self.wake.notify_one();
@@ -115,7 +116,7 @@
             let record = write.record.clone();
             let saved_run = entry.saved_run;
             if let Some(class) = self.config.class(&record.submission.class).cloned() {
-                let item = self.job_item(&record, &class, saved_run);
+                let item = self.job_work_item(&record, &class, saved_run);
                 self.apply_event(event::HallEvent::Arrived(item));
             }
             if self.jobs.entries.get(&job).is_some_and(|it| it.record.cancel_requested) {
@@ -165,10 +166,10 @@
 
     /// Drops jobs that ended long ago.
     pub(crate) fn sweep_jobs(&mut self, now: Instant) {
-        if self.jobs.next_sweep.is_some_and(|it| now < it) || !self.is_sole_holder() {
+        if self.jobs.next_sweep_at.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
         }
-        self.jobs.next_sweep = Some(now + SWEEP_INTERVAL);
+        self.jobs.next_sweep_at = Some(now + SWEEP_INTERVAL);
         let oldest = self.wall_time() - self.config.document.bounds.job_retention.0;
         let (table, tenure, hall) =
             (self.ports.table.clone(), self.tenure.clone(), self.hall.clone());
--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -26,11 +26,11 @@
     /// Its gang, while one starts, runs or stops.
     pub(crate) gang: Option<Gang>,
     /// Starts tried under this tenure, rolled-back ones included; part of the lease names.
-    pub(crate) tries: u32,
+    pub(crate) n_starts: u32,
     /// Runs before this one ended, from checkpoint to checkpoint.
     pub(crate) saved_run: Duration,
     /// When it arrived, for the histograms.
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
 }
 
 /// A gang that starts, runs or stops.
@@ -45,26 +45,26 @@
     /// When it started.
     pub(crate) started_at: Instant,
     /// When a checkpoint was asked for, until it is told to the policy.
-    pub(crate) checkpoint_asked: bool,
+    pub(crate) checkpoint_requested: bool,
     /// Whether it is to be stopped as soon as the task that starts it reports.
-    pub(crate) stop_wanted: bool,
+    pub(crate) stop_requested: bool,
     /// Whether that task may have sent a start to a worker.
     pub(crate) start_sent: bool,
     /// Whether that task reported.
-    pub(crate) reported: bool,
+    pub(crate) start_reported: bool,
 }
 
 /// One member of a gang.
 #[derive(Clone, Debug)]
 pub(crate) struct GangMember {
     /// Where it is.
-    pub(crate) slot: work::TaskAssignment,
+    pub(crate) assignment: work::TaskAssignment,
     /// Its lease.
     pub(crate) lease: ids::LeaseId,
     /// How its task ended.
     pub(crate) exit: Option<model::TaskExit>,
     /// Its checkpoint when one was last asked for.
-    pub(crate) checkpoint_before: Option<ids::CheckpointId>,
+    pub(crate) previous_checkpoint: Option<ids::CheckpointId>,
     /// Its latest checkpoint.
     pub(crate) checkpoint: Option<ids::CheckpointId>,
 }
@@ -75,7 +75,7 @@
     /// Its members are being reserved.
     Reserving,
     /// All are reserved; waits for the row that says that a start may have been sent.
-    Logging(oneshot::Sender<bool>),
+    PersistingStart(oneshot::Sender<bool>),
     /// Starts were sent.
     Starting,
     /// All members run.
@@ -119,9 +119,9 @@
     /// Whether a commit is on its way.
     pub(crate) committing: bool,
     /// When the next commit may go out.
-    pub(crate) next_commit: Option<Instant>,
+    pub(crate) next_commit_at: Option<Instant>,
     /// When ended jobs are looked through again.
-    pub(crate) next_sweep: Option<Instant>,
+    pub(crate) next_sweep_at: Option<Instant>,
 }
 
 impl JobTable {
@@ -129,7 +129,10 @@
     pub(crate) fn is_busy(&self) -> bool {
         let starting = self.entries.values().filter_map(|it| it.gang.as_ref());
         let starting = starting.into_iter().any(|it| {
-            matches!(it.phase, GangPhase::Reserving | GangPhase::Logging(_) | GangPhase::Starting)
+            matches!(
+                it.phase,
+                GangPhase::Reserving | GangPhase::PersistingStart(_) | GangPhase::Starting
+            )
         });
         self.committing || !self.dirty.is_empty() || starting
     }
@@ -148,7 +151,7 @@
     }
 
     /// The gang, if it is of this start.
-    pub(crate) fn gang_of(&mut self, start: lease::StartNumber) -> Option<&mut Gang> {
+    pub(crate) fn gang_for_start(&mut self, start: lease::StartNumber) -> Option<&mut Gang> {
         self.gang.as_mut().filter(|it| it.start == start)
     }
 }
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -52,9 +52,9 @@
             repeatable,
             waiters: vec![reply],
             gang: None,
-            tries: 0,
+            n_starts: 0,
             saved_run: Duration::ZERO,
-            arrived: Instant::now(),
+            arrived_at: Instant::now(),
         };
         self.jobs.entries.insert(call.job, entry);
         self.mark_dirty(call.job);
@@ -80,7 +80,7 @@
             return Some(refused(model::WaitCode::AccountLimit, text, Some(STORE_RETRY_AFTER)));
         }
         let record = self.new_record(call);
-        let item = self.job_item(&record, class, Duration::ZERO);
+        let item = self.job_work_item(&record, class, Duration::ZERO);
         let reason = self.policy.admits(&item).err()?;
         Some(model::JobReply::Refused { reason, retry_after: None })
     }
@@ -105,7 +105,7 @@
     }
 
     /// The job as the policy sees it.
-    pub(crate) fn job_item(
+    pub(crate) fn job_work_item(
         &self,
         record: &model::JobRecord,
         class: &model::JobClass,
@@ -212,11 +212,11 @@
     pub(crate) fn mark_dirty(&mut self, job: ids::JobId) {
         self.jobs.dirty.insert(job);
         let due = Instant::now() + COMMIT_DELAY;
-        self.jobs.next_commit.get_or_insert(due);
+        self.jobs.next_commit_at.get_or_insert(due);
         self.wake.notify_one();
     }
 
-    pub(crate) fn note_reason(&mut self, job: ids::JobId, reason: model::WaitReason) {
+    pub(crate) fn set_wait_reason(&mut self, job: ids::JobId, reason: model::WaitReason) {
         if let Some(entry) = self.jobs.entries.get_mut(&job) {
             entry.record.reason = Some(reason);
         }
@@ -224,7 +224,7 @@
 
     /// The policy queued a job again.
     pub(crate) fn requeue_job(&mut self, job: ids::JobId, reason: model::WaitReason) {
-        self.note_reason(job, reason);
+        self.set_wait_reason(job, reason);
         self.requeue_row(job);
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Nobody can tell what became of work that may run only once. It is never started again.
-    pub(crate) fn lose_job(&mut self, job: ids::JobId) {
+    pub(crate) fn end_job_unknown(&mut self, job: ids::JobId) {
         self.apply_event(event::HallEvent::Cancelled(job));
         self.apply_event(event::HallEvent::Ended { work: job, exit: event::WorkExit::Stopped });
         let reason = model::WaitReason {
--- a/crates/hall/src/lib.rs
+++ b/crates/hall/src/lib.rs
@@ -18,7 +18,7 @@
 mod grant_table;
 mod grants;
 mod hall_layout;
-pub mod intent_book;
+pub mod intent_index;
 pub mod intent_log;
 mod intent_task;
 mod intents;
--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -136,7 +136,7 @@
         let policy = self.policy.next_wake(wall).filter(|_| self.may_act());
         let policy = policy.map(|it| now + it.since(wall).max(SHORTEST_WAKE));
         let syncs = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
-        let commit = self.jobs.next_commit.filter(|_| !self.jobs.committing);
+        let commit = self.jobs.next_commit_at.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
         let deferred = self.deferred.iter().map(|it| it.at).min();
         let timers = [policy, syncs, commit, flush, deferred, self.grants.next_expiry()];
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -111,7 +111,7 @@
     let fenced = actor.fence_signal.subscribe();
     let log_sealed = sealed.sealed.is_some();
     if let Some(sealed) = sealed.sealed {
-        actor.take_log(sealed);
+        actor.load_intent_log(sealed);
     }
     adoption::adopt(&mut actor, records, &listings);
     adoption::release_stray_leases(&mut actor).await;
--- a/crates/hall/src/worker_poll.rs
+++ b/crates/hall/src/worker_poll.rs
@@ -177,10 +177,13 @@
     fn note_status(&mut self, status: &model::LeaseStatus) {
         let Some(entry) = self.leases.get(&status.lease) else { return };
         let LeasePurpose::Task { job, start, rank } = entry.purpose else { return };
-        let Some(gang) = self.jobs.entries.get_mut(&job).and_then(|it| it.gang_of(start)) else {
+        let Some(gang) = self.jobs.entries.get_mut(&job).and_then(|it| it.gang_for_start(start))
+        else {
+            return;
+        };
+        let Some(member) = gang.members.iter_mut().find(|it| it.assignment.rank == rank) else {
             return;
         };
-        let Some(member) = gang.members.iter_mut().find(|it| it.slot.rank == rank) else { return };
         if status.checkpoint.is_some() {
             member.checkpoint = status.checkpoint.clone();
         }
@@ -231,7 +234,7 @@
             self.jobs.entries.get(&job)?.gang.as_ref().filter(|it| it.start == start)
         });
         let youngest = gangs.map(|it| match it.phase {
-            GangPhase::Running if !it.checkpoint_asked => it.started_at.elapsed(),
+            GangPhase::Running if !it.checkpoint_requested => it.started_at.elapsed(),
             _ => Duration::ZERO,
         });
         let youngest = youngest.min().unwrap_or(longest * AGE_PER_CALL);
