--- a/crates/hall/src/adopt.rs
+++ b/crates/hall/src/adoption.rs
@@ -53,10 +53,10 @@
         if listings.contains_key(worker) {
             node.state = NodeState::Live;
         } else {
-            node.failures = 1;
+            node.failed_polls = 1;
             apply(actor, event::HallEvent::WorkerLost(worker.clone()));
         }
-        actor.tell_draining(worker);
+        actor.update_draining(worker);
     }
 }
 
@@ -81,7 +81,7 @@
         for lease in released.ok().flatten().into_iter().flatten() {
             // Not only strays: a gang that ended while nobody watched is among them, and its end
             // follows from its last lease being gone.
-            actor.lease_gone(&lease);
+            actor.on_lease_released(&lease);
         }
     }
 }
@@ -119,17 +119,17 @@
         repeatable,
         waiters: Vec::new(),
         gang: None,
-        tries: 0,
+        n_starts: 0,
         saved_run: Duration::ZERO,
-        arrived: Instant::now(),
+        arrived_at: Instant::now(),
     };
-    let item = class.map(|it| actor.job_item(&entry.record, &it, Duration::ZERO));
+    let item = class.map(|it| actor.job_work_item(&entry.record, &it, Duration::ZERO));
     actor.jobs.entries.insert(job, entry);
     match (item, members) {
         (Some(item), Some((start, members))) => adopt_gang(actor, item, start, members, listings),
         (_, None) if !repeatable && may_have_run => {
             // The row says that a start may have been sent, and no worker can tell the end.
-            actor.lose_job(job);
+            actor.end_job_unknown(job);
             return;
         }
         (Some(item), None) => {
@@ -181,14 +181,14 @@
 
 fn found_member(rank: u32, task: &FoundTask) -> GangMember {
     GangMember {
-        slot: work::TaskAssignment {
+        assignment: work::TaskAssignment {
             rank,
             worker: task.worker.clone(),
             accelerators: task.status.accelerators.clone(),
         },
         lease: task.status.lease.clone(),
         exit: task.status.exit.clone(),
-        checkpoint_before: task.status.checkpoint.clone(),
+        previous_checkpoint: task.status.checkpoint.clone(),
         checkpoint: task.status.checkpoint.clone(),
     }
 }
@@ -204,14 +204,14 @@
         return None;
     }
     Some(GangMember {
-        slot: work::TaskAssignment {
+        assignment: work::TaskAssignment {
             rank,
             worker: placed.worker.clone(),
             accelerators: placed.accelerators.clone(),
         },
         lease: placed.lease.clone(),
         exit: None,
-        checkpoint_before: None,
+        previous_checkpoint: None,
         checkpoint: None,
     })
 }
@@ -227,24 +227,24 @@
     let now = Instant::now();
     let demand = item.demand;
     for member in &members {
-        let listing = listings.get(&member.slot.worker);
+        let listing = listings.get(&member.assignment.worker);
         let status = listing.and_then(|it| it.leases.iter().find(|it| it.lease == member.lease));
-        let purpose = LeasePurpose::Task { job, start, rank: member.slot.rank };
+        let purpose = LeasePurpose::Task { job, start, rank: member.assignment.rank };
         let term = actor.options.lease_term();
         // Of a worker that did not answer it is only known that its lease lapses within a term.
         let left = status.map_or(term, |it| it.remaining.0);
         actor.leases.insert(LeaseEntry {
             purpose,
-            worker: member.slot.worker.clone(),
-            accelerators: member.slot.accelerators.clone(),
+            worker: member.assignment.worker.clone(),
+            accelerators: member.assignment.accelerators.clone(),
             demand,
             state: LeaseState::Held,
             valid_until: now + left,
             expired_by: now + term + actor.options.lease_margin(),
         });
     }
-    let placement = members.iter().map(|it| it.slot.clone()).collect();
-    let wall = actor.wall();
+    let placement = members.iter().map(|it| it.assignment.clone()).collect();
+    let wall = actor.wall_time();
     let Some(entry) = actor.jobs.entries.get_mut(&job) else { return };
     let ran = match entry.record.state {
         model::JobState::Running => wall.since(entry.record.state_since),
@@ -255,10 +255,10 @@
         members,
         phase: GangPhase::Running,
         started_at: now.checked_sub(ran).unwrap_or(now),
-        checkpoint_asked: false,
-        stop_wanted: false,
+        checkpoint_requested: false,
+        stop_requested: false,
         start_sent: true,
-        reported: true,
+        start_reported: true,
     });
     entry.record.placement = crate::gangs::placements(entry.gang.as_ref());
     if entry.record.state != model::JobState::Running {
@@ -322,7 +322,7 @@
         guarantee: None,
         declared_run: None,
         deadline: None,
-        submitted_at: actor.wall(),
+        submitted_at: actor.wall_time(),
         attempt: 0,
         saved_run: Duration::ZERO,
         exclude: Vec::new(),
@@ -341,7 +341,7 @@
     actor.grants.adopted.insert(lease, slot);
     let accelerators = status.accelerators.clone();
     let placement = vec![work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators }];
-    let started_at = actor.wall();
+    let started_at = actor.wall_time();
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
@@ -359,7 +359,7 @@
 }
 
 fn apply<B: backend::HallBackend>(actor: &mut HallActor<B>, event: event::HallEvent) {
-    let now = actor.wall();
+    let now = actor.wall_time();
     actor.policy.apply(event, now);
 }
 
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -23,13 +23,13 @@
             GangPhase::Stopping { .. } => return,
             // The task that starts it is under way: a reservation of its that landed behind our
             // release would hold accelerators for a term. Its report comes soon.
-            GangPhase::Reserving | GangPhase::Starting if !gang.reported => {
-                gang.stop_wanted = true;
+            GangPhase::Reserving | GangPhase::Starting if !gang.start_reported => {
+                gang.stop_requested = true;
                 return;
             }
             // Dropping the sender calls the start off.
-            GangPhase::Logging(_) => {
-                gang.stop_wanted = true;
+            GangPhase::PersistingStart(_) => {
+                gang.stop_requested = true;
                 gang.phase = GangPhase::Reserving;
                 return;
             }
@@ -51,7 +51,7 @@
         worker: &ids::WorkerId,
     ) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        let Some(gang) = entry.gang_of(start) else { return };
+        let Some(gang) = entry.gang_for_start(start) else { return };
         if let GangPhase::Running = gang.phase {
             let exit = event::WorkExit::Lost { worker: worker.clone() };
             self.stop_gang(job, GangEnding::Ended(exit));
@@ -60,10 +60,10 @@
 
     /// Stops gangs of which a member may have lapsed: its worker did not answer for a term.
     pub(crate) fn stop_lapsed_gangs(&mut self, now: Instant) {
-        if now < self.next_lapse_look {
+        if now < self.next_lapse_check {
             return;
         }
-        self.next_lapse_look = now + LAPSE_LOOK;
+        self.next_lapse_check = now + LAPSE_LOOK;
         let lapsed = self
             .leases
             .iter()
@@ -104,19 +104,19 @@
     /// had anyhow, and the job need not wait until it lapses.
     fn is_given_back(&self, gang: &Gang, member: &GangMember) -> bool {
         let Some(lease) = self.leases.get(&member.lease) else { return true };
-        let silent = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failures);
+        let silent = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failed_polls);
         !gang.start_sent && silent
     }
 
     fn look_at_exits(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
         let ended = |it: &&GangMember| {
             matches!(it.exit, Some(model::TaskExit::Failed { .. } | model::TaskExit::Stopped))
         };
         if let Some(member) = gang.members.iter().find(ended) {
-            let worker = member.slot.worker.clone();
+            let worker = member.assignment.worker.clone();
             let exit = match member.exit {
                 Some(model::TaskExit::Failed { .. }) => event::WorkExit::Failed { worker },
                 _ => event::WorkExit::Lost { worker },
@@ -128,14 +128,14 @@
             self.gang_succeeded(job);
             return;
         }
-        let durable = gang.checkpoint_asked
+        let durable = gang.checkpoint_requested
             && gang.members.iter().all(|it| {
                 it.exit.is_some()
-                    || it.checkpoint.is_some() && it.checkpoint != it.checkpoint_before
+                    || it.checkpoint.is_some() && it.checkpoint != it.previous_checkpoint
             });
         if durable {
-            gang.checkpoint_asked = false;
-            let first = gang.members.iter().find(|it| it.slot.rank == 0);
+            gang.checkpoint_requested = false;
+            let first = gang.members.iter().find(|it| it.assignment.rank == 0);
             entry.record.checkpoint = first.and_then(|it| it.checkpoint.clone());
             entry.saved_run = gang.started_at.elapsed();
             // A gang saves its run now and then and runs on; only the policy's stop ends it.
@@ -144,14 +144,14 @@
                 entry.record.state_since = wall;
             }
             self.mark_dirty(job);
-            self.tell(event::HallEvent::Checkpointed(job));
+            self.apply_event(event::HallEvent::Checkpointed(job));
         }
     }
 
     /// Work that may run only once keeps its leases until its end is durable: a successor that
     /// found neither the end in the row nor the leases at the workers could not tell it.
     fn gang_succeeded(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if !entry.repeatable {
             let durable =
@@ -178,11 +178,11 @@
         let ran = gang.started_at.elapsed();
         let never_again = !entry.repeatable && entry.record.state == model::JobState::Starting;
         match ending {
-            GangEnding::NotStarted { .. } if never_again => self.lose_job(job),
+            GangEnding::NotStarted { .. } if never_again => self.end_job_unknown(job),
             GangEnding::NotStarted { worker, fault } => {
                 self.requeue_row(job);
                 let failed = event::HallEvent::StartFailed { work: job, worker, fault };
-                self.tell(failed);
+                self.apply_event(failed);
             }
             GangEnding::Ended(exit) => {
                 if exit == event::WorkExit::Stopped {
@@ -194,13 +194,13 @@
                 let exit = if done { event::WorkExit::Succeeded } else { exit };
                 let ambiguous = matches!(exit, event::WorkExit::Lost { .. });
                 if !entry.repeatable && ambiguous {
-                    self.lose_job(job);
+                    self.end_job_unknown(job);
                     return;
                 }
                 if let event::WorkExit::Failed { worker } = &exit {
                     entry.record.failed_on.push(worker.clone());
                 }
-                self.tell(event::HallEvent::Ended { work: job, exit });
+                self.apply_event(event::HallEvent::Ended { work: job, exit });
             }
         }
     }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -22,12 +22,12 @@
             }
             decision::Decision::Checkpoint { work, .. } => self.checkpoint_gang(work),
             decision::Decision::Stop { work, reason, .. } => {
-                self.note_reason(work, reason);
+                self.set_wait_reason(work, reason);
                 let ending = GangEnding::Ended(event::WorkExit::Stopped);
                 self.stop_gang(work, ending);
             }
             decision::Decision::Throttle { work, reason } => {
-                self.note_reason(work, reason);
+                self.set_wait_reason(work, reason);
                 self.signal_gang(work, model::TaskSignalKind::Throttle);
             }
             decision::Decision::Requeue { work, reason } => self.requeue_job(work, reason),
@@ -47,8 +47,8 @@
     ) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else {
             let fault = event::StartFault::Withdrawn;
-            self.tell(event::HallEvent::Cancelled(job));
-            self.tell(event::HallEvent::StartFailed { work: job, worker: None, fault });
+            self.apply_event(event::HallEvent::Cancelled(job));
+            self.apply_event(event::HallEvent::StartFailed { work: job, worker: None, fault });
             return;
         };
         let (repeatable, class) = (entry.repeatable, entry.record.submission.class.clone());
@@ -57,7 +57,7 @@
             placement.iter().all(|it| self.has_upstream(&it.worker, upstream))
         });
         // Work that may run only once needs its row first, which a cut-off holder cannot write.
-        if !servable || (!repeatable && !self.is_firm()) {
+        if !servable || (!repeatable && !self.is_sole_holder()) {
             self.withdraw_start(job);
             return;
         }
@@ -67,9 +67,9 @@
         };
         tracing::info!(hall = self.hall, job = %job, n_tasks = placement.len(), reason = reason.text,
             "starts a gang");
-        self.note_reason(job, reason);
+        self.set_wait_reason(job, reason);
         let (workers, tenure, reports) =
-            (self.ports.workers.clone(), self.tenure.clone(), self.reports());
+            (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
         tokio::spawn(gang_task::run::<B>(workers, tenure, plan, reports));
     }
 
@@ -77,7 +77,7 @@
     fn withdraw_start(&mut self, job: ids::JobId) {
         let fault = event::StartFault::Withdrawn;
         let failed = event::HallEvent::StartFailed { work: job, worker: None, fault };
-        self.tell_at(Instant::now() + WITHDRAWN_DELAY, failed);
+        self.defer_event(Instant::now() + WITHDRAWN_DELAY, failed);
     }
 
     fn plan_gang(
@@ -90,8 +90,8 @@
         if entry.gang.is_some() || entry.is_over() {
             return None;
         }
-        entry.tries += 1;
-        let start = lease::StartNumber { epoch: self.tenure.epoch(), attempt: entry.tries };
+        entry.n_starts += 1;
+        let start = lease::StartNumber { epoch: self.tenure.epoch(), attempt: entry.n_starts };
         let submission = entry.record.submission.clone();
         let checkpoint = entry.record.checkpoint.clone();
         let demand = work::TaskDemand {
@@ -115,10 +115,10 @@
                 reserve: self.reservation(&name, slot, &demand),
             });
             members.push(GangMember {
-                slot: slot.clone(),
+                assignment: slot.clone(),
                 lease: name,
                 exit: None,
-                checkpoint_before: None,
+                previous_checkpoint: None,
                 checkpoint: None,
             });
         }
@@ -128,10 +128,10 @@
             members,
             phase: GangPhase::Reserving,
             started_at: Instant::now(),
-            checkpoint_asked: false,
-            stop_wanted: false,
+            checkpoint_requested: false,
+            stop_requested: false,
             start_sent: false,
-            reported: false,
+            start_reported: false,
         });
         let arguments = submission.arguments.unwrap_or_default().into_bytes();
         Some(gang_task::GangPlan {
@@ -152,7 +152,7 @@
     ) -> oneshot::Receiver<bool> {
         let (sender, receiver) = oneshot::channel();
         let may_act = !self.fenced && self.tenure.may_act();
-        let wall = self.wall();
+        let wall = self.wall_time();
         let leases = self.member_leases(reserved.job, reserved.start);
         for (rank, sent_at) in &reserved.sent_at {
             if let Some((_, lease)) = leases.iter().find(|(it, _)| it == rank) {
@@ -162,8 +162,11 @@
         let Some(entry) = self.jobs.entries.get_mut(&reserved.job) else { return receiver };
         let repeatable = entry.repeatable;
         let cancelled = entry.record.cancel_requested;
-        let Some(gang) = entry.gang_of(reserved.start) else { return receiver };
-        if cancelled || gang.stop_wanted || !may_act || !matches!(gang.phase, GangPhase::Reserving)
+        let Some(gang) = entry.gang_for_start(reserved.start) else { return receiver };
+        if cancelled
+            || gang.stop_requested
+            || !may_act
+            || !matches!(gang.phase, GangPhase::Reserving)
         {
             // A dropped sender calls the start off.
             return receiver;
@@ -173,7 +176,7 @@
             gang.phase = GangPhase::Starting;
             let _ = sender.send(true);
         } else {
-            gang.phase = GangPhase::Logging(sender);
+            gang.phase = GangPhase::PersistingStart(sender);
         }
         // From here on a start may be sent, and the row must never claim less.
         entry.record.attempt += 1;
@@ -186,31 +189,31 @@
 
     /// The row says that a start may have been sent: send it.
     pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
-        let firm = self.is_firm();
+        let firm = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
             it.state == model::JobState::Starting && it.attempt == entry.record.attempt
         });
         let cancelled = entry.record.cancel_requested;
         let Some(gang) = entry.gang.as_mut() else { return };
-        if !durable || !matches!(gang.phase, GangPhase::Logging(_)) {
+        if !durable || !matches!(gang.phase, GangPhase::PersistingStart(_)) {
             return;
         }
         let phase = std::mem::replace(&mut gang.phase, GangPhase::Starting);
-        if let GangPhase::Logging(sender) = phase {
+        if let GangPhase::PersistingStart(sender) = phase {
             let _ = sender.send(firm && !cancelled);
         }
     }
 
     pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let cancelled = entry.record.cancel_requested;
-        let waited = entry.arrived.elapsed();
-        let Some(gang) = entry.gang_of(report.start) else { return };
-        gang.reported = true;
-        let unwanted = cancelled || gang.stop_wanted;
+        let waited = entry.arrived_at.elapsed();
+        let Some(gang) = entry.gang_for_start(report.start) else { return };
+        gang.start_reported = true;
+        let unwanted = cancelled || gang.stop_requested;
         match report.outcome {
             gang_task::GangStartOutcome::Started => {
                 gang.phase = GangPhase::Running;
@@ -221,7 +224,7 @@
                     (entry.record.account.clone(), entry.record.submission.class.clone());
                 metric::wait(&account, &class, waited);
                 self.mark_dirty(job);
-                self.tell(event::HallEvent::Started(job));
+                self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
                     self.sync_soon(&worker);
                 }
@@ -247,13 +250,13 @@
                 self.stop_gang(job, GangEnding::NotStarted { worker, fault });
             }
         }
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     /// Takes back that a start may have been sent. Proof: the task that would have sent it says
     /// that it was called off before, and it sends nothing afterwards.
     fn start_was_not_sent(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if let Some(gang) = entry.gang.as_mut() {
             gang.start_sent = false;
@@ -268,12 +271,12 @@
     }
 
     fn checkpoint_gang(&mut self, job: ids::JobId) {
-        let wall = self.wall();
+        let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
-        gang.checkpoint_asked = true;
+        gang.checkpoint_requested = true;
         for member in &mut gang.members {
-            member.checkpoint_before = member.checkpoint.clone();
+            member.previous_checkpoint = member.checkpoint.clone();
         }
         entry.record.state = model::JobState::Checkpointing;
         entry.record.state_since = wall;
@@ -289,7 +292,7 @@
             return;
         };
         for member in &gang.members {
-            let node = self.nodes.get(&member.slot.worker);
+            let node = self.nodes.get(&member.assignment.worker);
             let Some(address) = node.and_then(|it| it.address().cloned()) else { continue };
             let workers = self.ports.workers.clone();
             let deadline = self.options.call_deadline();
@@ -309,7 +312,7 @@
     fn gang_workers(&self, job: ids::JobId) -> Vec<ids::WorkerId> {
         let gang = self.jobs.entries.get(&job).and_then(|it| it.gang.as_ref());
         let members = gang.map_or(&[][..], |it| it.members.as_slice());
-        members.iter().map(|it| it.slot.worker.clone()).collect()
+        members.iter().map(|it| it.assignment.worker.clone()).collect()
     }
 
     fn member_leases(
@@ -318,9 +321,9 @@
         start: lease::StartNumber,
     ) -> Vec<(u32, ids::LeaseId)> {
         let entry = self.jobs.entries.get_mut(&job);
-        let gang = entry.and_then(|it| it.gang_of(start));
+        let gang = entry.and_then(|it| it.gang_for_start(start));
         let members = gang.map_or(&[][..], |it| it.members.as_slice());
-        members.iter().map(|it| (it.slot.rank, it.lease.clone())).collect()
+        members.iter().map(|it| (it.assignment.rank, it.lease.clone())).collect()
     }
 }
 
@@ -328,9 +331,9 @@
 pub(crate) fn placements(gang: Option<&Gang>) -> Vec<model::TaskPlacement> {
     let members = gang.map_or(&[][..], |it| it.members.as_slice());
     let placements = members.iter().map(|it| model::TaskPlacement {
-        rank: it.slot.rank,
-        worker: it.slot.worker.clone(),
-        accelerators: it.slot.accelerators.clone(),
+        rank: it.assignment.rank,
+        worker: it.assignment.worker.clone(),
+        accelerators: it.assignment.accelerators.clone(),
         lease: it.lease.clone(),
     });
     placements.collect()
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -18,19 +18,19 @@
         if self.jobs.committing || self.fenced || !self.tenure.may_act() {
             return;
         }
-        if self.jobs.next_commit.is_none_or(|it| now < it) && !self.frozen {
+        if self.jobs.next_commit_at.is_none_or(|it| now < it) && !self.frozen {
             return;
         }
         if self.jobs.commit.is_none() {
             self.jobs.commit = self.next_group();
         }
         let Some(plan) = self.jobs.commit.clone() else {
-            self.jobs.next_commit = None;
+            self.jobs.next_commit_at = None;
             return;
         };
         self.jobs.committing = true;
         let (table, tenure, reports) =
-            (self.ports.table.clone(), self.tenure.clone(), self.reports());
+            (self.ports.table.clone(), self.tenure.clone(), self.own_address());
         let deadline = self.options.call_deadline();
         tokio::spawn(async move {
             let _ = reports.send(commit::run(table, tenure, plan, deadline).await).await;
@@ -56,7 +56,7 @@
         Some(commit::CommitPlan {
             hall: self.hall.clone(),
             writes,
-            at: self.wall(),
+            at: self.wall_time(),
             number: self.jobs.commit_number,
             after: self.jobs.commit_version,
             unsure: false,
@@ -73,7 +73,8 @@
                 for write in report.plan.writes {
                     self.job_committed(write);
                 }
-                self.jobs.next_commit = (!self.jobs.dirty.is_empty()).then_some(now + COMMIT_DELAY);
+                self.jobs.next_commit_at =
+                    (!self.jobs.dirty.is_empty()).then_some(now + COMMIT_DELAY);
             }
             CommitOutcome::Known(records) => {
                 self.jobs.commit = None;
@@ -81,7 +82,7 @@
                     self.job_was_known(record);
                 }
                 self.write_again(report.plan, false);
-                self.jobs.next_commit = Some(now);
+                self.jobs.next_commit_at = Some(now);
             }
             CommitOutcome::Fenced => {
                 self.fence();
@@ -90,15 +91,15 @@
             CommitOutcome::Unsent => {
                 self.jobs.commit = None;
                 self.write_again(report.plan, true);
-                self.jobs.next_commit = Some(now + COMMIT_RETRY);
+                self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
             CommitOutcome::Unsure => {
                 self.jobs.commit = Some(commit::CommitPlan { unsure: true, ..report.plan });
-                self.jobs.next_commit = Some(now + COMMIT_RETRY);
+                self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
         }
         self.wake.notify_one();
-        self.settle_freeze();
+        self.finish_freeze();
     }
 
     fn job_committed(&mut self, write: commit::JobWrite) {
@@ -115,11 +116,11 @@
             let record = write.record.clone();
             let saved_run = entry.saved_run;
             if let Some(class) = self.config.class(&record.submission.class).cloned() {
-                let item = self.job_item(&record, &class, saved_run);
-                self.tell(event::HallEvent::Arrived(item));
+                let item = self.job_work_item(&record, &class, saved_run);
+                self.apply_event(event::HallEvent::Arrived(item));
             }
             if self.jobs.entries.get(&job).is_some_and(|it| it.record.cancel_requested) {
-                self.tell(event::HallEvent::Cancelled(job));
+                self.apply_event(event::HallEvent::Cancelled(job));
             }
         }
         self.resume_logged_start(job);
@@ -165,11 +166,11 @@
 
     /// Drops jobs that ended long ago.
     pub(crate) fn sweep_jobs(&mut self, now: Instant) {
-        if self.jobs.next_sweep.is_some_and(|it| now < it) || !self.is_firm() {
+        if self.jobs.next_sweep_at.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
         }
-        self.jobs.next_sweep = Some(now + SWEEP_INTERVAL);
-        let oldest = self.wall() - self.config.document.bounds.job_retention.0;
+        self.jobs.next_sweep_at = Some(now + SWEEP_INTERVAL);
+        let oldest = self.wall_time() - self.config.document.bounds.job_retention.0;
         let (table, tenure, hall) =
             (self.ports.table.clone(), self.tenure.clone(), self.hall.clone());
         tokio::spawn(async move {
