--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -86,7 +86,7 @@
             class,
             arrived_at: now,
             stage: GrantStage::Waiting,
-            until: now + left,
+            expires_at: now + left,
         };
         Admission::Arrived(Uuid::now_v7(), Box::new(work))
     }
@@ -114,8 +114,8 @@
         match &work.stage {
             GrantStage::Granted { grant: told, .. } if same => {
                 let told = told.clone();
-                let until = Instant::now() + self.options.call_deadline() + told.term.0;
-                self.grants.set_expiry(&grant, until);
+                let expires_at = Instant::now() + self.options.call_deadline() + told.term.0;
+                self.grants.set_expiry(&grant, expires_at);
                 Some(Admission::Answer(model::GrantReply::Granted { grant: told }))
             }
             GrantStage::Granted { .. } if work.class.repeatable => {
--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -65,7 +65,7 @@
 pub(crate) async fn release_stray_leases<B: backend::HallBackend>(actor: &mut HallActor<B>) {
     let mut tasks = JoinSet::new();
     for (worker, node) in &actor.nodes {
-        let leases = actor.leases.in_state(worker, LeaseState::Releasing);
+        let leases = actor.leases.names_in_state(worker, LeaseState::Releasing);
         let Some(address) = node.address().cloned().filter(|_| !leases.is_empty()) else {
             continue;
         };
@@ -281,15 +281,15 @@
     let requests = classes.iter().filter(|it| it.kind == model::ClassKind::Request);
     let longest = requests.map(|it| it.max_run.0).max().unwrap_or_default();
     let start_by = actor.options.timing.grant_start_by.0;
-    let until = Instant::now() + longest + start_by + actor.options.call_deadline();
-    actor.grants.unreported = actor.members.instances.keys().cloned().collect();
+    let expires_at = Instant::now() + longest + start_by + actor.options.call_deadline();
+    actor.grants.unreported_entries = actor.members.instances.keys().cloned().collect();
     for (worker, listing) in listings {
         for status in &listing.leases {
             let Some(purpose @ LeasePurpose::Serve { .. }) = LeasePurpose::parse(&status.lease)
             else {
                 continue;
             };
-            adopt_slot(actor, worker, status, purpose, until);
+            adopt_slot(actor, worker, status, purpose, expires_at);
         }
     }
 }
@@ -299,7 +299,7 @@
     worker: &ids::WorkerId,
     status: &model::LeaseStatus,
     purpose: LeasePurpose,
-    until: Instant,
+    expires_at: Instant,
 ) {
     let class = HallActor::<B>::class_for_serving_lease(&actor.config, status.accelerators.len());
     let (Some(class), Some(account)) = (class, actor.config.document.accounts.first()) else {
@@ -337,8 +337,8 @@
         valid_until: now + status.remaining.0,
         expired_by: now + actor.options.lease_term() + actor.options.lease_margin(),
     });
-    let slot = AdoptedSlot { work: item.id, grant: None, until };
-    actor.grants.adopted.insert(lease, slot);
+    let slot = AdoptedSlot { work: item.id, grant: None, expires_at };
+    actor.grants.adopted_slots.insert(lease, slot);
     let accelerators = status.accelerators.clone();
     let placement = vec![work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators }];
     let started_at = actor.wall_time();
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -76,7 +76,7 @@
             self.on_member_lapsed(job, start, &worker);
         }
         for (lease, entry) in self.leases.expire(now) {
-            self.grants.idle.remove(&lease);
+            self.grants.idle_leases.remove(&lease);
             if let lease::LeasePurpose::Task { job, .. } = entry.purpose {
                 self.advance_gang(job);
             }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -105,7 +105,7 @@
         for slot in placement {
             let evict = self.evict_idle_leases(slot, &demand);
             let purpose = lease::LeasePurpose::Task { job, start, rank: slot.rank };
-            let name = self.insert_reserving(purpose, slot, demand);
+            let name = self.insert_reserving_lease(purpose, slot, demand);
             let node = self.nodes.get(&slot.worker);
             plans.push(gang_task::MemberPlan {
                 rank: slot.rank,
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -30,7 +30,7 @@
         }
         // A grant of an earlier tenure, or one returned twice.
         self.log_outcome(returned.grant, returned.outcome);
-        let adopted = self.grants.adopted.iter();
+        let adopted = self.grants.adopted_slots.iter();
         let mut adopted = adopted.filter(|(_, it)| it.grant == Some(returned.grant));
         if let Some(lease) = adopted.next().map(|(lease, _)| lease.clone()) {
             self.end_adopted_lease(&lease);
@@ -40,11 +40,11 @@
     pub(crate) fn on_grant_report(&mut self, pending: request::PendingCall<model::GrantReport>) {
         let report = pending.call;
         for grant in &report.grants {
-            if let Some(slot) = self.grants.adopted.get_mut(&grant.lease) {
+            if let Some(slot) = self.grants.adopted_slots.get_mut(&grant.lease) {
                 slot.grant = Some(grant.grant);
             }
         }
-        self.grants.unreported.remove(&report.entry);
+        self.grants.unreported_entries.remove(&report.entry);
         self.release_unused_adopted();
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
@@ -52,10 +52,10 @@
     /// Once every entry has said which grants of earlier tenures it uses, the other serving
     /// leases of those are free.
     pub(crate) fn release_unused_adopted(&mut self) {
-        if !self.grants.unreported.is_empty() {
+        if !self.grants.unreported_entries.is_empty() {
             return;
         }
-        let unused = self.grants.adopted.iter().filter(|(_, it)| it.grant.is_none());
+        let unused = self.grants.adopted_slots.iter().filter(|(_, it)| it.grant.is_none());
         let unused = unused.map(|(lease, _)| lease.clone()).collect::<Vec<_>>();
         for lease in unused {
             self.end_adopted_lease(&lease);
@@ -65,7 +65,7 @@
     /// Nobody uses a serving lease of an earlier tenure any more. It is released, not used on:
     /// its holder may still run, cut off from the table, and grant from it.
     fn end_adopted_lease(&mut self, lease: &ids::LeaseId) {
-        let Some(slot) = self.grants.adopted.remove(lease) else { return };
+        let Some(slot) = self.grants.adopted_slots.remove(lease) else { return };
         self.release(lease);
         let exit = event::WorkExit::Stopped;
         self.apply_event(event::HallEvent::Ended { work: slot.work, exit });
@@ -151,11 +151,11 @@
                 }
             }
         }
-        let adopted = self.grants.adopted.iter().filter(|(_, it)| it.until <= now);
+        let adopted = self.grants.adopted_slots.iter().filter(|(_, it)| it.expires_at <= now);
         for lease in adopted.map(|(lease, _)| lease.clone()).collect::<Vec<_>>() {
             self.end_adopted_lease(&lease);
         }
-        let idle = self.grants.idle.iter().filter(|(_, it)| **it <= now);
+        let idle = self.grants.idle_leases.iter().filter(|(_, it)| **it <= now);
         for lease in idle.map(|(lease, _)| lease.clone()).collect::<Vec<_>>() {
             self.release(&lease);
         }
@@ -165,13 +165,14 @@
     pub(crate) fn keep_idle_lease(&mut self, lease: &ids::LeaseId) {
         let held = self.leases.get(lease);
         if held.is_some_and(|it| it.state == lease_table::LeaseState::Held) {
-            self.grants.idle.insert(lease.clone(), Instant::now() + LINGER);
+            self.grants.idle_leases.insert(lease.clone(), Instant::now() + LINGER);
         }
     }
 
     /// Whether a decision is about a request.
     pub(crate) fn is_request(&self, work: &work::WorkId) -> bool {
-        self.grants.get(work).is_some() || self.grants.adopted.values().any(|it| it.work == *work)
+        self.grants.get(work).is_some()
+            || self.grants.adopted_slots.values().any(|it| it.work == *work)
     }
 
     /// A class whose requests look like a serving lease, for the policy's books: who is charged
--- a/crates/hall/src/grant_table.rs
+++ b/crates/hall/src/grant_table.rs
@@ -46,7 +46,7 @@
     /// How far it has come.
     pub(crate) stage: GrantStage,
     /// When it is given up: the caller's deadline, or the end of the grant's term.
-    pub(crate) until: Instant,
+    pub(crate) expires_at: Instant,
 }
 
 /// A serving lease of an earlier tenure, held until it is known that no entry uses it.
@@ -57,7 +57,7 @@
     /// Grant that uses it, once an entry reported one.
     pub(crate) grant: Option<ids::GrantId>,
     /// When every grant of an earlier tenure has run out.
-    pub(crate) until: Instant,
+    pub(crate) expires_at: Instant,
 }
 
 /// Requests by grant, and the serving leases under them.
@@ -67,18 +67,18 @@
     by_request: HashMap<ids::RequestId, ids::GrantId>,
     timers: BTreeSet<(Instant, ids::GrantId)>,
     /// Serving leases that no request uses, and until when they are kept.
-    pub(crate) idle: BTreeMap<ids::LeaseId, Instant>,
+    pub(crate) idle_leases: BTreeMap<ids::LeaseId, Instant>,
     /// Serving leases of earlier tenures.
-    pub(crate) adopted: BTreeMap<ids::LeaseId, AdoptedSlot>,
+    pub(crate) adopted_slots: BTreeMap<ids::LeaseId, AdoptedSlot>,
     /// Entries that have not said yet which grants of earlier tenures they use.
-    pub(crate) unreported: BTreeSet<ids::InstanceId>,
+    pub(crate) unreported_entries: BTreeSet<ids::InstanceId>,
 }
 
 impl GrantTable {
     /// Adds a request.
     pub(crate) fn insert(&mut self, grant: ids::GrantId, work: GrantEntry) {
         self.by_request.insert(work.call.request, grant);
-        self.timers.insert((work.until, grant));
+        self.timers.insert((work.expires_at, grant));
         self.entries.insert(grant, work);
     }
 
@@ -98,18 +98,18 @@
     }
 
     /// Moves the time at which a request is given up.
-    pub(crate) fn set_expiry(&mut self, grant: &ids::GrantId, until: Instant) {
+    pub(crate) fn set_expiry(&mut self, grant: &ids::GrantId, expires_at: Instant) {
         if let Some(work) = self.entries.get_mut(grant) {
-            self.timers.remove(&(work.until, *grant));
-            work.until = until;
-            self.timers.insert((until, *grant));
+            self.timers.remove(&(work.expires_at, *grant));
+            work.expires_at = expires_at;
+            self.timers.insert((expires_at, *grant));
         }
     }
 
     /// Forgets a request.
     pub(crate) fn remove(&mut self, grant: &ids::GrantId) -> Option<GrantEntry> {
         let work = self.entries.remove(grant)?;
-        self.timers.remove(&(work.until, *grant));
+        self.timers.remove(&(work.expires_at, *grant));
         if self.by_request.get(&work.call.request) == Some(grant) {
             self.by_request.remove(&work.call.request);
         }
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -24,7 +24,7 @@
         }
         match self.idle_lease(grant, slot) {
             Some(lease) => {
-                self.grants.idle.remove(&lease);
+                self.grants.idle_leases.remove(&lease);
                 self.on_slot_held(grant, lease);
             }
             None => self.reserve_slot(grant, slot),
@@ -48,7 +48,7 @@
         let needed_until = Instant::now() + self.options.timing.grant_start_by.0;
         let leases = self.leases.on_worker(&slot.worker);
         let fitting = leases.filter(|(name, it)| {
-            self.grants.idle.contains_key(*name)
+            self.grants.idle_leases.contains_key(*name)
                 && it.state == lease_table::LeaseState::Held
                 && it.accelerators == slot.accelerators
                 && demand.cores <= it.demand.cores
@@ -79,7 +79,7 @@
         };
         let evict = self.evict_idle_leases(slot, &demand);
         let purpose = lease::LeasePurpose::Serve { epoch: self.tenure.epoch(), id: Uuid::new_v4() };
-        let name = self.insert_reserving(purpose, slot, demand);
+        let name = self.insert_reserving_lease(purpose, slot, demand);
         let reserve = self.reservation(&name, slot, &demand);
         if let Some(work) = self.grants.get_mut(&grant) {
             work.stage = GrantStage::Reserving { lease: name };
@@ -214,8 +214,8 @@
             self.keep_idle_lease(&lease);
             return;
         };
-        let until = now + self.options.call_deadline() + slot.term.0;
-        self.grants.set_expiry(&grant, until);
+        let expires_at = now + self.options.call_deadline() + slot.term.0;
+        self.grants.set_expiry(&grant, expires_at);
         let Some(work) = self.grants.get_mut(&grant) else { return };
         work.stage = GrantStage::Granted { grant: slot.clone(), since: now };
         let told = work.answer(model::GrantReply::Granted { grant: slot.clone() });
--- a/crates/hall/src/lease_table.rs
+++ b/crates/hall/src/lease_table.rs
@@ -91,7 +91,7 @@
     }
 
     /// Names of the leases on a worker that are in `state`.
-    pub(crate) fn in_state(&self, worker: &str, state: LeaseState) -> Vec<ids::LeaseId> {
+    pub(crate) fn names_in_state(&self, worker: &str, state: LeaseState) -> Vec<ids::LeaseId> {
         let leases = self.on_worker(worker).filter(|(_, it)| it.state == state);
         leases.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -12,7 +12,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     /// Enters a lease whose reservation is about to be sent.
-    pub(crate) fn insert_reserving(
+    pub(crate) fn insert_reserving_lease(
         &mut self,
         purpose: lease::LeasePurpose,
         slot: &work::TaskAssignment,
@@ -65,7 +65,7 @@
 
     /// Gives a lease back; it counts as held until its worker confirms or it has lapsed.
     pub(crate) fn release(&mut self, lease: &ids::LeaseId) {
-        self.grants.idle.remove(lease);
+        self.grants.idle_leases.remove(lease);
         let Some(worker) = self.leases.get(lease).map(|it| it.worker.clone()) else { return };
         self.leases.start_release(lease);
         self.sync_soon(&worker);
@@ -86,7 +86,7 @@
         demand: &work::TaskDemand,
     ) -> Vec<ids::LeaseId> {
         let on_worker = self.leases.on_worker(&slot.worker);
-        let idle = on_worker.filter(|(name, _)| self.grants.idle.contains_key(*name));
+        let idle = on_worker.filter(|(name, _)| self.grants.idle_leases.contains_key(*name));
         let (overlapping, mut others): (Vec<_>, Vec<_>) =
             idle.map(|(name, it)| (name.clone(), it.clone())).partition(|(_, it)| {
                 it.accelerators.iter().any(|index| slot.accelerators.contains(index))
--- a/crates/hall/src/worker_poll.rs
+++ b/crates/hall/src/worker_poll.rs
@@ -38,11 +38,11 @@
         // After a failure the worker is asked to list, not to renew: a renewal that may have
         // landed would move the time by which its leases have certainly lapsed on and on.
         let lists = node.state == NodeState::LeasesUnknown || 0 < node.failed_polls;
-        let release = self.leases.in_state(&worker, LeaseState::Releasing);
+        let release = self.leases.names_in_state(&worker, LeaseState::Releasing);
         let query = if lists {
             PollQuery::List
         } else {
-            let leases = self.leases.in_state(&worker, LeaseState::Held);
+            let leases = self.leases.names_in_state(&worker, LeaseState::Held);
             PollQuery::Renew { leases, term: self.options.lease_term() }
         };
         let deadline = self.options.call_deadline();
@@ -114,7 +114,7 @@
         report: &worker_poll_task::PollReport,
         listing: &model::LeaseListing,
     ) -> bool {
-        let held = self.leases.in_state(worker, LeaseState::Held);
+        let held = self.leases.names_in_state(worker, LeaseState::Held);
         for lease in held {
             let listed = listing.leases.iter().any(|it| it.lease == lease);
             // Reserved after the list was asked for: it cannot be on it.
@@ -196,7 +196,7 @@
     /// A lease is proven gone.
     pub(crate) fn on_lease_released(&mut self, lease: &ids::LeaseId) {
         let Some(entry) = self.leases.remove(lease) else { return };
-        self.grants.idle.remove(lease);
+        self.grants.idle_leases.remove(lease);
         if let LeasePurpose::Task { job, .. } = entry.purpose {
             self.advance_gang(job);
         }
@@ -211,7 +211,7 @@
         }
         let purpose = entry.purpose;
         self.leases.remove(lease);
-        self.grants.idle.remove(lease);
+        self.grants.idle_leases.remove(lease);
         if let LeasePurpose::Task { job, start, .. } = purpose {
             self.on_member_lapsed(job, start, worker);
             self.advance_gang(job);
@@ -223,7 +223,7 @@
     fn sync_interval(&self, worker: &str) -> Duration {
         let shortest = self.options.timing.worker_poll.0;
         let longest = self.options.lease_term() / RENEWALS_PER_TERM;
-        if !self.leases.in_state(worker, LeaseState::Releasing).is_empty() {
+        if !self.leases.names_in_state(worker, LeaseState::Releasing).is_empty() {
             return shortest;
         }
         let tasks = self.leases.on_worker(worker).filter_map(|(_, it)| match it.purpose {
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -37,7 +37,7 @@
         self.members = members;
         let live = &self.members.instances;
         // The exchanges of an instance that is gone were cut with it.
-        self.grants.unreported.retain(|it| live.contains_key(it));
+        self.grants.unreported_entries.retain(|it| live.contains_key(it));
         self.release_unused_adopted();
         self.update_workers();
     }
