--- a/crates/hall/examples/measure_hall.rs
+++ b/crates/hall/examples/measure_hall.rs
@@ -37,10 +37,10 @@
 }
 
 async fn measure(n_racks: u32) {
-    let site = TestSite::sized(n_racks);
-    site.fleet.scripts().set_usual(support::script(Duration::from_secs(7_000)));
+    let site = TestSite::with_racks(n_racks);
+    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7_000)));
     let holder = start(&site, "a");
-    support::until("the first holds", async || holder.holds()).await;
+    support::wait_until("the first holds", async || holder.holds()).await;
     let other = start(&site, "b");
     let idle = load(&site, Duration::from_secs(60)).await;
 
@@ -52,15 +52,15 @@
         let submission = model::JobSubmission {
             accelerators: 0,
             adjacency: model::Adjacency::Any,
-            ..support::gang(support::BATCH, TASKS_PER_JOB)
+            ..support::gang_submission(support::REPEATABLE_JOB, TASKS_PER_JOB)
         };
-        support::accepted(holder.submit(job, submission).await);
+        support::expect_record(holder.submit(job, submission).await);
         jobs.push(job);
     }
     for job in &jobs {
-        site.until_job(*job, model::JobState::Running).await;
+        site.wait_for_job_state(*job, model::JobState::Running).await;
     }
-    support::pass(Duration::from_secs(300)).await;
+    support::advance(Duration::from_secs(300)).await;
     let busy = load(&site, Duration::from_secs(60)).await;
 
     let exchange = exchange_bytes(&site).await;
@@ -77,7 +77,7 @@
     let hand_over = leaving.elapsed();
 
     let third = start(&site, "c");
-    support::pass(Duration::from_secs(5)).await;
+    support::advance(Duration::from_secs(5)).await;
     other.crash(&site);
     while third.service.held_halls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -96,16 +96,16 @@
 fn start(site: &TestSite, id: &str) -> TestInstance {
     let instance = site.start(id);
     let round_trip = Condition::Slow(Duration::from_millis(1));
-    instance.to_table.set(round_trip);
-    instance.to_workers.set(round_trip);
-    instance.to_objects.set(round_trip);
+    instance.table_faults.set(round_trip);
+    instance.worker_faults.set(round_trip);
+    instance.object_faults.set(round_trip);
     instance
 }
 
 /// Calls and processor time over a while.
 async fn load(site: &TestSite, span: Duration) -> String {
     let before = Counts::of(site);
-    support::pass(span).await;
+    support::advance(span).await;
     let after = Counts::of(site);
     let rate = |before: u64, after: u64| (after - before) as f64 / span.as_secs_f64();
     format!(
@@ -145,8 +145,9 @@
 async fn grants(site: &TestSite, instance: &TestInstance) -> String {
     let before = cpu_nanos();
     for _ in 0..N_GRANTS {
-        let grant = instance.granted(support::request(site, support::CHECK)).await;
-        instance.give_back(&grant, model::RequestOutcome::Done).await;
+        let grant =
+            instance.expect_grant(support::request(site, support::REPEATABLE_REQUEST)).await;
+        instance.return_grant(&grant, model::RequestOutcome::Done).await;
     }
     let each = (cpu_nanos() - before) / N_GRANTS / 1000;
     format!("a grant and its return: {each} us of processor time")
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -73,7 +73,7 @@
 async fn run(steps: &[Step]) -> Vec<String> {
     let site = TestSite::new();
     site.change_config(|it| it.bounds.job_retention = time::TimeSpan::from_secs(1_000_000));
-    site.fleet.scripts().set_usual(support::script(Duration::from_secs(7)));
+    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7)));
     let keys = (0..5).map(|_| site.key()).collect();
     let mut world = World {
         site,
@@ -88,7 +88,7 @@
     for _ in 0..N_INSTANCES {
         world.start();
     }
-    support::pass(Duration::from_secs(3)).await;
+    support::advance(Duration::from_secs(3)).await;
     for step in steps {
         world.take(step).await;
     }
@@ -114,12 +114,14 @@
 
     async fn take(&mut self, step: &Step) {
         match step {
-            Step::Ask { via } => self.ask(*via, support::request(&self.site, support::CHECK)),
+            Step::Ask { via } => {
+                self.ask(*via, support::request(&self.site, support::REPEATABLE_REQUEST))
+            }
             Step::AskKeyed { via, key } => {
                 let key = self.keys[key % self.keys.len()];
-                self.ask(*via, support::keyed(&self.site, key));
+                self.ask(*via, support::request_with_key(&self.site, key));
             }
-            Step::Return { grant, via, outcome } => self.give_back(*grant, *via, *outcome),
+            Step::Return { grant, via, outcome } => self.return_grant(*grant, *via, *outcome),
             Step::Submit { via, repeatable, tasks } => {
                 let job = self.site.key();
                 self.jobs.push((job, *repeatable, *tasks));
@@ -163,7 +165,7 @@
 
     /// Lets time pass; beats tell of newer tenures.
     async fn pass(&self, span: Duration) {
-        support::pass(span).await;
+        support::advance(span).await;
         let beats = self.instances.iter().flat_map(|it| it.service.summaries());
         let beats = beats.collect::<Vec<_>>();
         if span < Duration::from_secs(3) {
@@ -190,7 +192,7 @@
         });
     }
 
-    fn give_back(&mut self, grant: usize, via: usize, outcome: model::RequestOutcome) {
+    fn return_grant(&mut self, grant: usize, via: usize, outcome: model::RequestOutcome) {
         let mut oracle = self.oracle.lock().expect("an oracle");
         let n_grants = oracle.grants.len();
         if n_grants == 0 {
@@ -199,7 +201,7 @@
         let grant = &mut oracle.grants[grant % n_grants];
         // What an entry says once it says for good; it may have to say it again.
         let outcome = *grant.returned.get_or_insert(outcome);
-        let returns = support::returned(&grant.slot, outcome);
+        let returns = support::grant_returns(&grant.slot, outcome);
         drop(oracle);
         let link = self.link(via);
         self.calls.spawn(async move {
@@ -209,12 +211,12 @@
 
     fn submit(&mut self, via: usize, index: usize) {
         let (job, repeatable, tasks) = self.jobs[index];
-        let class = if repeatable { support::BATCH } else { support::PRINT };
+        let class = if repeatable { support::REPEATABLE_JOB } else { support::SINGLE_RUN_JOB };
         let submit = model::JobSubmit {
             job,
             hall: support::HALL.to_owned(),
             account: support::ACCOUNT.to_owned(),
-            submission: support::gang(class, tasks),
+            submission: support::gang_submission(class, tasks),
         };
         let (link, oracle) = (self.link(via), Arc::clone(&self.oracle));
         oracle.lock().expect("an oracle").submissions.entry(job).or_default().sent += 1;
@@ -245,9 +247,9 @@
     fn way(&self, instance: usize, way: Way) -> &FaultPlan {
         let instance = self.instance(instance);
         match way {
-            Way::Table => &instance.to_table,
-            Way::Objects => &instance.to_objects,
-            Way::Workers => &instance.to_workers,
+            Way::Table => &instance.table_faults,
+            Way::Objects => &instance.object_faults,
+            Way::Workers => &instance.worker_faults,
         }
     }
 
--- a/crates/hall/tests/hall/changes.rs
+++ b/crates/hall/tests/hall/changes.rs
@@ -11,35 +11,35 @@
     /// Cause: a grant by what was known when the request arrived, or from a lease kept for later.
     a_leaving_upstream_gets_no_new_grant(site) {
         let instance = site.start_holder("a").await;
-        let grant = instance.granted(support::request(&site, support::CHECK)).await;
-        instance.give_back(&grant, model::RequestOutcome::Done).await;
+        let grant = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+        instance.return_grant(&grant, model::RequestOutcome::Done).await;
         site.change_members(|members| {
             let worker = members.workers.get_mut(&grant.worker).expect("a worker");
             worker.upstreams[0].leaving = true;
         });
-        support::pass(support::secs(1)).await;
+        support::advance(support::secs(1)).await;
         for _ in 0..8 {
-            let other = instance.granted(support::request(&site, support::CHECK)).await;
+            let other = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
             assert_ne!(other.worker, grant.worker);
         }
     }
 
     a_drained_worker_gets_no_new_work(site) {
         let instance = site.start_holder("a").await;
-        let grant = instance.granted(support::request(&site, support::CHECK)).await;
-        instance.give_back(&grant, model::RequestOutcome::Done).await;
+        let grant = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+        instance.return_grant(&grant, model::RequestOutcome::Done).await;
         site.change_config(|it| it.drains.push(model::DrainOrder {
             worker: Some(grant.worker.clone()),
             upstream: None,
             since: time::WallTime::default(),
         }));
-        support::pass(support::secs(1)).await;
+        support::advance(support::secs(1)).await;
         for _ in 0..8 {
-            let other = instance.granted(support::request(&site, support::CHECK)).await;
+            let other = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
             assert_ne!(other.worker, grant.worker);
         }
         site.change_config(|it| it.drains.clear());
-        instance.run(&site, support::BATCH, support::N_WORKERS).await;
+        instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
     }
 
     /// Symptom: a request is told "busy" for ever, or goes to an upstream that is drained.
@@ -51,8 +51,8 @@
             upstream: Some("oil-analysis".to_owned()),
             since: time::WallTime::default(),
         }));
-        support::pass(support::secs(1)).await;
-        let reply = instance.grant(support::request(&site, support::CHECK)).await;
+        support::advance(support::secs(1)).await;
+        let reply = instance.grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         let refused = matches!(
             reply,
             model::GrantReply::Busy { .. } | model::GrantReply::Refused { .. }
@@ -67,10 +67,10 @@
             hall.name = "rajkot".to_owned();
             it.halls.push(hall);
         });
-        support::until("both are held", async || instance.service.held_halls().len() == 2).await;
+        support::wait_until("both are held", async || instance.service.held_halls().len() == 2).await;
         site.change_config(|it| it.halls.retain(|it| it.name != "rajkot"));
-        support::until("one is held", async || instance.service.held_halls().len() == 1).await;
-        instance.granted(support::request(&site, support::CHECK)).await;
+        support::wait_until("one is held", async || instance.service.held_halls().len() == 1).await;
+        instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
     /// Symptom: a key runs twice, once in each of two halls.
--- a/crates/hall/tests/hall/gangs.rs
+++ b/crates/hall/tests/hall/gangs.rs
@@ -22,8 +22,8 @@
         let (_, worker) = &site.fleet.workers()[0];
         worker.crash();
         let job = site.key();
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 3)).await);
-        site.until_job(job, model::JobState::Done).await;
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
         assert_eq!(site.fleet.runs().len(), 3);
     }
@@ -43,10 +43,10 @@
         };
         site.fleet.reserve(address, foreign).await.expect("a worker that answers");
         let job = site.key();
-        support::accepted(instance.submit(job, support::gang(support::BATCH, N_WORKERS)).await);
-        support::pass(support::secs(10)).await;
-        assert_eq!(site.n_running(job), 0);
-        site.until_job(job, model::JobState::Done).await;
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, N_WORKERS)).await);
+        support::advance(support::secs(10)).await;
+        assert_eq!(site.n_running_tasks(job), 0);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.partial_runs(job, N_WORKERS as usize, support::secs(1)), 0);
         assert_eq!(site.fleet.runs().len(), N_WORKERS as usize);
     }
@@ -57,13 +57,13 @@
     a_cancellation_in_the_middle_of_a_start(site) {
         let instance = site.start_holder("a").await;
         let slow = Fault::Slow(std::time::Duration::from_millis(500));
-        instance.to_workers.next(model::LeaseReserve::PATH, slow);
+        instance.worker_faults.next(model::LeaseReserve::PATH, slow);
         let job = site.key();
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 3)).await);
-        support::pass(std::time::Duration::from_millis(100)).await;
-        support::accepted(instance.cancel(job).await);
-        site.until_job(job, model::JobState::Cancelled).await;
-        support::pass(support::secs(3)).await;
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        support::advance(std::time::Duration::from_millis(100)).await;
+        support::expect_record(instance.cancel(job).await);
+        site.wait_for_job_state(job, model::JobState::Cancelled).await;
+        support::advance(support::secs(3)).await;
         assert_eq!(site.fleet.runs().len(), 0);
         assert_eq!(n_leases(&site), 0);
     }
@@ -72,15 +72,15 @@
     /// Sequence: a worker dies under a running gang.
     a_worker_that_dies_under_a_gang(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::script(support::secs(100)));
-        let job = instance.run(&site, support::BATCH, 3).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(100)));
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         let lost = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
         let (_, worker) = workers.iter().find(|(_, it)| it.shape().id == lost).expect("a worker");
         worker.crash();
-        support::until("it was started again", async || 3 < site.fleet.runs().len()).await;
+        support::wait_until("it was started again", async || 3 < site.fleet.runs().len()).await;
         worker.restart();
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         // Until the lease must have lapsed the others could not know.
         let term = model::TimingSettings::default().lease_term.0;
         assert_eq!(site.partial_runs(job, 3, term + support::secs(5)), 0);
@@ -90,16 +90,16 @@
     /// Sequence: a worker does not answer for less than the term of its leases.
     a_short_silence_of_a_worker_stops_nothing(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::script(support::secs(120)));
-        let job = instance.run(&site, support::BATCH, 3).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(120)));
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         for (_, worker) in site.fleet.workers() {
             worker.faults().set(Condition::Silent);
         }
-        support::pass(support::secs(15)).await;
+        support::advance(support::secs(15)).await;
         for (_, worker) in site.fleet.workers() {
             worker.faults().set(Condition::Up);
         }
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
@@ -107,10 +107,10 @@
     /// Sequence: the answers to a reservation and to a start are lost.
     lost_answers_in_a_start_are_settled(site) {
         let instance = site.start_holder("a").await;
-        instance.to_workers.next(model::LeaseReserve::PATH, Fault::AnswerLost);
-        instance.to_workers.next(model::TaskStart::PATH, Fault::AnswerLost);
-        let job = instance.run(&site, support::BATCH, 3).await;
-        site.until_job(job, model::JobState::Done).await;
+        instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
+        instance.worker_faults.next(model::TaskStart::PATH, Fault::AnswerLost);
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
@@ -121,8 +121,8 @@
         let (_, worker) = &site.fleet.workers()[0];
         worker.set_health(WorkerHealth::RefusesStarts);
         let job = site.key();
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 3)).await);
-        site.until_job(job, model::JobState::Done).await;
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.partial_runs(job, 3, support::secs(2)), 0);
     }
 
@@ -134,18 +134,18 @@
     starts_of_an_old_holder_that_land_late_start_nothing(site) {
         let old = site.start_holder("a").await;
         let new = site.start("b");
-        support::pass(support::secs(1)).await;
+        support::advance(support::secs(1)).await;
         let late = Fault::DelayedEffect(support::secs(15));
         for nth in 1..=9 {
-            old.to_workers.nth(model::TaskStart::PATH, nth, late);
+            old.worker_faults.nth(model::TaskStart::PATH, nth, late);
         }
         let job = site.key();
-        support::accepted(old.submit(job, support::gang(support::BATCH, 3)).await);
-        support::pass(std::time::Duration::from_millis(40)).await;
+        support::expect_record(old.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        support::advance(std::time::Duration::from_millis(40)).await;
         old.crash(&site);
-        support::until("the new one holds", async || new.holds()).await;
-        site.until_job(job, model::JobState::Done).await;
-        support::pass(support::secs(60)).await;
+        support::wait_until("the new one holds", async || new.holds()).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
+        support::advance(support::secs(60)).await;
         assert_eq!(site.fleet.runs().len(), 3);
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
@@ -157,16 +157,16 @@
     a_roll_back_of_an_old_holder_hits_only_its_own_leases(site) {
         let old = site.start_holder("a").await;
         let new = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(60)));
-        support::pass(support::secs(1)).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        support::advance(support::secs(1)).await;
         old.cut_off_from_table();
-        old.to_workers.set(Condition::Held);
+        old.worker_faults.set(Condition::Held);
         let job = site.key();
-        support::until("the new one holds", async || new.holds()).await;
-        support::accepted(new.submit(job, support::gang(support::BATCH, 3)).await);
-        site.until_job(job, model::JobState::Running).await;
-        old.to_workers.set(Condition::Up);
-        site.until_job(job, model::JobState::Done).await;
+        support::wait_until("the new one holds", async || new.holds()).await;
+        support::expect_record(new.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        site.wait_for_job_state(job, model::JobState::Running).await;
+        old.worker_faults.set(Condition::Up);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 }
--- a/crates/hall/tests/hall/handover.rs
+++ b/crates/hall/tests/hall/handover.rs
@@ -30,16 +30,17 @@
     let mut refusals = Vec::new();
     while started.elapsed() < span {
         let asked = Instant::now();
-        let reply = link.ask(support::request(site, support::CHECK), support::secs(5)).await;
+        let reply =
+            link.ask(support::request(site, support::REPEATABLE_REQUEST), support::secs(5)).await;
         longest = longest.max(asked.elapsed());
         match reply {
             Ok(model::GrantReply::Granted { grant }) => {
-                let returned = support::returned(&grant, model::RequestOutcome::Done);
+                let returned = support::grant_returns(&grant, model::RequestOutcome::Done);
                 let _ = link.ask(returned, support::secs(5)).await;
             }
             other => refusals.push(format!("{other:?}")),
         }
-        support::pass(Duration::from_millis(10)).await;
+        support::advance(Duration::from_millis(10)).await;
     }
     (longest, refusals)
 }
@@ -52,7 +53,7 @@
         let chosen = rendezvous::preferred(HALL, ["a", "b"]).expect("two candidates");
         let first = if chosen == "a" { "b" } else { "a" };
         let holder = site.start_holder(first).await;
-        let job = holder.run(&site, support::BATCH, 3).await;
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         let other = site.start(chosen);
         let link = directory(&site, &holder);
         let (longest, refusals) = ask_on(&site, &link, support::secs(180)).await;
@@ -68,13 +69,13 @@
     no_request_is_refused_during_a_hand_over(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c"].map(|it| site.start(it));
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let by_holder = directory(&site, &holder);
         let by_other = directory(&site, &others[0]);
         site.change_members(|it| it.instances.get_mut("a").expect("a member").leaving = true);
         let service = holder.service.clone();
         let shutdown = tokio::spawn(async move {
-            support::pass(support::secs(1)).await;
+            support::advance(support::secs(1)).await;
             service.shutdown().await;
         });
         let span = support::secs(4);
@@ -93,17 +94,17 @@
     a_hand_over_in_the_middle_of_a_start(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let slow = almondpass_standin::fault::Condition::Slow(Duration::from_millis(100));
-        holder.to_workers.set(slow);
+        holder.worker_faults.set(slow);
         let job = site.key();
-        support::accepted(holder.submit(job, support::gang(support::BATCH, 3)).await);
-        support::pass(Duration::from_millis(50)).await;
+        support::expect_record(holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        support::advance(Duration::from_millis(50)).await;
         let leaving = Instant::now();
         holder.service.shutdown().await;
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         assert!(leaving.elapsed() < support::secs(1), "took {:?}", leaving.elapsed());
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
@@ -113,18 +114,18 @@
     a_holder_that_leaves_in_an_outage_stays_until_it_can_hand_over(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(200)));
-        let job = holder.run(&site, support::BATCH, 3).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(200)));
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         site.table.faults().set(almondpass_standin::fault::Condition::Refusing);
-        support::pass(support::secs(10)).await;
+        support::advance(support::secs(10)).await;
         let service = holder.service.clone();
         let shutdown = tokio::spawn(async move { service.shutdown().await });
-        support::pass(support::secs(60)).await;
-        assert_eq!(site.n_running(job), 3);
+        support::advance(support::secs(60)).await;
+        assert_eq!(site.n_running_tasks(job), 3);
         site.table.faults().set(almondpass_standin::fault::Condition::Up);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         shutdown.await.expect("a shutdown that ends");
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 }
--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -17,7 +17,7 @@
     outcome: model::RequestOutcome,
     request: ids::RequestId,
 ) {
-    let reply = instance.grant(support::keyed(site, key)).await;
+    let reply = instance.grant(support::request_with_key(site, key)).await;
     assert_eq!(reply, model::GrantReply::Recorded { outcome, request });
 }
 
@@ -31,8 +31,8 @@
         ];
         for outcome in outcomes {
             let key = site.key();
-            let grant = instance.granted(support::keyed(&site, key)).await;
-            instance.give_back(&grant, outcome).await;
+            let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
+            instance.return_grant(&grant, outcome).await;
             check_recorded(&site, &instance, key, outcome, grant.request).await;
         }
     }
@@ -43,10 +43,10 @@
     a_key_in_progress_is_unknown(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
-        let grant = instance.granted(support::keyed(&site, key)).await;
+        let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
         let unknown = model::RequestOutcome::Unknown;
         check_recorded(&site, &instance, key, unknown, grant.request).await;
-        instance.give_back(&grant, model::RequestOutcome::Done).await;
+        instance.return_grant(&grant, model::RequestOutcome::Done).await;
         let done = model::RequestOutcome::Done;
         check_recorded(&site, &instance, key, done, grant.request).await;
     }
@@ -58,7 +58,7 @@
         let instance = site.start_holder("a").await;
         let key = site.key();
         let asks = [0, 1].map(|_| {
-            let (service, ask) = (instance.service.clone(), support::keyed(&site, key));
+            let (service, ask) = (instance.service.clone(), support::request_with_key(&site, key));
             tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
         });
         let mut n_granted = 0;
@@ -75,10 +75,10 @@
     a_request_that_was_not_sent_frees_its_key(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
-        let first = instance.granted(support::keyed(&site, key)).await;
-        instance.give_back(&first, model::RequestOutcome::NotRun).await;
-        let second = instance.granted(support::keyed(&site, key)).await;
-        instance.give_back(&first, model::RequestOutcome::NotRun).await;
+        let first = instance.expect_grant(support::request_with_key(&site, key)).await;
+        instance.return_grant(&first, model::RequestOutcome::NotRun).await;
+        let second = instance.expect_grant(support::request_with_key(&site, key)).await;
+        instance.return_grant(&first, model::RequestOutcome::NotRun).await;
         let unknown = model::RequestOutcome::Unknown;
         check_recorded(&site, &instance, key, unknown, second.request).await;
     }
@@ -89,9 +89,9 @@
     a_dead_entry_leaves_unknown(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
-        let grant = instance.granted(support::keyed(&site, key)).await;
+        let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
         for _ in 0..10 {
-            support::pass(support::secs(30)).await;
+            support::advance(support::secs(30)).await;
             let unknown = model::RequestOutcome::Unknown;
             check_recorded(&site, &instance, key, unknown, grant.request).await;
         }
@@ -104,16 +104,16 @@
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         let (done, open) = (site.key(), site.key());
-        let first = holder.granted(support::keyed(&site, done)).await;
-        holder.give_back(&first, model::RequestOutcome::Done).await;
-        support::pass(support::secs(1)).await;
-        let second = holder.granted(support::keyed(&site, open)).await;
+        let first = holder.expect_grant(support::request_with_key(&site, done)).await;
+        holder.return_grant(&first, model::RequestOutcome::Done).await;
+        support::advance(support::secs(1)).await;
+        let second = holder.expect_grant(support::request_with_key(&site, open)).await;
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         check_recorded(&site, &other, done, model::RequestOutcome::Done, first.request).await;
         check_recorded(&site, &other, open, model::RequestOutcome::Unknown, second.request).await;
         // The entry lives and tells the successor how it ended.
-        other.give_back(&second, model::RequestOutcome::Done).await;
+        other.return_grant(&second, model::RequestOutcome::Done).await;
         check_recorded(&site, &other, open, model::RequestOutcome::Done, second.request).await;
     }
 
@@ -129,15 +129,15 @@
         for fault in faults {
             // The first write after the ask is the append, unless a renewal is first: then the
             // renewal is struck, which must not matter either.
-            holder.to_table.next(model::TableTransaction::PATH, fault);
+            holder.table_faults.next(model::TableTransaction::PATH, fault);
             let key = site.key();
-            let grant = holder.granted(support::keyed(&site, key)).await;
-            holder.give_back(&grant, model::RequestOutcome::Done).await;
+            let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
+            holder.return_grant(&grant, model::RequestOutcome::Done).await;
             used.push((key, grant.request));
-            support::pass(support::secs(3)).await;
+            support::advance(support::secs(3)).await;
         }
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         for (key, request) in used {
             check_recorded(&site, &other, key, model::RequestOutcome::Done, request).await;
         }
@@ -152,15 +152,15 @@
         let new = site.start("b");
         let before = site.key();
         old.cut_off_from_table();
-        support::pass(support::secs(5)).await;
-        let first = old.granted(support::keyed(&site, before)).await;
-        support::until("the new one holds", async || new.holds()).await;
+        support::advance(support::secs(5)).await;
+        let first = old.expect_grant(support::request_with_key(&site, before)).await;
+        support::wait_until("the new one holds", async || new.holds()).await;
         let unknown = model::RequestOutcome::Unknown;
         check_recorded(&site, &new, before, unknown, first.request).await;
         let key = site.key();
-        let reply = old.grant(support::keyed(&site, key)).await;
+        let reply = old.grant(support::request_with_key(&site, key)).await;
         assert!(!matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
-        new.granted(support::keyed(&site, key)).await;
+        new.expect_grant(support::request_with_key(&site, key)).await;
     }
 
     /// Symptom: the same, with the old holder waking in the middle of an append.
@@ -170,14 +170,14 @@
         let old = site.start_holder("a").await;
         let new = site.start("b");
         old.cut_off_from_table();
-        support::pass(support::secs(5)).await;
-        old.to_objects.set(Condition::Held);
+        support::advance(support::secs(5)).await;
+        old.object_faults.set(Condition::Held);
         let key = site.key();
-        let (service, ask) = (old.service.clone(), support::keyed(&site, key));
+        let (service, ask) = (old.service.clone(), support::request_with_key(&site, key));
         let waiting = tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) });
-        support::until("the new one holds", async || new.holds()).await;
-        old.to_objects.set(Condition::Up);
-        let grant = new.granted(support::keyed(&site, key)).await;
+        support::wait_until("the new one holds", async || new.holds()).await;
+        old.object_faults.set(Condition::Up);
+        let grant = new.expect_grant(support::request_with_key(&site, key)).await;
         let reply = waiting.await.expect("a call that ends");
         assert!(!matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
         let unknown = model::RequestOutcome::Unknown;
@@ -192,30 +192,30 @@
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         holder.cut_off_from_table();
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let key = site.key();
-        let grant = holder.granted(support::keyed(&site, key)).await;
+        let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
         site.objects.faults().set(Condition::Refusing);
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        let reply = other.grant(support::keyed(&site, key)).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        let reply = other.grant(support::request_with_key(&site, key)).await;
         assert!(matches!(reply, model::GrantReply::Busy { .. }), "found {reply:?}");
-        other.granted(support::request(&site, support::CHECK)).await;
+        other.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         site.objects.faults().set(Condition::Up);
-        support::pass(support::secs(3)).await;
+        support::advance(support::secs(3)).await;
         check_recorded(&site, &other, key, model::RequestOutcome::Unknown, grant.request).await;
     }
 
     keys_without_an_age_or_too_old_are_refused(site) {
         let instance = site.start_holder("a").await;
         let old = support::key_made_at(site.now() - support::secs(3601));
-        let code = async |key| match instance.grant(support::keyed(&site, key)).await {
+        let code = async |key| match instance.grant(support::request_with_key(&site, key)).await {
             model::GrantReply::Refused { reason, .. } => reason.code,
             other => panic!("expected a refusal, found {other:?}"),
         };
         assert_eq!(code(old).await, model::WaitCode::KeyTooOld);
         assert_eq!(code(uuid::Uuid::nil()).await, model::WaitCode::KeyRequired);
-        let reply = instance.grant(support::request(&site, support::TICKET)).await;
+        let reply = instance.grant(support::request(&site, support::SINGLE_RUN_REQUEST)).await;
         assert!(matches!(reply, model::GrantReply::Refused { .. }));
     }
 
@@ -224,29 +224,29 @@
     records_are_dropped_after_the_window(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
-        let grant = instance.granted(support::keyed(&site, key)).await;
-        instance.give_back(&grant, model::RequestOutcome::Done).await;
-        support::pass(support::secs(3590)).await;
+        let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
+        instance.return_grant(&grant, model::RequestOutcome::Done).await;
+        support::advance(support::secs(3590)).await;
         check_recorded(&site, &instance, key, model::RequestOutcome::Done, grant.request).await;
-        support::pass(support::secs(3600)).await;
+        support::advance(support::secs(3600)).await;
         assert_eq!(site.table.peek(&keys::intent_log(HALL)).len(), 0);
         let floor = site.row::<model::IntentFloor>(&keys::intent_floor(HALL));
         assert!(floor.is_some_and(|it| 1 < it.table && 1 < it.objects));
-        let next = instance.granted(support::keyed(&site, site.key())).await;
-        instance.give_back(&next, model::RequestOutcome::Done).await;
+        let next = instance.expect_grant(support::request_with_key(&site, site.key())).await;
+        instance.return_grant(&next, model::RequestOutcome::Done).await;
     }
 
     many_keys_at_once_take_few_writes(site) {
         let instance = site.start_holder("a").await;
         // Held back for a moment, so that the others gather behind the first.
-        instance.to_table.nth(
+        instance.table_faults.nth(
             model::TableTransaction::PATH,
             1,
             Fault::Slow(Duration::from_millis(200)),
         );
         let before = site.table.committed();
         let asks = (0..12).map(|_| {
-            let (service, ask) = (instance.service.clone(), support::keyed(&site, site.key()));
+            let (service, ask) = (instance.service.clone(), support::request_with_key(&site, site.key()));
             tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
         });
         for ask in asks.collect::<Vec<_>>() {
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -10,9 +10,9 @@
 cases! {
     runs_a_gang_whole(site) {
         let instance = site.start_holder("a").await;
-        let job = instance.run(&site, support::BATCH, 3).await;
-        assert_eq!(site.n_running(job), 3);
-        site.until_job(job, model::JobState::Done).await;
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
+        assert_eq!(site.n_running_tasks(job), 3);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
@@ -21,18 +21,18 @@
     /// Cause: the state was set when a checkpoint was asked for and stayed after it was durable.
     a_run_that_was_saved_runs_on(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::script(support::secs(3600)));
-        let job = instance.run(&site, support::BATCH, 2).await;
-        support::pass(support::secs(630)).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
+        support::advance(support::secs(630)).await;
         let record = site.job(job).expect("a row");
         assert!(record.checkpoint.is_some(), "found no checkpoint after ten minutes");
         assert_eq!(record.state, model::JobState::Running);
-        assert_eq!(site.n_running(job), 2);
+        assert_eq!(site.n_running_tasks(job), 2);
     }
 
     a_job_that_never_fits_is_refused(site) {
         let instance = site.start_holder("a").await;
-        let reply = instance.submit(site.key(), support::gang(support::BATCH, 99)).await;
+        let reply = instance.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 99)).await;
         let model::JobReply::Refused { reason, .. } = reply else {
             panic!("expected a refusal, found {reply:?}");
         };
@@ -45,13 +45,13 @@
     a_lost_answer_to_the_commit_is_settled(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.to_table.next(model::TableTransaction::PATH, Fault::AnswerLost);
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 2)).await);
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 2)).await);
-        site.until_job(job, model::JobState::Done).await;
+        instance.table_faults.next(model::TableTransaction::PATH, Fault::AnswerLost);
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 2);
-        support::accepted(instance.submit(job, support::gang(support::BATCH, 2)).await);
-        support::pass(support::secs(30)).await;
+        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
+        support::advance(support::secs(30)).await;
         assert_eq!(site.fleet.runs().len(), 2);
     }
 
@@ -62,13 +62,13 @@
     a_commit_that_arrives_late_undoes_nothing(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
-            site.fleet.scripts().set_usual(support::script(support::secs(1)));
+            site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
             let instance = site.start_holder("a").await;
             let late = Fault::DelayedEffect(support::secs(20));
-            instance.to_table.nth(model::TableTransaction::PATH, nth, late);
+            instance.table_faults.nth(model::TableTransaction::PATH, nth, late);
             let job = site.key();
-            instance.submit(job, support::gang(support::BATCH, 2)).await;
-            support::pass(support::secs(60)).await;
+            instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
+            support::advance(support::secs(60)).await;
             let state = site.job(job).map(|it| it.state);
             assert_eq!(state, Some(model::JobState::Done), "write {nth} was late");
         }
@@ -80,23 +80,23 @@
     a_refused_job_does_not_run_later(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.to_table.next(model::TableTransaction::PATH, Fault::Unavailable);
-        let reply = instance.submit(job, support::gang(support::BATCH, 2)).await;
+        instance.table_faults.next(model::TableTransaction::PATH, Fault::Unavailable);
+        let reply = instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
-        support::pass(support::secs(60)).await;
+        support::advance(support::secs(60)).await;
         assert_eq!(site.job(job), None);
-        assert_eq!(site.n_running(job), 0);
+        assert_eq!(site.n_running_tasks(job), 0);
     }
 
     /// Symptom: a caller is told that a job was cancelled, and it runs on.
     /// Sequence: the job is cancelled while it runs, twice.
     cancelling_a_running_gang_stops_it_whole(site) {
         let instance = site.start_holder("a").await;
-        let job = instance.run(&site, support::BATCH, 3).await;
-        support::accepted(instance.cancel(job).await);
-        support::accepted(instance.cancel(job).await);
-        site.until_job(job, model::JobState::Cancelled).await;
-        assert_eq!(site.n_running(job), 0);
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
+        support::expect_record(instance.cancel(job).await);
+        support::expect_record(instance.cancel(job).await);
+        site.wait_for_job_state(job, model::JobState::Cancelled).await;
+        assert_eq!(site.n_running_tasks(job), 0);
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
@@ -105,18 +105,18 @@
     /// Cause: a write for each.
     cancellations_are_written_in_groups(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::script(support::secs(3600)));
-        instance.run(&site, support::BATCH, support::N_WORKERS).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let jobs = (0..500).map(|_| site.key()).collect::<Vec<_>>();
         let submits = jobs.iter().map(|job| {
             let (service, job) = (instance.service.clone(), *job);
-            let submission = support::gang(support::BATCH, 1);
+            let submission = support::gang_submission(support::REPEATABLE_JOB, 1);
             let account = support::ACCOUNT.to_owned();
             let submit = model::JobSubmit { job, hall: HALL.to_owned(), account, submission };
             tokio::spawn(async move { service.ask(submit).await.expect(support::ANSWER) })
         });
         for submit in submits.collect::<Vec<_>>() {
-            support::accepted(submit.await.expect("a call that ends"));
+            support::expect_record(submit.await.expect("a call that ends"));
         }
         let before = site.table.committed();
         let cancels = jobs.iter().chain(&jobs).map(|job| {
@@ -126,9 +126,9 @@
             tokio::spawn(async move { service.ask(cancel).await.expect(support::ANSWER) })
         });
         for cancel in cancels.collect::<Vec<_>>() {
-            support::accepted(cancel.await.expect("a call that ends"));
+            support::expect_record(cancel.await.expect("a call that ends"));
         }
-        support::until("all are cancelled", async || {
+        support::wait_until("all are cancelled", async || {
             jobs.iter().all(|it| {
                 site.job(*it).is_some_and(|it| it.state == model::JobState::Cancelled)
             })
@@ -140,12 +140,12 @@
 
     ended_jobs_are_kept_for_a_while(site) {
         let instance = site.start_holder("a").await;
-        let job = instance.run(&site, support::BATCH, 1).await;
-        site.until_job(job, model::JobState::Done).await;
+        let job = instance.run_gang(&site, support::REPEATABLE_JOB, 1).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.table.peek(&keys::hall_jobs(HALL)).len(), 0);
-        let record = support::accepted(instance.query(job).await);
+        let record = support::expect_record(instance.query(job).await);
         assert_eq!(record.state, model::JobState::Done);
-        support::pass(support::secs(700)).await;
+        support::advance(support::secs(700)).await;
         assert_eq!(site.job(job), None);
         assert_eq!(site.table.peek(&keys::ended_jobs(HALL)).len(), 0);
         assert_eq!(instance.query(job).await, model::JobReply::NotFound);
@@ -157,8 +157,8 @@
     work_that_may_run_only_once_is_never_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(3600)));
-        let job = holder.run(&site, support::PRINT, 2).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        let job = holder.run_gang(&site, support::SINGLE_RUN_JOB, 2).await;
         for (_, worker) in site.fleet.workers() {
             worker.crash();
         }
@@ -166,9 +166,9 @@
         for (_, worker) in site.fleet.workers() {
             worker.restart();
         }
-        support::until("the other holds", async || other.holds()).await;
-        site.until_job(job, model::JobState::Unknown).await;
-        support::pass(support::secs(120)).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        site.wait_for_job_state(job, model::JobState::Unknown).await;
+        support::advance(support::secs(120)).await;
         assert_eq!(site.fleet.runs().len(), 2);
     }
 
@@ -177,15 +177,15 @@
     /// Cause: a start before the row is durable. It waits for the table instead.
     work_that_may_run_only_once_waits_for_the_table(site) {
         let instance = site.start_holder("a").await;
-        let first = instance.run(&site, support::BATCH, support::N_WORKERS).await;
+        let first = instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let job = site.key();
-        support::accepted(instance.submit(job, support::gang(support::PRINT, 1)).await);
+        support::expect_record(instance.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await);
         site.table.faults().set(Condition::Refusing);
-        support::until("the first job ended", async || site.n_running(first) == 0).await;
-        support::pass(support::secs(60)).await;
-        assert_eq!(site.n_running(job), 0);
+        support::wait_until("the first job ended", async || site.n_running_tasks(first) == 0).await;
+        support::advance(support::secs(60)).await;
+        assert_eq!(site.n_running_tasks(job), 0);
         site.table.faults().set(Condition::Up);
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().iter().filter(|it| it.job == job).count(), 1);
     }
 }
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -12,30 +12,30 @@
     an_hour_without_the_table(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        let job = holder.run(&site, support::BATCH, 2).await;
-        site.fleet.scripts().set_usual(support::script(support::secs(7200)));
-        let long = holder.run(&site, support::BATCH, 1).await;
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(7200)));
+        let long = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.table.faults().set(Condition::Refusing);
         for _ in 0..60 {
-            support::pass(support::secs(60)).await;
-            let grant = holder.granted(support::request(&site, support::CHECK)).await;
-            holder.give_back(&grant, model::RequestOutcome::Done).await;
+            support::advance(support::secs(60)).await;
+            let grant = holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+            holder.return_grant(&grant, model::RequestOutcome::Done).await;
         }
         assert!(!other.holds());
-        assert_eq!(site.n_running(long), 1);
-        let refused = holder.submit(site.key(), support::gang(support::BATCH, 1)).await;
+        assert_eq!(site.n_running_tasks(long), 1);
+        let refused = holder.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 1)).await;
         let model::JobReply::Refused { reason, retry_after } = refused else {
             panic!("expected a refusal, found {refused:?}");
         };
         assert_eq!(reason.code, model::WaitCode::StoreUnavailable);
         assert!(retry_after.is_some());
         site.table.faults().set(Condition::Up);
-        support::pass(support::secs(20)).await;
+        support::advance(support::secs(20)).await;
         assert!(holder.holds() && !other.holds());
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
         assert_eq!(site.job(job).map(|it| it.state), Some(model::JobState::Done));
-        assert_eq!(site.n_running(long), 1);
-        holder.run(&site, support::BATCH, 1).await;
+        assert_eq!(site.n_running_tasks(long), 1);
+        holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
     }
 
     /// Symptom: keyed requests are refused for as long as the table is down, or run twice.
@@ -46,16 +46,16 @@
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         site.table.faults().set(Condition::Silent);
-        support::pass(support::secs(60)).await;
+        support::advance(support::secs(60)).await;
         let key = site.key();
-        let grant = holder.granted(support::keyed(&site, key)).await;
-        holder.give_back(&grant, model::RequestOutcome::Done).await;
-        support::pass(support::secs(5)).await;
+        let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
+        holder.return_grant(&grant, model::RequestOutcome::Done).await;
+        support::advance(support::secs(5)).await;
         site.table.faults().set(Condition::Up);
-        support::pass(support::secs(10)).await;
+        support::advance(support::secs(10)).await;
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        let again = other.grant(support::keyed(&site, key)).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        let again = other.grant(support::request_with_key(&site, key)).await;
         let outcome = model::RequestOutcome::Done;
         assert_eq!(again, model::GrantReply::Recorded { outcome, request: grant.request });
     }
@@ -67,18 +67,18 @@
         let holder = site.start_holder("a").await;
         site.table.faults().set(Condition::Silent);
         site.objects.faults().set(Condition::Refusing);
-        support::pass(support::secs(30)).await;
+        support::advance(support::secs(30)).await;
         let key = site.key();
-        let reply = holder.grant(support::keyed(&site, key)).await;
+        let reply = holder.grant(support::request_with_key(&site, key)).await;
         let model::GrantReply::Busy { reason, .. } = reply else {
             panic!("expected a busy answer, found {reply:?}");
         };
         assert_eq!(reason.code, model::WaitCode::StoreUnavailable);
-        holder.granted(support::request(&site, support::CHECK)).await;
+        holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         site.table.faults().set(Condition::Up);
         site.objects.faults().set(Condition::Up);
-        support::pass(support::secs(10)).await;
-        holder.granted(support::keyed(&site, key)).await;
+        support::advance(support::secs(10)).await;
+        holder.expect_grant(support::request_with_key(&site, key)).await;
     }
 
     /// Symptom: a storm of retries when the table returns, or while it is away.
@@ -86,10 +86,10 @@
     /// Cause: retries without a pause.
     an_outage_makes_no_retry_storm(site) {
         let holder = site.start_holder("a").await;
-        let _job = holder.run(&site, support::BATCH, 2).await;
+        let _job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         let before = site.table.faults().calls("/v1/table/transact");
         site.table.faults().set(Condition::Refusing);
-        support::pass(support::secs(600)).await;
+        support::advance(support::secs(600)).await;
         let n_calls = site.table.faults().calls("/v1/table/transact") - before;
         assert!(n_calls < 600 * 5, "{n_calls} writes in ten minutes");
     }
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -13,8 +13,8 @@
 cases! {
     one_of_three_schedules_the_hall(site) {
         let instances = ["a", "b", "c"].map(|it| site.start(it));
-        support::until("somebody holds", async || instances.iter().any(|it| it.holds())).await;
-        support::pass(support::secs(30)).await;
+        support::wait_until("somebody holds", async || instances.iter().any(|it| it.holds())).await;
+        support::advance(support::secs(30)).await;
         assert_eq!(instances.iter().filter(|it| it.holds()).count(), 1);
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
     }
@@ -25,10 +25,10 @@
     a_dead_holder_is_followed_within_the_term_and_two_seconds(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
-        support::pass(support::secs(60)).await;
+        support::advance(support::secs(60)).await;
         holder.crash(&site);
         let died = Instant::now();
-        support::until("another holds", async || others.iter().any(|it| it.holds())).await;
+        support::wait_until("another holds", async || others.iter().any(|it| it.holds())).await;
         let term = model::TimingSettings::default().scheduler_term.0;
         assert!(died.elapsed() <= term + support::secs(2), "took {:?}", died.elapsed());
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(2));
@@ -40,16 +40,16 @@
     a_leaving_holder_hands_over_within_a_second(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let started = Instant::now();
         site.change_members(|it| it.instances.get_mut("a").expect("a member").leaving = true);
-        let (service, ask) = (holder.service.clone(), support::request(&site, support::CHECK));
+        let (service, ask) = (holder.service.clone(), support::request(&site, support::REPEATABLE_REQUEST));
         let shutdown = tokio::spawn(async move { service.shutdown().await });
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         let took = started.elapsed();
         assert!(took < support::secs(1), "took {took:?}");
         assert!(matches!(holder.grant(ask).await, model::GrantReply::NotHolder { .. }));
-        other.granted(support::request(&site, support::CHECK)).await;
+        other.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         shutdown.await.expect("a shutdown that ends");
     }
 
@@ -72,13 +72,13 @@
         for fault in [Fault::AnswerLost, Fault::DelayedEffect(Duration::from_millis(2700))] {
             for _ in 0..3 {
                 site.table.faults().next(transact, fault);
-                support::pass(support::secs(4)).await;
+                support::advance(support::secs(4)).await;
             }
         }
-        support::pass(support::secs(10)).await;
+        support::advance(support::secs(10)).await;
         assert!(holder.holds());
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
-        holder.granted(support::request(&site, support::CHECK)).await;
+        holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
     /// Symptom: two instances decide for one hall.
@@ -87,13 +87,13 @@
     a_cut_off_holder_stops_when_it_hears_of_a_newer_tenure(site) {
         let old = site.start_holder("a").await;
         let new = site.start("b");
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         old.cut_off_from_table();
-        support::until("the other holds", async || new.holds()).await;
+        support::wait_until("the other holds", async || new.holds()).await;
         assert!(old.holds());
         old.service.observe_epochs(&new.service.summaries());
-        support::until("the old one stopped", async || !old.holds()).await;
-        let reply = old.grant(support::request(&site, support::CHECK)).await;
+        support::wait_until("the old one stopped", async || !old.holds()).await;
+        let reply = old.grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         assert!(matches!(reply, model::GrantReply::NotHolder { .. }));
     }
 
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -30,13 +30,13 @@
 /// The account of most tests.
 pub(crate) const ACCOUNT: &str = "utility";
 /// Requests that may run more than once.
-pub(crate) const CHECK: &str = "check";
+pub(crate) const REPEATABLE_REQUEST: &str = "check";
 /// Requests that may run only once.
-pub(crate) const TICKET: &str = "ticket";
+pub(crate) const SINGLE_RUN_REQUEST: &str = "ticket";
 /// Jobs that may run more than once.
-pub(crate) const BATCH: &str = "batch";
+pub(crate) const REPEATABLE_JOB: &str = "batch";
 /// Jobs that may run only once.
-pub(crate) const PRINT: &str = "print";
+pub(crate) const SINGLE_RUN_JOB: &str = "print";
 /// Workers of a rack; most tests have one.
 pub(crate) const N_WORKERS: u32 = 8;
 /// Accelerators of each.
@@ -59,19 +59,19 @@
     pub(crate) id: ids::InstanceId,
     pub(crate) address: ids::PeerAddress,
     pub(crate) service: service::HallService<TestBackend>,
-    pub(crate) to_table: fault::FaultPlan,
-    pub(crate) to_objects: fault::FaultPlan,
-    pub(crate) to_workers: fault::FaultPlan,
+    pub(crate) table_faults: fault::FaultPlan,
+    pub(crate) object_faults: fault::FaultPlan,
+    pub(crate) worker_faults: fault::FaultPlan,
 }
 
 impl TestSite {
     /// A site without instances.
     pub(crate) fn new() -> TestSite {
-        TestSite::sized(1)
+        TestSite::with_racks(1)
     }
 
     /// A site with a hall of this many racks.
-    pub(crate) fn sized(n_racks: u32) -> TestSite {
+    pub(crate) fn with_racks(n_racks: u32) -> TestSite {
         let document = Arc::new(document(n_racks));
         let site = TestSite {
             net: net::FakeNet::new(),
@@ -112,13 +112,13 @@
             };
             members.instances.insert(id.to_owned(), entry);
         });
-        let to_table = fault::FaultPlan::new();
-        let to_objects = fault::FaultPlan::new();
-        let to_workers = fault::FaultPlan::new();
+        let table_faults = fault::FaultPlan::new();
+        let object_faults = fault::FaultPlan::new();
+        let worker_faults = fault::FaultPlan::new();
         let ports = backend::HallPorts {
-            table: self.table.seen_through(to_table.clone()),
-            objects: self.objects.seen_through(to_objects.clone()),
-            workers: self.fleet.seen_through(to_workers.clone()),
+            table: self.table.seen_through(table_faults.clone()),
+            objects: self.objects.seen_through(object_faults.clone()),
+            workers: self.fleet.seen_through(worker_faults.clone()),
             link: self.net.link(&address),
         };
         let service = service::HallService::start(service::ServiceDependencies {
@@ -133,13 +133,20 @@
             members: self.members.subscribe(),
         });
         self.net.register(&address, service.clone());
-        TestInstance { id: id.to_owned(), address, service, to_table, to_objects, to_workers }
+        TestInstance {
+            id: id.to_owned(),
+            address,
+            service,
+            table_faults,
+            object_faults,
+            worker_faults,
+        }
     }
 
     /// Starts an instance and waits until it schedules the hall.
     pub(crate) async fn start_holder(&self, id: &str) -> TestInstance {
         let instance = self.start(id);
-        until("the first instance schedules the hall", async || instance.holds()).await;
+        wait_until("the first instance schedules the hall", async || instance.holds()).await;
         instance
     }
 
@@ -192,13 +199,13 @@
     }
 
     /// Waits until the row of a job shows a state.
-    pub(crate) async fn until_job(&self, job: ids::JobId, state: model::JobState) {
+    pub(crate) async fn wait_for_job_state(&self, job: ids::JobId, state: model::JobState) {
         let step = format!("job {job} is {state}");
-        until(&step, async || self.job(job).is_some_and(|it| it.state == state)).await;
+        wait_until(&step, async || self.job(job).is_some_and(|it| it.state == state)).await;
     }
 
     /// Tasks of a job that run now.
-    pub(crate) fn n_running(&self, job: ids::JobId) -> usize {
+    pub(crate) fn n_running_tasks(&self, job: ids::JobId) -> usize {
         let runs = self.fleet.runs();
         runs.iter().filter(|it| it.job == job && it.ended.is_none()).count()
     }
@@ -233,7 +240,7 @@
     }
 
     /// Asks for a slot and expects it.
-    pub(crate) async fn granted(&self, request: model::GrantRequest) -> model::SlotGrant {
+    pub(crate) async fn expect_grant(&self, request: model::GrantRequest) -> model::SlotGrant {
         match self.grant(request).await {
             model::GrantReply::Granted { grant } => grant,
             other => panic!("expected a grant, found {other:?}"),
@@ -241,8 +248,12 @@
     }
 
     /// Gives a slot back.
-    pub(crate) async fn give_back(&self, grant: &model::SlotGrant, outcome: model::RequestOutcome) {
-        let returns = returned(grant, outcome);
+    pub(crate) async fn return_grant(
+        &self,
+        grant: &model::SlotGrant,
+        outcome: model::RequestOutcome,
+    ) {
+        let returns = grant_returns(grant, outcome);
         self.service.ask(returns).await.expect(ANSWER);
     }
 
@@ -262,10 +273,10 @@
     }
 
     /// Submits a gang and waits until its row says that it runs.
-    pub(crate) async fn run(&self, site: &TestSite, class: &str, n_tasks: u32) -> ids::JobId {
+    pub(crate) async fn run_gang(&self, site: &TestSite, class: &str, n_tasks: u32) -> ids::JobId {
         let job = site.key();
-        accepted(self.submit(job, gang(class, n_tasks)).await);
-        site.until_job(job, model::JobState::Running).await;
+        expect_record(self.submit(job, gang_submission(class, n_tasks)).await);
+        site.wait_for_job_state(job, model::JobState::Running).await;
         job
     }
 
@@ -283,14 +294,14 @@
 
     /// Cuts it off from the table, as by a failure of the network between them.
     pub(crate) fn cut_off_from_table(&self) {
-        self.to_table.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Silent);
     }
 
     /// Kills it, as far as anybody else can see: nothing it does has an effect any more.
     pub(crate) fn crash(&self, site: &TestSite) {
-        self.to_table.set(fault::Condition::Silent);
-        self.to_objects.set(fault::Condition::Silent);
-        self.to_workers.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Silent);
+        self.object_faults.set(fault::Condition::Silent);
+        self.worker_faults.set(fault::Condition::Silent);
         site.net.crash(&self.address);
         site.remove_member(&self.id);
     }
@@ -312,7 +323,7 @@
 }
 
 /// Gives a slot back.
-pub(crate) fn returned(
+pub(crate) fn grant_returns(
     grant: &model::SlotGrant,
     outcome: model::RequestOutcome,
 ) -> model::GrantReturns {
@@ -332,12 +343,12 @@
 }
 
 /// A request that may run only once.
-pub(crate) fn keyed(site: &TestSite, key: ids::IdempotencyKey) -> model::GrantRequest {
-    model::GrantRequest { idempotency: Some(key), ..request(site, TICKET) }
+pub(crate) fn request_with_key(site: &TestSite, key: ids::IdempotencyKey) -> model::GrantRequest {
+    model::GrantRequest { idempotency: Some(key), ..request(site, SINGLE_RUN_REQUEST) }
 }
 
 /// A gang of tasks with one worker's accelerators each.
-pub(crate) fn gang(class: &str, n_tasks: u32) -> model::JobSubmission {
+pub(crate) fn gang_submission(class: &str, n_tasks: u32) -> model::JobSubmission {
     let submission = json!({
         "class": class,
         "tasks": n_tasks,
@@ -348,7 +359,7 @@
 }
 
 /// The record of an accepted job.
-pub(crate) fn accepted(reply: model::JobReply) -> model::JobRecord {
+pub(crate) fn expect_record(reply: model::JobReply) -> model::JobRecord {
     match reply {
         model::JobReply::Record { record } => record,
         other => panic!("expected the job's record, found {other:?}"),
@@ -369,7 +380,7 @@
 }
 
 /// Lets time pass until something holds; fails after a while that no test needs.
-pub(crate) async fn until(step: &str, mut check: impl AsyncFnMut() -> bool) {
+pub(crate) async fn wait_until(step: &str, mut check: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !check().await {
         assert!(started.elapsed() < PATIENCE, "waited in vain until {step}");
@@ -378,7 +389,7 @@
 }
 
 /// Lets time pass.
-pub(crate) async fn pass(span: Duration) {
+pub(crate) async fn advance(span: Duration) {
     tokio::time::sleep(span).await;
 }
 
@@ -388,7 +399,7 @@
 }
 
 /// Tasks that run for `run` and succeed.
-pub(crate) fn script(run: Duration) -> script::TaskScript {
+pub(crate) fn task_script(run: Duration) -> script::TaskScript {
     script::TaskScript::lasting(run)
 }
 
@@ -436,10 +447,10 @@
         }],
         "upstreams": [{ "name": "oil-analysis", "halls": [HALL] }],
         "classes": [
-            class(CHECK, "request", true),
-            class(TICKET, "request", false),
-            class(BATCH, "job", true),
-            class(PRINT, "job", false),
+            class(REPEATABLE_REQUEST, "request", true),
+            class(SINGLE_RUN_REQUEST, "request", false),
+            class(REPEATABLE_JOB, "job", true),
+            class(SINGLE_RUN_JOB, "job", false),
         ],
         "accounts": [account(ACCOUNT), account("other")],
     });
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -38,12 +38,12 @@
     a_complete_gang_is_adopted(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(60)));
-        let job = holder.run(&site, support::BATCH, 3).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        assert_eq!(site.n_running(job), 3);
-        site.until_job(job, model::JobState::Done).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        assert_eq!(site.n_running_tasks(job), 3);
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
@@ -55,13 +55,13 @@
         let other = site.start("b");
         let (_, worker) = &site.fleet.workers()[1];
         worker.set_health(worker::WorkerHealth::FailsTasks(support::secs(1)));
-        let job = holder.run(&site, support::BATCH, support::N_WORKERS).await;
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let failed = async || site.job(job).is_some_and(|it| !it.failed_on.is_empty());
-        support::until("the gang has failed", failed).await;
+        support::wait_until("the gang has failed", failed).await;
         worker.set_health(worker::WorkerHealth::Sound);
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        site.until_job(job, model::JobState::Done).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
     }
 
     /// Symptom: a job is shown as running for good.
@@ -70,15 +70,15 @@
     a_gang_that_ends_while_nobody_watches(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(2)));
+        site.fleet.scripts().set_usual(support::task_script(support::secs(2)));
         let jobs = [
-            holder.run(&site, support::BATCH, 3).await,
-            holder.run(&site, support::PRINT, 3).await,
+            holder.run_gang(&site, support::REPEATABLE_JOB, 3).await,
+            holder.run_gang(&site, support::SINGLE_RUN_JOB, 3).await,
         ];
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         for job in jobs {
-            site.until_job(job, model::JobState::Done).await;
+            site.wait_for_job_state(job, model::JobState::Done).await;
         }
         assert_eq!(site.fleet.runs().len(), 6);
     }
@@ -88,10 +88,10 @@
     a_partial_gang_is_released_and_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(60)));
-        let filler = holder.run(&site, support::BATCH, support::N_WORKERS).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        let filler = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let job = site.key();
-        support::accepted(holder.submit(job, support::gang(support::BATCH, 3)).await);
+        support::expect_record(holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
         holder.crash(&site);
         for (_, worker) in site.fleet.workers() {
             worker.crash();
@@ -100,9 +100,9 @@
         plant(&site, 0, &format!("job/{job}/1-1/0"), job, true).await;
         plant(&site, 1, &format!("job/{job}/1-1/1"), job, true).await;
         plant(&site, 2, &format!("job/{job}/1-1/2"), job, false).await;
-        support::until("the other holds", async || other.holds()).await;
-        site.until_job(filler, model::JobState::Done).await;
-        site.until_job(job, model::JobState::Done).await;
+        support::wait_until("the other holds", async || other.holds()).await;
+        site.wait_for_job_state(filler, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         let whole = site.fleet.runs().iter().filter(|it| it.job == job && it.lease.contains("/2-")).count();
         assert_eq!(whole, 3);
     }
@@ -113,8 +113,8 @@
         let job = site.key();
         plant(&site, 0, &format!("job/{job}/0-1/0"), job, true).await;
         let holder = site.start_holder("a").await;
-        holder.run(&site, support::BATCH, support::N_WORKERS).await;
-        assert_eq!(site.n_running(job), 0);
+        holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
+        assert_eq!(site.n_running_tasks(job), 0);
     }
 
     /// Symptom: a hall has a scheduler that holds it and does nothing, for good.
@@ -124,9 +124,9 @@
         let holder = site.start_holder("a").await;
         let job = site.key();
         plant(&site, 0, &format!("job/{job}/99-1/0"), job, true).await;
-        holder.run(&site, support::BATCH, support::N_WORKERS).await;
+        holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         assert!(site.scheduler().is_some_and(|it| 1 < it.epoch));
-        assert_eq!(site.n_running(job), 0);
+        assert_eq!(site.n_running_tasks(job), 0);
     }
 
     /// Symptom: a request's accelerators are given to a job while it runs.
@@ -135,12 +135,12 @@
     serving_leases_stay_busy_until_entries_settle_them(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        let grant = holder.granted(support::request(&site, support::CHECK)).await;
+        let grant = holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         let job = site.key();
-        support::accepted(
-            other.submit(job, support::gang(support::BATCH, support::N_WORKERS)).await,
+        support::expect_record(
+            other.submit(job, support::gang_submission(support::REPEATABLE_JOB, support::N_WORKERS)).await,
         );
         let report = model::GrantReport {
             entry: "b".to_owned(),
@@ -148,26 +148,26 @@
             grants: vec![grant.clone()],
         };
         other.service.ask(report).await.expect(support::ANSWER);
-        support::pass(support::secs(3)).await;
-        assert_eq!(site.n_running(job), 0);
-        other.give_back(&grant, model::RequestOutcome::Done).await;
-        site.until_job(job, model::JobState::Running).await;
+        support::advance(support::secs(3)).await;
+        assert_eq!(site.n_running_tasks(job), 0);
+        other.return_grant(&grant, model::RequestOutcome::Done).await;
+        site.wait_for_job_state(job, model::JobState::Running).await;
     }
 
     serving_leases_nobody_reports_are_released(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        holder.granted(support::request(&site, support::CHECK)).await;
+        holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
+        support::wait_until("the other holds", async || other.holds()).await;
         let job = site.key();
-        support::accepted(
-            other.submit(job, support::gang(support::BATCH, support::N_WORKERS)).await,
+        support::expect_record(
+            other.submit(job, support::gang_submission(support::REPEATABLE_JOB, support::N_WORKERS)).await,
         );
         let report =
             model::GrantReport { entry: "b".to_owned(), hall: HALL.to_owned(), grants: Vec::new() };
         other.service.ask(report).await.expect(support::ANSWER);
-        site.until_job(job, model::JobState::Running).await;
+        site.wait_for_job_state(job, model::JobState::Running).await;
     }
 
     /// Symptom: a gang is started a second time while it runs on a worker that does not answer.
@@ -176,19 +176,19 @@
     a_gang_on_a_silent_worker_is_kept_for_a_term(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(60)));
-        let job = holder.run(&site, support::BATCH, 3).await;
-        support::pass(support::secs(1)).await;
+        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
+        support::advance(support::secs(1)).await;
         let silent = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
         let (_, worker) = workers.iter().find(|(_, it)| it.shape().id == silent).expect("one");
         worker.faults().set(Condition::Silent);
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        support::pass(support::secs(4)).await;
-        assert_eq!(site.n_running(job), 3);
+        support::wait_until("the other holds", async || other.holds()).await;
+        support::advance(support::secs(4)).await;
+        assert_eq!(site.n_running_tasks(job), 3);
         worker.faults().set(Condition::Up);
-        site.until_job(job, model::JobState::Done).await;
+        site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
@@ -197,25 +197,25 @@
     a_cancellation_survives_its_scheduler(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::script(support::secs(600)));
-        let job = holder.run(&site, support::BATCH, 2).await;
-        holder.to_workers.set(Condition::Silent);
-        support::accepted(holder.cancel(job).await);
+        site.fleet.scripts().set_usual(support::task_script(support::secs(600)));
+        let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
+        holder.worker_faults.set(Condition::Silent);
+        support::expect_record(holder.cancel(job).await);
         holder.crash(&site);
-        support::until("the other holds", async || other.holds()).await;
-        site.until_job(job, model::JobState::Cancelled).await;
-        assert_eq!(site.n_running(job), 0);
+        support::wait_until("the other holds", async || other.holds()).await;
+        site.wait_for_job_state(job, model::JobState::Cancelled).await;
+        assert_eq!(site.n_running_tasks(job), 0);
         assert_eq!(site.table.peek(&keys::hall_jobs(HALL)).len(), 0);
     }
     /// Symptom: a job is left waiting for good.
     /// Sequence: it is submitted while no worker can be reached; they can again.
     a_holder_without_workers(site) {
         let holder = site.start_holder("a").await;
-        holder.to_workers.set(Condition::Refusing);
+        holder.worker_faults.set(Condition::Refusing);
         let job = site.key();
-        support::accepted(holder.submit(job, support::gang(support::PRINT, 1)).await);
-        support::pass(support::secs(3)).await;
-        holder.to_workers.set(Condition::Up);
-        site.until_job(job, model::JobState::Done).await;
+        support::expect_record(holder.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await);
+        support::advance(support::secs(3)).await;
+        holder.worker_faults.set(Condition::Up);
+        site.wait_for_job_state(job, model::JobState::Done).await;
     }
 }
--- a/crates/hall/tests/hall/watching.rs
+++ b/crates/hall/tests/hall/watching.rs
@@ -23,15 +23,15 @@
     });
     let holder = site.start_holder("a").await;
     let all = async || holder.service.summaries().len() == N_HALLS;
-    support::until("the first instance schedules all halls", all).await;
+    support::wait_until("the first instance schedules all halls", all).await;
     holder
 }
 
 /// Reads of the table by each instance in the same minute, before any hall is handed on.
 async fn reads_in_a_minute(instances: &[TestInstance]) -> Vec<u64> {
-    let reads = |it: &TestInstance| it.to_table.calls(model::TableGet::PATH);
+    let reads = |it: &TestInstance| it.table_faults.calls(model::TableGet::PATH);
     let before = instances.iter().map(reads).collect::<Vec<_>>();
-    support::pass(support::secs(60)).await;
+    support::advance(support::secs(60)).await;
     instances.iter().zip(before).map(|(it, before)| reads(it) - before).collect()
 }
 
@@ -42,7 +42,7 @@
     many_halls_cost_one_read_an_interval(site) {
         let _holder = start_holder_of_all(&site).await;
         let idle = [site.start("b")];
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let n_reads = reads_in_a_minute(&idle).await;
         // The most preferred look eight times a term of six seconds.
         assert!((79..=81).contains(&n_reads[0]), "{n_reads:?} reads in a minute");
@@ -54,7 +54,7 @@
     halls_of_different_intervals_share_reads(site) {
         let _holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d", "e", "f"].map(|it| site.start(it));
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         let n_reads = reads_in_a_minute(&others).await;
         // Eight looks a term at some and three at others are three reads in two seconds.
         assert!(n_reads.iter().all(|it| *it <= 91), "{n_reads:?} reads in a minute");
@@ -66,11 +66,11 @@
     all_halls_of_a_dead_holder_are_followed_in_time(site) {
         let holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
-        support::pass(support::secs(60)).await;
+        support::advance(support::secs(60)).await;
         holder.crash(&site);
         let died = Instant::now();
         let n_held = || others.iter().map(|it| it.service.summaries().len()).sum::<usize>();
-        support::until("the others hold all", async || n_held() == N_HALLS).await;
+        support::wait_until("the others hold all", async || n_held() == N_HALLS).await;
         let term = model::TimingSettings::default().scheduler_term.0;
         assert!(died.elapsed() <= term + support::secs(2), "took {:?}", died.elapsed());
     }
@@ -81,11 +81,11 @@
     an_outage_deposes_no_holder_of_many_halls(site) {
         let holder = start_holder_of_all(&site).await;
         let _others = ["b", "c", "d"].map(|it| site.start(it));
-        support::pass(support::secs(5)).await;
+        support::advance(support::secs(5)).await;
         site.table.faults().set(Condition::Refusing);
-        support::pass(support::secs(30)).await;
+        support::advance(support::secs(30)).await;
         site.table.faults().set(Condition::Up);
-        support::pass(support::secs(20)).await;
+        support::advance(support::secs(20)).await;
         let config = site.config.borrow().clone();
         for hall in &config.document.halls {
             let row = site.row::<model::SchedulerRow>(&keys::scheduler(&hall.name));
