--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -226,7 +226,7 @@
                 self.mark_dirty(job);
                 self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
-                    self.sync_soon(&worker);
+                    self.poll_soon(&worker);
                 }
                 if unwanted {
                     // The policy wanted it stopped while it was starting.
@@ -283,7 +283,7 @@
         self.mark_dirty(job);
         self.signal_gang(job, model::TaskSignalKind::Checkpoint);
         for worker in self.gang_workers(job) {
-            self.sync_soon(&worker);
+            self.poll_soon(&worker);
         }
     }
 
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -68,11 +68,11 @@
         self.grants.idle_leases.remove(lease);
         let Some(worker) = self.leases.get(lease).map(|it| it.worker.clone()) else { return };
         self.leases.start_release(lease);
-        self.sync_soon(&worker);
+        self.poll_soon(&worker);
     }
 
     /// Has the worker called at the next turn.
-    pub(crate) fn sync_soon(&mut self, worker: &str) {
+    pub(crate) fn poll_soon(&mut self, worker: &str) {
         if let Some(node) = self.nodes.get_mut(worker) {
             node.next_poll = Instant::now();
         }
@@ -154,7 +154,7 @@
             "releases a lease of an earlier tenure"
         );
         self.leases.insert(entry);
-        self.sync_soon(worker);
+        self.poll_soon(worker);
     }
 }
 
