--- a/crates/hall/src/watching.rs
+++ b/crates/hall/src/acquisition.rs
@@ -7,8 +7,8 @@
 use tokio::time::{self, Instant};
 
 use crate::backend;
+use crate::contender;
 use crate::ownership;
-use crate::seat;
 
 /// What a watcher saw, by its own monotonic clock.
 struct Sighting {
@@ -17,8 +17,8 @@
 }
 
 /// Watches the hall until this instance took it; `None` once it is to leave.
-pub(crate) async fn until_taken<B: backend::HallBackend>(
-    parts: &mut seat::SeatParts<B>,
+pub(crate) async fn wait_and_acquire<B: backend::HallBackend>(
+    parts: &mut contender::ContenderParts<B>,
 ) -> Option<ownership::OwnedTenure> {
     let mut sighting: Option<Sighting> = None;
     let mut invited = false;
@@ -26,24 +26,24 @@
     loop {
         let look = tokio::select! {
             biased;
-            () = seat::told_to_leave(&mut parts.leaving) => return None,
+            () = contender::leave_requested(&mut parts.leaving) => return None,
             // What is being read may be from before the hall was given up.
-            () = parts.nudge.notified() => {
+            () = parts.hand_over_requested.notified() => {
                 invited = true;
                 due = Instant::now();
                 continue;
             }
-            look = parts.reader.look(&parts.hall, due) => look,
+            look = parts.reader.read(&parts.hall, due) => look,
         };
-        let mut pause_from = look.at;
+        let mut pause_from = look.read_at;
         match look.rows {
             Some(rows) => {
                 let seen_since = match sighting.take() {
                     Some(it) if it.rows.scheduler == rows.scheduler => it.since,
-                    _ => look.at,
+                    _ => look.read_at,
                 };
                 publish_holder(parts, &rows);
-                if may_take(parts, &rows, look.at - seen_since, invited) {
+                if may_take(parts, &rows, look.read_at - seen_since, invited) {
                     if let Some(owned) = take(parts, &rows).await {
                         return Some(owned);
                     }
@@ -61,10 +61,10 @@
 }
 
 async fn take<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     rows: &ownership::OwnerRows,
 ) -> Option<ownership::OwnedTenure> {
-    let take = ownership::take(&parts.ports.table, &parts.options, &parts.hall, rows);
+    let take = ownership::acquire(&parts.ports.table, &parts.options, &parts.hall, rows);
     match time::timeout(parts.options.call_deadline() * 2, take).await {
         Ok(Ok(owned)) => owned,
         Ok(Err(fault)) => {
@@ -76,15 +76,15 @@
 }
 
 fn publish_holder<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     rows: &ownership::OwnerRows,
 ) {
     let row = rows.scheduler.as_ref().filter(|it| !it.released);
     let found = row.map(|it| it.address.clone());
-    parts.view.send_if_modified(|view| match view {
-        seat::SeatView::Watching { holder } if *holder == found => false,
+    parts.state.send_if_modified(|state| match state {
+        contender::ContenderState::Watching { holder } if *holder == found => false,
         _ => {
-            *view = seat::SeatView::Watching { holder: found };
+            *state = contender::ContenderState::Watching { holder: found };
             true
         }
     });
@@ -94,7 +94,7 @@
 /// the holder that gave it up leaves it to nobody: others may be preferred by rank alone, but they
 /// were not chosen, and the hall would be handed on again.
 fn may_take<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     rows: &ownership::OwnerRows,
     seen: Duration,
     invited: bool,
@@ -111,7 +111,7 @@
 /// How long this instance leaves the hall to more preferred ones. Without it all would write at
 /// once, and the halls would not spread.
 fn preference_delay<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     row: Option<&model::SchedulerRow>,
 ) -> Duration {
     let rank = preference_rank(parts, row);
@@ -119,7 +119,7 @@
 }
 
 fn preference_rank<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     row: Option<&model::SchedulerRow>,
 ) -> u32 {
     let former = row.map(|it| it.holder.as_str());
@@ -133,7 +133,7 @@
 
 /// The most preferred look often, the others seldom: reads are limited.
 fn watch_interval<B: backend::HallBackend>(
-    parts: &seat::SeatParts<B>,
+    parts: &contender::ContenderParts<B>,
     sighting: Option<&Sighting>,
 ) -> Duration {
     let row = sighting.and_then(|it| it.rows.scheduler.as_ref());
--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -154,7 +154,7 @@
 
     /// Whether nobody else can hold the hall.
     pub(crate) fn is_sole_holder(&self) -> bool {
-        !self.fenced && self.tenure.standing() == tenure::TenureStanding::Firm
+        !self.fenced && self.tenure.status() == tenure::TenureStatus::Firm
     }
 
     pub(crate) fn wall_time(&self) -> time::WallTime {
--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -19,7 +19,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     pub(crate) fn on_grant_request(&mut self, pending: request::PendingCall<model::GrantRequest>) {
-        if self.frozen || self.fenced || self.tenure.standing() == tenure::TenureStanding::Ended {
+        if self.frozen || self.fenced || self.tenure.status() == tenure::TenureStatus::Ended {
             pending.decline();
             return;
         }
--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -16,7 +16,7 @@
 use crate::job_table::{Gang, GangMember, GangPhase, JobEntry};
 use crate::lease::{LeasePurpose, StartNumber};
 use crate::lease_table::{LeaseEntry, LeaseState};
-use crate::takeover::WorkerListings;
+use crate::takeover::LeaseListings;
 use crate::worker_node::NodeState;
 
 /// A lease that a worker listed.
@@ -34,7 +34,7 @@
 pub(crate) fn adopt<B: backend::HallBackend>(
     actor: &mut HallActor<B>,
     records: Vec<model::JobRecord>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let workers = actor.nodes.keys().cloned().collect::<Vec<_>>();
     // Workers that did not answer come back for a moment, so that the policy can place on them
@@ -86,7 +86,7 @@
     }
 }
 
-fn found_tasks(listings: &WorkerListings) -> FoundStarts {
+fn found_tasks(listings: &LeaseListings) -> FoundStarts {
     let mut found = FoundStarts::new();
     for (worker, listing) in listings {
         for status in &listing.leases {
@@ -105,7 +105,7 @@
     actor: &mut HallActor<B>,
     record: model::JobRecord,
     found: &FoundStarts,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let job = record.job;
     let class = actor.config.class(&record.submission.class).cloned();
@@ -150,7 +150,7 @@
 fn complete_gang(
     record: &model::JobRecord,
     found: Option<&BTreeMap<StartNumber, BTreeMap<u32, FoundTask>>>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) -> Option<(StartNumber, Vec<GangMember>)> {
     let placed = placed_start(record);
     let nothing = BTreeMap::new();
@@ -197,7 +197,7 @@
 fn missing_member(
     placement: &[model::TaskPlacement],
     rank: u32,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) -> Option<GangMember> {
     let placed = placement.iter().find(|it| it.rank == rank)?;
     if listings.contains_key(&placed.worker) {
@@ -221,7 +221,7 @@
     item: work::WorkItem,
     start: StartNumber,
     members: Vec<GangMember>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let job = item.id;
     let now = Instant::now();
@@ -276,7 +276,7 @@
 }
 
 /// Serving leases of earlier tenures count as busy until entries tell, or their grants ran out.
-fn adopt_slots<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &WorkerListings) {
+fn adopt_slots<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
     let classes = &actor.config.document.classes;
     let requests = classes.iter().filter(|it| it.kind == model::ClassKind::Request);
     let longest = requests.map(|it| it.max_run.0).max().unwrap_or_default();
@@ -345,7 +345,7 @@
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
-fn enter_strays<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &WorkerListings) {
+fn enter_strays<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
     for (worker, listing) in listings {
         for status in &listing.leases {
             if actor.leases.get(&status.lease).is_some() {
--- a/crates/hall/src/seat.rs
+++ b/crates/hall/src/contender.rs
@@ -10,18 +10,18 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{self, Instant};
 
+use crate::acquisition;
 use crate::actor;
 use crate::backend;
 use crate::metric;
 use crate::options;
+use crate::owner_reader;
 use crate::ownership;
 use crate::takeover;
 use crate::tenure;
-use crate::watch_reader;
-use crate::watching;
 
 /// What a seat is built upon.
-pub struct SeatParts<B: backend::HallBackend> {
+pub struct ContenderParts<B: backend::HallBackend> {
     /// Clients.
     pub ports: backend::HallPorts<B>,
     /// This instance.
@@ -35,17 +35,17 @@
     /// Turns true when the hall is to be given up for good.
     pub leaving: watch::Receiver<bool>,
     /// Highest tenure of the hall that anybody was heard to hold.
-    pub heard: watch::Receiver<ids::Epoch>,
+    pub highest_epoch: watch::Receiver<ids::Epoch>,
     /// Reads the rows of all halls that this instance watches.
-    pub reader: watch_reader::WatchReader,
+    pub reader: owner_reader::OwnerReader,
     /// Rung when a leaving holder asks this instance to take the hall.
-    pub nudge: Arc<Notify>,
+    pub hand_over_requested: Arc<Notify>,
     /// Where the seat says how it stands.
-    pub view: watch::Sender<SeatView<B>>,
+    pub state: watch::Sender<ContenderState<B>>,
 }
 
 /// How a seat stands.
-pub enum SeatView<B: backend::HallBackend> {
+pub enum ContenderState<B: backend::HallBackend> {
     /// Another instance schedules the hall, if any does.
     Watching {
         /// Its address, if known.
@@ -63,15 +63,15 @@
 }
 
 /// Runs the seat until it is to leave.
-pub async fn run<B: backend::HallBackend>(mut parts: SeatParts<B>) {
+pub async fn run<B: backend::HallBackend>(mut parts: ContenderParts<B>) {
     loop {
-        let Some(owned) = watching::until_taken(&mut parts).await else { return };
+        let Some(owned) = acquisition::wait_and_acquire(&mut parts).await else { return };
         hold(&mut parts, owned).await;
     }
 }
 
 async fn hold<B: backend::HallBackend>(
-    parts: &mut SeatParts<B>,
+    parts: &mut ContenderParts<B>,
     mut owned: ownership::OwnedTenure,
 ) {
     let taken_at = Instant::now();
@@ -79,8 +79,8 @@
     let epoch = owned.row.epoch;
     tracing::info!(hall, epoch, "took the hall");
     metric::ownership(&hall, true);
-    let (state, watch) = tenure::TenureWatch::new(tenure_state(parts, &owned));
-    parts.view.send_replace(SeatView::TakingOver);
+    let (tenure_sender, watch) = tenure::TenureWatch::new(tenure_state(parts, &owned));
+    parts.state.send_replace(ContenderState::TakingOver);
 
     let mut launch = tokio::spawn(takeover::run(takeover::TakeoverParts {
         ports: parts.ports.clone(),
@@ -91,35 +91,35 @@
         tenure: watch,
     }));
     let mut scheduler: Option<xtra::Address<actor::HallActor<B>>> = None;
-    let mut next_renewal = owned.counted_from + parts.options.renewal_interval();
+    let mut next_renewal = owned.term_started_at + parts.options.renewal_interval();
     let mut leave_by: Option<Instant> = None;
     let mut fences: Option<watch::Receiver<bool>> = None;
     let mut misplaced_since: Option<Instant> = None;
     let successor = loop {
         tokio::select! {
             started = &mut launch, if scheduler.is_none() => {
-                let Ok(Some(takeover::StartedHall { address, summary, fenced })) = started else {
+                let Ok(Some(takeover::StartedScheduler { address, summary, fenced })) = started else {
                     tracing::error!(hall, epoch, "the hall could not be taken over");
                     let _ = ownership::release(&parts.ports.table, &mut owned).await;
                     tokio::select! {
                         () = time::sleep(FAILED_TAKEOVER_PAUSE) => {}
-                        () = told_to_leave(&mut parts.leaving) => {}
+                        () = leave_requested(&mut parts.leaving) => {}
                     }
                     break None;
                 };
                 let took = taken_at.elapsed();
                 metric::takeover(&hall, took);
                 tracing::info!(hall, epoch, seconds = took.as_secs_f64(), "took the hall over");
-                parts.view.send_replace(SeatView::Holding { address: address.clone(), summary });
+                parts.state.send_replace(ContenderState::Holding { address: address.clone(), summary });
                 scheduler = Some(address);
                 fences = Some(fenced);
             }
             () = time::sleep_until(next_renewal) => {
-                match renew(parts, &state, &mut owned).await {
+                match renew(parts, &tenure_sender, &mut owned).await {
                     RenewalStep::Next(at) => next_renewal = at,
                     RenewalStep::Lost(holder) => break holder,
                 }
-                let firm = Instant::now() < firm_until(parts, &owned);
+                let firm = Instant::now() < valid_until(parts, &owned);
                 if leave_by.is_some_and(|it| firm || it <= Instant::now()) {
                     break hand_over(parts, &mut owned, scheduler.as_ref()).await;
                 }
@@ -132,7 +132,7 @@
             }
             // A higher tenure is proof that this one is over, also where the table cannot be
             // reached from here: tenures only grow by conditional writes.
-            () = heard_newer(&mut parts.heard, epoch) => {
+            () = heard_newer(&mut parts.highest_epoch, epoch) => {
                 tracing::warn!(hall, epoch, "another instance holds a newer tenure");
                 break None;
             }
@@ -142,20 +142,20 @@
                 let _ = ownership::release(&parts.ports.table, &mut owned).await;
                 break None;
             }
-            () = told_to_leave(&mut parts.leaving), if leave_by.is_none() => {
-                if Instant::now() < firm_until(parts, &owned) {
+            () = leave_requested(&mut parts.leaving), if leave_by.is_none() => {
+                if Instant::now() < valid_until(parts, &owned) {
                     break hand_over(parts, &mut owned, scheduler.as_ref()).await;
                 }
                 // Nobody can take the hall while the table is down. Leaving it now would let the
                 // leases of its gangs lapse: hours of work lost to a restart in an outage.
                 tracing::warn!(hall, epoch, "stays until the hall can be handed over");
-                leave_by = Some(Instant::now() + LEAVE_LIMIT);
+                leave_by = Some(Instant::now() + LEAVE_TIMEOUT);
             }
         }
     };
-    state.send_modify(|it| it.ended = true);
+    tenure_sender.send_modify(|it| it.ended = true);
     launch.abort();
-    parts.view.send_replace(SeatView::Watching { holder: successor });
+    parts.state.send_replace(ContenderState::Watching { holder: successor });
     metric::ownership(&hall, false);
     if let Some(address) = scheduler {
         let _ = address.send(actor::Resign).await;
@@ -163,8 +163,8 @@
     tracing::info!(hall, epoch, "gave the hall up");
 }
 
-async fn heard_newer(heard: &mut watch::Receiver<ids::Epoch>, epoch: ids::Epoch) {
-    if heard.wait_for(|it| epoch < *it).await.is_err() {
+async fn heard_newer(highest_epoch: &mut watch::Receiver<ids::Epoch>, epoch: ids::Epoch) {
+    if highest_epoch.wait_for(|it| epoch < *it).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
@@ -177,7 +177,7 @@
 }
 
 /// Also when nobody is left who could tell.
-pub(crate) async fn told_to_leave(leaving: &mut watch::Receiver<bool>) {
+pub(crate) async fn leave_requested(leaving: &mut watch::Receiver<bool>) {
     let _ = leaving.wait_for(|it| *it).await;
 }
 
@@ -187,8 +187,8 @@
 }
 
 async fn renew<B: backend::HallBackend>(
-    parts: &SeatParts<B>,
-    state: &watch::Sender<tenure::TenureState>,
+    parts: &ContenderParts<B>,
+    tenure_sender: &watch::Sender<tenure::TenureState>,
     owned: &mut ownership::OwnedTenure,
 ) -> RenewalStep {
     let interval = parts.options.renewal_interval();
@@ -198,13 +198,13 @@
     match time::timeout(deadline, renewal).await {
         Ok(Ok(ownership::RenewalOutcome::Renewed(renewed))) => {
             // What was found is an earlier try that landed unheard: it only tells the version.
-            let at_once = renewed.counted_from == owned.counted_from;
+            let at_once = renewed.term_started_at == owned.term_started_at;
             *owned = renewed;
-            state.send_modify(|it| {
-                it.firm_until = firm_until(parts, owned);
-                it.outage_seen = None;
+            tenure_sender.send_modify(|it| {
+                it.valid_until = valid_until(parts, owned);
+                it.outage_seen_at = None;
             });
-            metric::tenure_margin(&parts.hall, firm_until(parts, owned));
+            metric::tenure_margin(&parts.hall, valid_until(parts, owned));
             RenewalStep::Next(if at_once { Instant::now() } else { sent_at + interval })
         }
         Ok(Ok(ownership::RenewalOutcome::Lost(row))) => {
@@ -214,7 +214,7 @@
         Ok(Err(_)) | Err(_) => {
             // Seen from before the try: a process paused during the call must not take the
             // table for down at the moment it wakes.
-            state.send_modify(|it| it.outage_seen = Some(sent_at));
+            tenure_sender.send_modify(|it| it.outage_seen_at = Some(sent_at));
             metric::renewal_failed(&parts.hall);
             RenewalStep::Next(Instant::now() + interval / FAILED_RENEWAL_SHARE)
         }
@@ -223,7 +223,7 @@
 
 /// Gives the hall to the preferred live instance; returns its address.
 async fn hand_over<B: backend::HallBackend>(
-    parts: &SeatParts<B>,
+    parts: &ContenderParts<B>,
     owned: &mut ownership::OwnedTenure,
     scheduler: Option<&xtra::Address<actor::HallActor<B>>>,
 ) -> Option<ids::PeerAddress> {
@@ -252,7 +252,7 @@
 }
 
 /// The instance whose share the hall is in, or who else should have it.
-fn successor<B: backend::HallBackend>(parts: &SeatParts<B>) -> Option<ids::PeerAddress> {
+fn successor<B: backend::HallBackend>(parts: &ContenderParts<B>) -> Option<ids::PeerAddress> {
     let members = parts.members.borrow();
     let leaving = *parts.leaving.borrow();
     let others = live(&members).filter(|it| !leaving || *it != parts.options.instance);
@@ -265,7 +265,7 @@
 
 /// Whether the hall is in another instance's share. Whoever starts first takes every hall, and
 /// would keep them all: its load, and the halls lost with it, would be the whole site's.
-fn misplaced<B: backend::HallBackend>(parts: &SeatParts<B>) -> bool {
+fn misplaced<B: backend::HallBackend>(parts: &ContenderParts<B>) -> bool {
     let members = parts.members.borrow();
     let chosen = chosen(parts, &live(&members).collect::<Vec<_>>());
     chosen.is_some_and(|it| it != parts.options.instance)
@@ -276,7 +276,7 @@
 }
 
 fn chosen<B: backend::HallBackend>(
-    parts: &SeatParts<B>,
+    parts: &ContenderParts<B>,
     candidates: &[&str],
 ) -> Option<ids::InstanceId> {
     let config = parts.config.borrow();
@@ -285,31 +285,31 @@
 }
 
 fn tenure_state<B: backend::HallBackend>(
-    parts: &SeatParts<B>,
+    parts: &ContenderParts<B>,
     owned: &ownership::OwnedTenure,
 ) -> tenure::TenureState {
     tenure::TenureState {
         hall: parts.hall.clone(),
         epoch: owned.row.epoch,
         row_version: owned.tenure_version,
-        firm_until: firm_until(parts, owned),
-        outage_seen: None,
-        outage_memory: parts.options.renewal_interval() + parts.options.call_deadline(),
+        valid_until: valid_until(parts, owned),
+        outage_seen_at: None,
+        outage_assumed_for: parts.options.renewal_interval() + parts.options.call_deadline(),
         ended: false,
     }
 }
 
-fn firm_until<B: backend::HallBackend>(
-    parts: &SeatParts<B>,
+fn valid_until<B: backend::HallBackend>(
+    parts: &ContenderParts<B>,
     owned: &ownership::OwnedTenure,
 ) -> Instant {
-    owned.counted_from + owned.row.term.0.saturating_sub(parts.options.tenure_margin())
+    owned.term_started_at + owned.row.term.0.saturating_sub(parts.options.tenure_margin())
 }
 
 /// A failed renewal is tried again after this part of the interval.
 const FAILED_RENEWAL_SHARE: u32 = 4;
 /// How long an instance that leaves keeps a hall that nobody can take over.
-pub(crate) const LEAVE_LIMIT: Duration = Duration::from_secs(120);
+pub(crate) const LEAVE_TIMEOUT: Duration = Duration::from_secs(120);
 /// A hall is handed on after it was in another's share for this long: longer than a restart, so
 /// that a rolling upgrade does not send halls to and fro.
 const SPREAD_AFTER: Duration = Duration::from_secs(120);
--- a/crates/hall/src/intent_log.rs
+++ b/crates/hall/src/intent_log.rs
@@ -82,7 +82,7 @@
         entries: Vec<model::IntentEntry>,
     ) -> AppendOutcome {
         let batch = model::IntentBatch { epoch: self.tenure.epoch(), entries, sealed: false };
-        if !self.tenure.outage_seen() {
+        if !self.tenure.in_outage() {
             match self.append_table(&mut cursors.table, &batch).await {
                 BatchWrite::Written => return AppendOutcome::InTable,
                 BatchWrite::Fenced => return AppendOutcome::Fenced,
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -21,7 +21,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     pub(crate) fn on_job_submit(&mut self, pending: request::PendingCall<model::JobSubmit>) {
-        if self.frozen || self.fenced || self.tenure.standing() == tenure::TenureStanding::Ended {
+        if self.frozen || self.fenced || self.tenure.status() == tenure::TenureStatus::Ended {
             pending.decline();
             return;
         }
--- a/crates/hall/src/lib.rs
+++ b/crates/hall/src/lib.rs
@@ -1,14 +1,16 @@
 //! The hall scheduler: ownership by epoch, worker leases, gangs, intents, takeover.
 //!
-//! [`service::HallService`] runs one [`seat`] for every hall on every instance. The seat that holds
+//! [`service::HallService`] runs one [`contender`] for every hall on every instance. The seat that holds
 //! a hall runs an [`actor::HallActor`] around the policy; the others tell who does.
 
+mod acquisition;
 pub mod actor;
 mod admission;
 mod adoption;
 pub mod backend;
 mod codec;
 mod commit;
+pub mod contender;
 mod deadline;
 pub mod error;
 mod gang_ends;
@@ -30,16 +32,14 @@
 mod leases;
 mod metric;
 pub mod options;
+pub mod owner_reader;
 pub mod ownership;
 pub mod request;
 mod round;
-pub mod seat;
 mod serve_task;
 pub mod service;
 mod takeover;
 pub mod tenure;
-pub mod watch_reader;
-mod watching;
 mod worker_node;
 mod worker_poll;
 mod worker_poll_task;
--- a/crates/hall/src/watch_reader.rs
+++ b/crates/hall/src/owner_reader.rs
@@ -13,46 +13,46 @@
 
 /// What a look at a hall found.
 #[derive(Debug)]
-pub struct WatchLook {
+pub struct OwnerReadResult {
     /// Who schedules the hall; `None` where the read failed.
     pub rows: Option<ownership::OwnerRows>,
     /// When the read ended.
-    pub at: Instant,
+    pub read_at: Instant,
 }
 
 /// Reads the rows of halls together for the seats of one instance. Each by itself would send as
 /// many calls as there are halls, and heads and envelopes are most of such a call.
 #[derive(Clone, Debug)]
-pub struct WatchReader {
-    asks: mpsc::UnboundedSender<LookAsk>,
+pub struct OwnerReader {
+    asks: mpsc::UnboundedSender<ReadRequest>,
 }
 
 /// One seat that is to look at its hall.
 #[derive(Debug)]
-struct LookAsk {
+struct ReadRequest {
     hall: ids::HallName,
     due: Instant,
-    reply: oneshot::Sender<WatchLook>,
+    reply: oneshot::Sender<OwnerReadResult>,
 }
 
-impl WatchReader {
+impl OwnerReader {
     /// Starts the reader of an instance; it ends with its last handle.
-    pub fn start<T: TableService>(table: T, options: &options::HallOptions) -> WatchReader {
+    pub fn start<T: TableService>(table: T, options: &options::HallOptions) -> OwnerReader {
         let (asks, asked) = mpsc::unbounded_channel();
         let deadline = options.call_deadline();
         let window = options.tenure_term() / WINDOWS_PER_TERM;
         tokio::spawn(run(table, deadline, window, asked));
-        WatchReader { asks }
+        OwnerReader { asks }
     }
 
     /// Looks at a hall at `due`, or a little earlier along with others. Who no longer waits is
     /// not read for.
-    pub async fn look(&self, hall: &ids::HallName, due: Instant) -> WatchLook {
+    pub async fn read(&self, hall: &ids::HallName, due: Instant) -> OwnerReadResult {
         let (reply, answer) = oneshot::channel();
-        let _ = self.asks.send(LookAsk { hall: hall.clone(), due, reply });
+        let _ = self.asks.send(ReadRequest { hall: hall.clone(), due, reply });
         match answer.await {
             Ok(look) => look,
-            Err(_) => WatchLook { rows: None, at: Instant::now() },
+            Err(_) => OwnerReadResult { rows: None, read_at: Instant::now() },
         }
     }
 }
@@ -61,9 +61,9 @@
     table: T,
     deadline: Duration,
     window: Duration,
-    mut asked: mpsc::UnboundedReceiver<LookAsk>,
+    mut asked: mpsc::UnboundedReceiver<ReadRequest>,
 ) {
-    let mut waiting = Vec::<LookAsk>::new();
+    let mut waiting = Vec::<ReadRequest>::new();
     loop {
         while let Ok(ask) = asked.try_recv() {
             waiting.push(ask);
@@ -89,7 +89,7 @@
     }
 }
 
-async fn read<T: TableService>(table: T, deadline: Duration, asks: Vec<LookAsk>) {
+async fn read<T: TableService>(table: T, deadline: Duration, asks: Vec<ReadRequest>) {
     let halls = asks.iter().map(|it| it.hall.as_str()).collect::<Vec<_>>();
     let mut found = match time::timeout(deadline, ownership::read_all(&table, &halls)).await {
         Ok(Ok(found)) => found,
@@ -102,7 +102,7 @@
     let at = Instant::now();
     for ask in asks {
         let rows = found.remove(&ask.hall);
-        let _ = ask.reply.send(WatchLook { rows, at });
+        let _ = ask.reply.send(OwnerReadResult { rows, read_at: at });
     }
 }
 
--- a/crates/hall/src/ownership.rs
+++ b/crates/hall/src/ownership.rs
@@ -33,9 +33,9 @@
     /// Version of the row that changes only with the tenure.
     pub tenure_version: ids::RowVersion,
     /// From when the term counts: before the write was sent.
-    pub counted_from: Instant,
+    pub term_started_at: Instant,
     /// Number of the last renewal that was tried, so that no two tries write the same row.
-    pub tried: u64,
+    pub renewal_number: u64,
 }
 
 /// What became of a renewal.
@@ -88,7 +88,7 @@
 }
 
 /// Takes a hall that `seen` shows as free or lapsed; `None` where another was faster.
-pub async fn take<T: TableService>(
+pub async fn acquire<T: TableService>(
     table: &T,
     options: &options::HallOptions,
     hall: &ids::HallName,
@@ -112,11 +112,17 @@
         ],
         writes: vec![write(keys::scheduler(hall), &row), write(keys::tenure(hall), &tenure)],
     };
-    let counted_from = Instant::now();
+    let term_started_at = Instant::now();
     match table.transact(transaction).await {
         Ok(model::TableOutcome::Committed { versions }) => {
             let [version, tenure_version] = versions[..] else { return Ok(None) };
-            Ok(Some(OwnedTenure { row, version, tenure_version, counted_from, tried: 0 }))
+            Ok(Some(OwnedTenure {
+                row,
+                version,
+                tenure_version,
+                term_started_at,
+                renewal_number: 0,
+            }))
         }
         Ok(model::TableOutcome::Conflict { .. }) => Ok(None),
         Err(fault) if fault.fault.had_no_effect() => Err(fault.into()),
@@ -125,7 +131,7 @@
         // writer, so reading it back tells.
         Err(_) => {
             let rows = read(table, hall).await?;
-            Ok(owned(rows, &options.instance, epoch, counted_from))
+            Ok(owned(rows, &options.instance, epoch, term_started_at))
         }
     }
 }
@@ -135,8 +141,8 @@
     table: &T,
     tenure: &mut OwnedTenure,
 ) -> Result<RenewalOutcome, error::HallError> {
-    tenure.tried += 1;
-    let row = model::SchedulerRow { renewal: tenure.tried, ..tenure.row.clone() };
+    tenure.renewal_number += 1;
+    let row = model::SchedulerRow { renewal: tenure.renewal_number, ..tenure.row.clone() };
     write_owned(table, tenure, row).await
 }
 
@@ -145,8 +151,8 @@
     table: &T,
     tenure: &mut OwnedTenure,
 ) -> Result<RenewalOutcome, error::HallError> {
-    tenure.tried += 1;
-    let renewal = tenure.tried;
+    tenure.renewal_number += 1;
+    let renewal = tenure.renewal_number;
     let row = model::SchedulerRow { renewal, released: true, ..tenure.row.clone() };
     write_owned(table, tenure, row).await
 }
@@ -161,11 +167,11 @@
         conditions: vec![condition(keys::scheduler(hall), tenure.version)],
         writes: vec![write(keys::scheduler(hall), &row)],
     };
-    let counted_from = Instant::now();
+    let term_started_at = Instant::now();
     match table.transact(transaction).await {
         Ok(model::TableOutcome::Committed { versions }) => {
             let version = versions.first().copied().unwrap_or(tenure.version + 1);
-            let written = OwnedTenure { row, version, counted_from, ..tenure.clone() };
+            let written = OwnedTenure { row, version, term_started_at, ..tenure.clone() };
             Ok(RenewalOutcome::Renewed(written))
         }
         Err(fault) if fault.fault.had_no_effect() => Err(fault.into()),
@@ -180,12 +186,12 @@
             };
             // An earlier try that landed: watchers count from that one, so the term must not
             // count from this one. The next renewal goes out from the version found.
-            let counted_from =
-                if found.renewal == row.renewal { counted_from } else { tenure.counted_from };
+            let term_started_at =
+                if found.renewal == row.renewal { term_started_at } else { tenure.term_started_at };
             Ok(RenewalOutcome::Renewed(OwnedTenure {
                 row: found,
                 version: rows.version,
-                counted_from,
+                term_started_at,
                 ..tenure.clone()
             }))
         }
@@ -201,7 +207,7 @@
     rows: OwnerRows,
     holder: &str,
     epoch: ids::Epoch,
-    counted_from: Instant,
+    term_started_at: Instant,
 ) -> Option<OwnedTenure> {
     let row = rows.scheduler?;
     let ours = row.holder == holder && row.epoch == epoch;
@@ -209,8 +215,8 @@
         row,
         version: rows.version,
         tenure_version: rows.tenure_version,
-        counted_from,
-        tried: 0,
+        term_started_at,
+        renewal_number: 0,
     })
 }
 
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -15,10 +15,10 @@
 use tokio::time;
 
 use crate::backend;
+use crate::contender::{self, ContenderState};
 use crate::options;
+use crate::owner_reader;
 use crate::request::SchedulerCall;
-use crate::seat::{self, SeatView};
-use crate::watch_reader;
 
 /// Everything that an instance needs to take part in scheduling halls.
 pub struct ServiceDependencies<B: backend::HallBackend> {
@@ -39,14 +39,14 @@
 
 struct ServiceInner<B: backend::HallBackend> {
     parts: ServiceDependencies<B>,
-    reader: watch_reader::WatchReader,
+    reader: owner_reader::OwnerReader,
     seats: Mutex<BTreeMap<ids::HallName, SeatHandle<B>>>,
     leaving: watch::Sender<bool>,
 }
 
 /// One seat, from outside.
 struct SeatHandle<B: backend::HallBackend> {
-    view: watch::Receiver<SeatView<B>>,
+    view: watch::Receiver<ContenderState<B>>,
     nudge: Arc<Notify>,
     heard: watch::Sender<ids::Epoch>,
     leaving: watch::Sender<bool>,
@@ -64,7 +64,7 @@
     pub fn start(parts: ServiceDependencies<B>) -> HallService<B> {
         let (leaving, left) = watch::channel(false);
         let config = parts.config.clone();
-        let reader = watch_reader::WatchReader::start(parts.ports.table.clone(), &parts.options);
+        let reader = owner_reader::OwnerReader::start(parts.ports.table.clone(), &parts.options);
         let inner = ServiceInner { parts, reader, seats: Mutex::default(), leaving };
         let service = HallService { inner: Arc::new(inner) };
         service.fit_seats();
@@ -77,12 +77,12 @@
     pub async fn ask<C: SchedulerCall>(&self, call: C) -> Option<C::Reply> {
         let Some(mut view) = self.view(call.hall()) else { return Some(C::not_holder(None)) };
         // Between taking a hall and knowing how it stands a call waits instead of being refused.
-        let taken = view.wait_for(|it| !matches!(it, SeatView::TakingOver));
+        let taken = view.wait_for(|it| !matches!(it, ContenderState::TakingOver));
         let address = match time::timeout(TAKEOVER_WAIT, taken).await {
             Ok(Ok(view)) => match &*view {
-                SeatView::Holding { address, .. } => address.clone(),
-                SeatView::Watching { holder } => return Some(C::not_holder(holder.clone())),
-                SeatView::TakingOver => return Some(C::not_holder(None)),
+                ContenderState::Holding { address, .. } => address.clone(),
+                ContenderState::Watching { holder } => return Some(C::not_holder(holder.clone())),
+                ContenderState::TakingOver => return Some(C::not_holder(None)),
             },
             _ => return Some(C::not_holder(None)),
         };
@@ -108,8 +108,8 @@
     pub fn summaries(&self) -> Vec<model::HallBeat> {
         let seats = self.seats();
         let beats = seats.values().filter_map(|it| match &*it.view.borrow() {
-            SeatView::Holding { summary, .. } => summary.borrow().clone(),
-            SeatView::Watching { .. } | SeatView::TakingOver => None,
+            ContenderState::Holding { summary, .. } => summary.borrow().clone(),
+            ContenderState::Watching { .. } | ContenderState::TakingOver => None,
         });
         beats.collect()
     }
@@ -133,7 +133,10 @@
     pub fn held_halls(&self) -> Vec<ids::HallName> {
         let seats = self.seats();
         let held = seats.iter().filter(|(_, it)| {
-            matches!(&*it.view.borrow(), SeatView::Holding { .. } | SeatView::TakingOver)
+            matches!(
+                &*it.view.borrow(),
+                ContenderState::Holding { .. } | ContenderState::TakingOver
+            )
         });
         held.map(|(hall, _)| hall.clone()).collect()
     }
@@ -156,7 +159,7 @@
         self.inner.seats.lock().expect("no holder of the lock panics")
     }
 
-    fn view(&self, hall: &str) -> Option<watch::Receiver<SeatView<B>>> {
+    fn view(&self, hall: &str) -> Option<watch::Receiver<ContenderState<B>>> {
         self.seats().get(hall).map(|it| it.view.clone())
     }
 
@@ -182,21 +185,21 @@
 
     fn start_seat(&self, hall: &ids::HallName) -> SeatHandle<B> {
         let parts = &self.inner.parts;
-        let (view, views) = watch::channel(SeatView::Watching { holder: None });
+        let (view, views) = watch::channel(ContenderState::Watching { holder: None });
         let (heard, hears) = watch::channel(0);
         let (leaving, leaves) = watch::channel(false);
         let nudge = Arc::new(Notify::new());
-        let task = tokio::spawn(seat::run(seat::SeatParts {
+        let task = tokio::spawn(contender::run(contender::ContenderParts {
             ports: parts.ports.clone(),
             options: parts.options.clone(),
             hall: hall.clone(),
             config: parts.config.clone(),
             members: parts.members.clone(),
             leaving: leaves,
-            heard: hears,
+            highest_epoch: hears,
             reader: self.inner.reader.clone(),
-            nudge: Arc::clone(&nudge),
-            view,
+            hand_over_requested: Arc::clone(&nudge),
+            state: view,
         }));
         SeatHandle { view: views, nudge, heard, leaving, task }
     }
@@ -222,12 +225,12 @@
 
 /// Who schedules the hall after its holder stopped in the middle of a call.
 async fn successor<B: backend::HallBackend>(
-    mut view: watch::Receiver<SeatView<B>>,
+    mut view: watch::Receiver<ContenderState<B>>,
 ) -> Option<ids::PeerAddress> {
-    let left = view.wait_for(|it| !matches!(it, SeatView::Holding { .. }));
+    let left = view.wait_for(|it| !matches!(it, ContenderState::Holding { .. }));
     match &*time::timeout(SUCCESSOR_WAIT, left).await.ok()?.ok()? {
-        SeatView::Watching { holder } => holder.clone(),
-        SeatView::Holding { .. } | SeatView::TakingOver => None,
+        ContenderState::Watching { holder } => holder.clone(),
+        ContenderState::Holding { .. } | ContenderState::TakingOver => None,
     }
 }
 
@@ -260,7 +263,7 @@
 
 impl<B: backend::HallBackend> local::LocalHalls for HallService<B> {
     fn holds(&self, hall: &ids::HallName) -> bool {
-        self.view(hall).is_some_and(|it| !matches!(&*it.borrow(), SeatView::Watching { .. }))
+        self.view(hall).is_some_and(|it| !matches!(&*it.borrow(), ContenderState::Watching { .. }))
     }
 
     async fn answer<C: HallCall>(&self, call: C) -> Result<C::Reply, error::CallError> {
@@ -295,4 +298,4 @@
 /// How long a call of a holder that stopped waits to learn who follows.
 const SUCCESSOR_WAIT: Duration = Duration::from_secs(1);
 /// For handing one hall over.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(seat::LEAVE_LIMIT.as_secs() + 5);
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(contender::LEAVE_TIMEOUT.as_secs() + 5);
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -47,10 +47,10 @@
 }
 
 /// Leases of the workers that answered.
-pub(crate) type WorkerListings = BTreeMap<ids::WorkerId, model::LeaseListing>;
+pub(crate) type LeaseListings = BTreeMap<ids::WorkerId, model::LeaseListing>;
 
 /// A scheduler that was started.
-pub(crate) struct StartedHall<B: backend::HallBackend> {
+pub(crate) struct StartedScheduler<B: backend::HallBackend> {
     /// Where it takes messages.
     pub(crate) address: xtra::Address<HallActor<B>>,
     /// What it last said of the hall.
@@ -62,7 +62,7 @@
 /// Takes the hall over and starts its scheduler; `None` where that cannot be.
 pub(crate) async fn run<B: backend::HallBackend>(
     mut parts: TakeoverParts<B>,
-) -> Option<StartedHall<B>> {
+) -> Option<StartedScheduler<B>> {
     let config = Arc::clone(&parts.config.borrow_and_update());
     let members = Arc::clone(&parts.members.borrow_and_update());
     let now = parts.options.clock.now();
@@ -122,7 +122,7 @@
     }
     forward_changes(&address, parts.config, parts.members);
     tokio::spawn(xtra::run(mailbox, actor));
-    Some(StartedHall { address, summary, fenced })
+    Some(StartedScheduler { address, summary, fenced })
 }
 
 /// Passes changes of the configuration and of the members on.
@@ -163,7 +163,7 @@
                 tracing::warn!(hall = parts.hall, %fault, "cannot read the jobs of the hall");
             }
         }
-        if parts.tenure.standing() == tenure::TenureStanding::Ended {
+        if parts.tenure.status() == tenure::TenureStatus::Ended {
             return None;
         }
         tokio::time::sleep(READ_RETRY).await;
@@ -206,7 +206,7 @@
 async fn list_workers<B: backend::HallBackend>(
     parts: &TakeoverParts<B>,
     nodes: &BTreeMap<ids::WorkerId, crate::worker_node::WorkerNode>,
-) -> WorkerListings {
+) -> LeaseListings {
     let permits = Arc::new(Semaphore::new(LIST_CONCURRENCY));
     let mut tasks = JoinSet::new();
     for (worker, node) in nodes {
@@ -218,7 +218,7 @@
             (worker, list_worker(&workers, &address).await)
         });
     }
-    let mut listings = WorkerListings::new();
+    let mut listings = LeaseListings::new();
     while let Some(listed) = tasks.join_next().await {
         if let Ok((worker, Some(listing))) = listed {
             listings.insert(worker, listing);
--- a/crates/hall/src/tenure.rs
+++ b/crates/hall/src/tenure.rs
@@ -9,7 +9,7 @@
 
 /// What a holder may do at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TenureStanding {
+pub enum TenureStatus {
     /// The term has not run out: nobody else can hold the hall.
     Firm,
     /// The term ran out while the table did not answer, so that nobody could take over there.
@@ -33,30 +33,30 @@
     pub row_version: ids::RowVersion,
     /// End of the term less the margin, counted from before the renewal was sent: a watcher
     /// counts from when it saw the renewal, which is later.
-    pub firm_until: Instant,
+    pub valid_until: Instant,
     /// When a renewal last went without an answer.
-    pub outage_seen: Option<Instant>,
+    pub outage_seen_at: Option<Instant>,
     /// For how long an outage that was seen is believed to last.
-    pub outage_memory: Duration,
+    pub outage_assumed_for: Duration,
     /// Whether it is over.
     pub ended: bool,
 }
 
 impl TenureState {
     /// What may be done at `now`.
-    pub fn standing(&self, now: Instant) -> TenureStanding {
+    pub fn status(&self, now: Instant) -> TenureStatus {
         if self.ended {
-            return TenureStanding::Ended;
+            return TenureStatus::Ended;
         }
-        if now < self.firm_until {
-            return TenureStanding::Firm;
+        if now < self.valid_until {
+            return TenureStatus::Firm;
         }
         // A process that was paused through its term wakes up here with an old sighting of an
         // outage or none. It must not act on it: the table may have come back and another
         // instance may have taken over meanwhile.
-        match self.outage_seen {
-            Some(seen) if now < seen + self.outage_memory => TenureStanding::Detached,
-            _ => TenureStanding::Stale,
+        match self.outage_seen_at {
+            Some(seen) if now < seen + self.outage_assumed_for => TenureStatus::Detached,
+            _ => TenureStatus::Stale,
         }
     }
 }
@@ -80,26 +80,26 @@
     }
 
     /// What may be done now. Asked before every act.
-    pub fn standing(&self) -> TenureStanding {
+    pub fn status(&self) -> TenureStatus {
         if self.receiver.has_changed().is_err() {
-            return TenureStanding::Ended;
+            return TenureStatus::Ended;
         }
-        self.receiver.borrow().standing(Instant::now())
+        self.receiver.borrow().status(Instant::now())
     }
 
     /// Whether acts that workers keep harmless may go on.
     pub fn may_act(&self) -> bool {
-        matches!(self.standing(), TenureStanding::Firm | TenureStanding::Detached)
+        matches!(self.status(), TenureStatus::Firm | TenureStatus::Detached)
     }
 
     /// Whether the table did not answer the last renewal.
-    pub fn outage_seen(&self) -> bool {
-        self.receiver.borrow().outage_seen.is_some()
+    pub fn in_outage(&self) -> bool {
+        self.receiver.borrow().outage_seen_at.is_some()
     }
 
     /// What is left of the firm term.
     pub fn margin(&self) -> Duration {
-        self.receiver.borrow().firm_until.saturating_duration_since(Instant::now())
+        self.receiver.borrow().valid_until.saturating_duration_since(Instant::now())
     }
 
     /// The condition that makes a write of a stale holder fail.
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondpass_hall::tenure::{TenureStanding, TenureState, TenureWatch};
+use almondpass_hall::tenure::{TenureState, TenureStatus, TenureWatch};
 use almondpass_peer::call::PeerCall;
 use almondpass_schema::model;
 use almondpass_standin::fault::Fault;
@@ -102,27 +102,27 @@
     /// Cause: a flag instead of a look at the clock before every act.
     a_paused_holder_is_stale_until_it_renewed(_site) {
         let now = Instant::now();
-        let firm_until = now + support::secs(4);
+        let valid_until = now + support::secs(4);
         let state = TenureState {
             hall: HALL.to_owned(),
             epoch: 1,
             row_version: 1,
-            firm_until,
-            outage_seen: None,
-            outage_memory: support::secs(3),
+            valid_until,
+            outage_seen_at: None,
+            outage_assumed_for: support::secs(3),
             ended: false,
         };
         let (sender, watch) = TenureWatch::new(state);
-        assert_eq!(watch.standing(), TenureStanding::Firm);
+        assert_eq!(watch.status(), TenureStatus::Firm);
         tokio::time::advance(support::secs(4)).await;
-        assert_eq!(watch.standing(), TenureStanding::Stale);
-        sender.send_modify(|it| it.outage_seen = Some(Instant::now()));
-        assert_eq!(watch.standing(), TenureStanding::Detached);
+        assert_eq!(watch.status(), TenureStatus::Stale);
+        sender.send_modify(|it| it.outage_seen_at = Some(Instant::now()));
+        assert_eq!(watch.status(), TenureStatus::Detached);
         tokio::time::advance(support::secs(60)).await;
-        assert_eq!(watch.standing(), TenureStanding::Stale);
-        sender.send_modify(|it| it.firm_until = Instant::now() + support::secs(1));
-        assert_eq!(watch.standing(), TenureStanding::Firm);
+        assert_eq!(watch.status(), TenureStatus::Stale);
+        sender.send_modify(|it| it.valid_until = Instant::now() + support::secs(1));
+        assert_eq!(watch.status(), TenureStatus::Firm);
         drop(sender);
-        assert_eq!(watch.standing(), TenureStanding::Ended);
+        assert_eq!(watch.status(), TenureStatus::Ended);
     }
 }
