--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -133,11 +133,11 @@
             return;
         }
         (Some(item), None) => {
-            actor.requeue_row(job);
+            actor.set_queued(job);
             apply(actor, event::HallEvent::Arrived(item));
         }
         // Its class is gone from the configuration: it waits until that is back.
-        (None, _) => actor.requeue_row(job),
+        (None, _) => actor.set_queued(job),
     }
     if cancelled {
         apply(actor, event::HallEvent::Cancelled(job));
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -180,7 +180,7 @@
         match ending {
             GangEnding::NotStarted { .. } if never_again => self.end_job_unknown(job),
             GangEnding::NotStarted { worker, fault } => {
-                self.requeue_row(job);
+                self.set_queued(job);
                 let failed = event::HallEvent::StartFailed { work: job, worker, fault };
                 self.apply_event(failed);
             }
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -169,7 +169,7 @@
         };
         work.stage = GrantStage::Logging { lease, since: now };
         let (account, request) = (work.call.account.clone(), work.call.request);
-        self.intents.index.begin(&account, key, grant, request);
+        self.intents.index.record_intent(&account, key, grant, request);
         self.log_intent(model::IntentEntry::Intent { key, account, request, grant, worker });
     }
 
--- a/crates/hall/src/intent_index.rs
+++ b/crates/hall/src/intent_index.rs
@@ -60,7 +60,7 @@
     }
 
     /// Notes that a grant may send a key from now on.
-    pub fn begin(
+    pub fn record_intent(
         &mut self,
         account: &ids::AccountId,
         key: ids::IdempotencyKey,
@@ -77,7 +77,7 @@
     }
 
     /// Notes the outcome of a grant, the first one told; returns the line for the log.
-    pub fn settle(
+    pub fn record_outcome(
         &mut self,
         grant: ids::GrantId,
         outcome: model::RequestOutcome,
@@ -103,7 +103,7 @@
     pub fn replay(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Intent { key, account, request, grant, .. } = entry {
-                self.begin(account, *key, *grant, *request);
+                self.record_intent(account, *key, *grant, *request);
             }
         }
     }
@@ -112,7 +112,7 @@
     pub fn replay_outcomes(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Outcome { grant, outcome, .. } = entry {
-                self.settle(*grant, *outcome);
+                self.record_outcome(*grant, *outcome);
             }
         }
     }
--- a/crates/hall/src/intents.rs
+++ b/crates/hall/src/intents.rs
@@ -21,7 +21,7 @@
 
     /// Notes the outcome of a grant under a key, and sees that the log learns it.
     pub(crate) fn log_outcome(&mut self, grant: ids::GrantId, outcome: model::RequestOutcome) {
-        let Some(entry) = self.intents.index.settle(grant, outcome) else { return };
+        let Some(entry) = self.intents.index.record_outcome(grant, outcome) else { return };
         self.intents.outcomes.push(entry);
         let flush_at = Instant::now() + OUTCOME_DELAY;
         self.intents.flush_at.get_or_insert(flush_at);
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -225,10 +225,10 @@
     /// The policy queued a job again.
     pub(crate) fn requeue_job(&mut self, job: ids::JobId, reason: model::WaitReason) {
         self.set_wait_reason(job, reason);
-        self.requeue_row(job);
+        self.set_queued(job);
     }
 
-    pub(crate) fn requeue_row(&mut self, job: ids::JobId) {
+    pub(crate) fn set_queued(&mut self, job: ids::JobId) {
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if entry.is_over() || entry.gang.is_some() {
