--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -344,7 +344,8 @@
     }
 
     fn records(&self) -> BTreeMap<ids::JobId, model::JobRecord> {
-        let rows = self.jobs.iter().filter_map(|(job, _, _)| Some((*job, self.site.job(*job)?)));
+        let rows =
+            self.jobs.iter().filter_map(|(job, _, _)| Some((*job, self.site.job_row(*job)?)));
         rows.collect()
     }
 }
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -24,7 +24,7 @@
         site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         support::advance(support::secs(630)).await;
-        let record = site.job(job).expect("a row");
+        let record = site.job_row(job).expect("a row");
         assert!(record.checkpoint.is_some(), "found no checkpoint after ten minutes");
         assert_eq!(record.state, model::JobState::Running);
         assert_eq!(site.n_running_tasks(job), 2);
@@ -69,7 +69,7 @@
             let job = site.key();
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
             support::advance(support::secs(60)).await;
-            let state = site.job(job).map(|it| it.state);
+            let state = site.job_row(job).map(|it| it.state);
             assert_eq!(state, Some(model::JobState::Done), "write {nth} was late");
         }
     }
@@ -84,7 +84,7 @@
         let reply = instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
         support::advance(support::secs(60)).await;
-        assert_eq!(site.job(job), None);
+        assert_eq!(site.job_row(job), None);
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
@@ -130,7 +130,7 @@
         }
         support::wait_until("all are cancelled", async || {
             jobs.iter().all(|it| {
-                site.job(*it).is_some_and(|it| it.state == model::JobState::Cancelled)
+                site.job_row(*it).is_some_and(|it| it.state == model::JobState::Cancelled)
             })
         })
         .await;
@@ -146,7 +146,7 @@
         let record = support::expect_record(instance.query(job).await);
         assert_eq!(record.state, model::JobState::Done);
         support::advance(support::secs(700)).await;
-        assert_eq!(site.job(job), None);
+        assert_eq!(site.job_row(job), None);
         assert_eq!(site.table.peek(&keys::ended_jobs(HALL)).len(), 0);
         assert_eq!(instance.query(job).await, model::JobReply::NotFound);
     }
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -32,8 +32,8 @@
         site.table.faults().set(Condition::Up);
         support::advance(support::secs(20)).await;
         assert!(holder.holds() && !other.holds());
-        assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
-        assert_eq!(site.job(job).map(|it| it.state), Some(model::JobState::Done));
+        assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
+        assert_eq!(site.job_row(job).map(|it| it.state), Some(model::JobState::Done));
         assert_eq!(site.n_running_tasks(long), 1);
         holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
     }
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -16,7 +16,7 @@
         support::wait_until("somebody holds", async || instances.iter().any(|it| it.holds())).await;
         support::advance(support::secs(30)).await;
         assert_eq!(instances.iter().filter(|it| it.holds()).count(), 1);
-        assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
+        assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
     }
 
     /// Symptom: a hall without a scheduler for long after its holder died.
@@ -31,7 +31,7 @@
         support::wait_until("another holds", async || others.iter().any(|it| it.holds())).await;
         let term = model::TimingSettings::default().scheduler_term.0;
         assert!(died.elapsed() <= term + support::secs(2), "took {:?}", died.elapsed());
-        assert_eq!(site.scheduler().map(|it| it.epoch), Some(2));
+        assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(2));
     }
 
     /// Symptom: requests refused while an instance is replaced.
@@ -60,7 +60,7 @@
         site.table.faults().next(model::TableTransaction::PATH, Fault::AnswerLost);
         let holder = site.start_holder("a").await;
         assert!(holder.holds());
-        assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
+        assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
     }
 
     /// Symptom: a live holder gives its hall up.
@@ -77,7 +77,7 @@
         }
         support::advance(support::secs(10)).await;
         assert!(holder.holds());
-        assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
+        assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
         holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -189,19 +189,19 @@
     }
 
     /// Who schedules the hall, by its row.
-    pub(crate) fn scheduler(&self) -> Option<model::SchedulerRow> {
+    pub(crate) fn scheduler_row(&self) -> Option<model::SchedulerRow> {
         self.row(&keys::scheduler(HALL))
     }
 
     /// The row of a job.
-    pub(crate) fn job(&self, job: ids::JobId) -> Option<model::JobRecord> {
+    pub(crate) fn job_row(&self, job: ids::JobId) -> Option<model::JobRecord> {
         self.row(&keys::job(ACCOUNT, &job))
     }
 
     /// Waits until the row of a job shows a state.
     pub(crate) async fn wait_for_job_state(&self, job: ids::JobId, state: model::JobState) {
         let step = format!("job {job} is {state}");
-        wait_until(&step, async || self.job(job).is_some_and(|it| it.state == state)).await;
+        wait_until(&step, async || self.job_row(job).is_some_and(|it| it.state == state)).await;
     }
 
     /// Tasks of a job that run now.
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -56,7 +56,7 @@
         let (_, worker) = &site.fleet.workers()[1];
         worker.set_health(worker::WorkerHealth::FailsTasks(support::secs(1)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
-        let failed = async || site.job(job).is_some_and(|it| !it.failed_on.is_empty());
+        let failed = async || site.job_row(job).is_some_and(|it| !it.failed_on.is_empty());
         support::wait_until("the gang has failed", failed).await;
         worker.set_health(worker::WorkerHealth::Sound);
         holder.crash(&site);
@@ -125,7 +125,7 @@
         let job = site.key();
         plant(&site, 0, &format!("job/{job}/99-1/0"), job, true).await;
         holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
-        assert!(site.scheduler().is_some_and(|it| 1 < it.epoch));
+        assert!(site.scheduler_row().is_some_and(|it| 1 < it.epoch));
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
