--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -87,7 +87,7 @@
         upstream: ids::UpstreamName,
     ) -> Option<gang_task::GangPlan> {
         let entry = self.jobs.entries.get_mut(&job)?;
-        if entry.gang.is_some() || entry.is_over() {
+        if entry.gang.is_some() || entry.has_ended() {
             return None;
         }
         entry.n_starts += 1;
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -127,7 +127,7 @@
         self.advance_gang(job);
         let entry = self.jobs.entries.get(&job);
         let over = entry.is_some_and(|it| {
-            it.gang.is_none() && it.is_over() && it.committed.as_ref() == Some(&it.record)
+            it.gang.is_none() && it.has_ended() && it.committed.as_ref() == Some(&it.record)
         });
         if over {
             self.jobs.entries.remove(&job);
--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -146,7 +146,7 @@
 
 impl JobEntry {
     /// Whether the job is over.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         is_terminal(self.record.state)
     }
 
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -191,7 +191,7 @@
             self.read_job(call.account, call.job, reply);
             return;
         };
-        if entry.record.cancel_requested || entry.is_over() {
+        if entry.record.cancel_requested || entry.has_ended() {
             match &entry.committed {
                 Some(record) if record.cancel_requested || job_table::is_terminal(record.state) => {
                     let record = record.clone();
@@ -231,7 +231,7 @@
     pub(crate) fn set_queued(&mut self, job: ids::JobId) {
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        if entry.is_over() || entry.gang.is_some() {
+        if entry.has_ended() || entry.gang.is_some() {
             return;
         }
         entry.record.placement = Vec::new();
@@ -280,7 +280,7 @@
     fn end_job(&mut self, job: ids::JobId, state: model::JobState, reason: model::WaitReason) {
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        if entry.is_over() {
+        if entry.has_ended() {
             return;
         }
         entry.record.state = state;
