--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -42,13 +42,13 @@
     pub(crate) intents: intent_task::IntentState,
     /// Events that the policy learns later, such as a start withdrawn during an outage: told at
     /// once, it would decide the same again in a tight loop.
-    pub(crate) deferred: VecDeque<DeferredEvent>,
+    pub(crate) deferred_events: VecDeque<DeferredEvent>,
     /// Set once anything showed a newer tenure.
     pub(crate) fenced: bool,
     /// Tells the seat of it.
     pub(crate) fence_signal: watch::Sender<bool>,
     /// Answered once nothing is in flight; from then on nothing is begun.
-    pub(crate) freeze: Option<oneshot::Sender<()>>,
+    pub(crate) freeze_reply: Option<oneshot::Sender<()>>,
     pub(crate) frozen: bool,
     pub(crate) summary: watch::Sender<Option<model::HallBeat>>,
     pub(crate) next_summary: Instant,
@@ -170,7 +170,7 @@
 
     /// Tells the policy something later.
     pub(crate) fn defer_event(&mut self, at: Instant, event: event::HallEvent) {
-        self.deferred.push_back(DeferredEvent { at, event });
+        self.deferred_events.push_back(DeferredEvent { at, event });
     }
 
     /// Where tasks report to.
@@ -205,7 +205,7 @@
     fn on_freeze(&mut self, _: Freeze) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.frozen = true;
-        self.freeze = Some(sender);
+        self.freeze_reply = Some(sender);
         self.finish_freeze();
         receiver
     }
@@ -213,14 +213,14 @@
     /// Answers a hand-over once every write and every start in flight is settled: the successor
     /// reads rows and leases, and would take a gang in the middle of its start for incomplete.
     pub(crate) fn finish_freeze(&mut self) {
-        if self.freeze.is_none() {
+        if self.freeze_reply.is_none() {
             return;
         }
         let busy = self.jobs.is_busy() || self.intents.is_busy() || self.grants.is_starting();
         if busy {
             return;
         }
-        if let Some(freeze) = self.freeze.take() {
+        if let Some(freeze) = self.freeze_reply.take() {
             self.grants.drop_reply_senders();
             let _ = freeze.send(());
         }
--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -221,7 +221,7 @@
 
     /// Live workers on which an upstream leaves, is drained or does not run.
     pub(crate) fn workers_without_upstream(&self, upstream: &str) -> Vec<ids::WorkerId> {
-        let nodes = self.nodes.iter().filter(|(_, it)| it.entry.is_some() && !it.draining);
+        let nodes = self.nodes.iter().filter(|(_, it)| it.member_entry.is_some() && !it.draining);
         let without = nodes.filter(|(name, _)| !self.has_upstream(name, upstream));
         without.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/hall/src/contender.rs
+++ b/crates/hall/src/contender.rs
@@ -78,7 +78,7 @@
     let hall = parts.hall.clone();
     let epoch = owned.row.epoch;
     tracing::info!(hall, epoch, "took the hall");
-    metric::ownership(&hall, true);
+    metric::hall_held(&hall, true);
     let (tenure_sender, watch) = tenure::TenureWatch::new(tenure_state(parts, &owned));
     parts.state.send_replace(ContenderState::TakingOver);
 
@@ -108,7 +108,7 @@
                     break None;
                 };
                 let took = taken_at.elapsed();
-                metric::takeover(&hall, took);
+                metric::takeover_time(&hall, took);
                 tracing::info!(hall, epoch, seconds = took.as_secs_f64(), "took the hall over");
                 parts.state.send_replace(ContenderState::Holding { address: address.clone(), summary });
                 scheduler = Some(address);
@@ -156,7 +156,7 @@
     tenure_sender.send_modify(|it| it.ended = true);
     launch.abort();
     parts.state.send_replace(ContenderState::Watching { holder: successor });
-    metric::ownership(&hall, false);
+    metric::hall_held(&hall, false);
     if let Some(address) = scheduler {
         let _ = address.send(actor::Resign).await;
     }
@@ -247,7 +247,7 @@
         // The successor sees the released row at its next look.
         tracing::warn!(hall = parts.hall, %fault, "cannot tell the successor of the hall");
     }
-    metric::hand_over(&parts.hall, started.elapsed());
+    metric::hand_over_time(&parts.hall, started.elapsed());
     Some(successor)
 }
 
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -186,9 +186,9 @@
             }
             GangEnding::Ended(exit) => {
                 if exit == event::WorkExit::Stopped {
-                    metric::reclaim(&account, &class, since.elapsed());
+                    metric::reclaim_time(&account, &class, since.elapsed());
                 }
-                metric::run(&account, &class, ran);
+                metric::run_time(&account, &class, ran);
                 // It had ended well and only waited for its row.
                 let done = entry.record.state == model::JobState::Done;
                 let exit = if done { event::WorkExit::Succeeded } else { exit };
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -222,7 +222,7 @@
                 entry.record.state_since = wall;
                 let (account, class) =
                     (entry.record.account.clone(), entry.record.submission.class.clone());
-                metric::wait(&account, &class, waited);
+                metric::wait_time(&account, &class, waited);
                 self.mark_dirty(job);
                 self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -81,9 +81,9 @@
         let Some(work) = self.grants.remove(&grant) else { return };
         self.log_outcome(grant, outcome);
         metric::outcome(&work.call.account, &work.call.class, outcome);
-        metric::completion(&work.call.account, &work.call.class, work.arrived_at.elapsed());
+        metric::completion_time(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         let GrantStage::Granted { grant: slot, since } = &work.stage else { return };
-        metric::run(&work.call.account, &work.call.class, since.elapsed());
+        metric::run_time(&work.call.account, &work.call.class, since.elapsed());
         self.keep_idle_lease(&slot.lease);
         let exit = match outcome {
             _ if worker_fault => event::WorkExit::Failed { worker: slot.worker.clone() },
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -181,7 +181,7 @@
             self.log_outcome(grant, model::RequestOutcome::NotRun);
             return;
         };
-        metric::intent(&self.hall, place, since.elapsed());
+        metric::intent_write_time(&self.hall, place, since.elapsed());
         self.grant_slot(grant, lease);
     }
 
@@ -219,7 +219,7 @@
         let Some(work) = self.grants.get_mut(&grant) else { return };
         work.stage = GrantStage::Granted { grant: slot.clone(), since: now };
         let told = work.answer(model::GrantReply::Granted { grant: slot.clone() });
-        metric::wait(&work.call.account, &work.call.class, work.arrived_at.elapsed());
+        metric::wait_time(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         tracing::debug!(hall = self.hall, request = %slot.request, grant = %grant,
             worker = slot.worker, "granted a slot");
         self.apply_event(event::HallEvent::Started(grant));
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -289,7 +289,7 @@
         entry.record.placement = Vec::new();
         let (account, class) =
             (entry.record.account.clone(), entry.record.submission.class.clone());
-        metric::completion(&account, &class, wall.since(entry.record.submitted_at));
+        metric::completion_time(&account, &class, wall.since(entry.record.submitted_at));
         metric::outcome(&account, &class, outcome_of(state));
         tracing::info!(hall = self.hall, job = %job, state = %state, "a job is over");
         self.mark_dirty(job);
--- a/crates/hall/src/metric.rs
+++ b/crates/hall/src/metric.rs
@@ -6,22 +6,22 @@
 use tokio::time::Instant;
 
 /// Seconds from arrival to start, by account and class.
-pub(crate) fn wait(account: &str, class: &str, span: Duration) {
+pub(crate) fn wait_time(account: &str, class: &str, span: Duration) {
     record("almondpass_wait_seconds", account, class, span);
 }
 
 /// Seconds from start to end, by account and class.
-pub(crate) fn run(account: &str, class: &str, span: Duration) {
+pub(crate) fn run_time(account: &str, class: &str, span: Duration) {
     record("almondpass_run_seconds", account, class, span);
 }
 
 /// Seconds from arrival to end, by account and class.
-pub(crate) fn completion(account: &str, class: &str, span: Duration) {
+pub(crate) fn completion_time(account: &str, class: &str, span: Duration) {
     record("almondpass_completion_seconds", account, class, span);
 }
 
 /// Seconds from the decision to stop a gang until its accelerators were free.
-pub(crate) fn reclaim(account: &str, class: &str, span: Duration) {
+pub(crate) fn reclaim_time(account: &str, class: &str, span: Duration) {
     record("almondpass_reclaim_seconds", account, class, span);
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// Whether this instance schedules the hall.
-pub(crate) fn ownership(hall: &str, held: bool) {
+pub(crate) fn hall_held(hall: &str, held: bool) {
     gauge("almondpass_hall_held", hall, f64::from(u8::from(held)));
 }
 
@@ -49,12 +49,12 @@
 }
 
 /// From taking a hall to deciding for it.
-pub(crate) fn takeover(hall: &str, span: Duration) {
+pub(crate) fn takeover_time(hall: &str, span: Duration) {
     histogram("almondpass_takeover_seconds", hall, span);
 }
 
 /// From the decision to leave to the successor having been told.
-pub(crate) fn hand_over(hall: &str, span: Duration) {
+pub(crate) fn hand_over_time(hall: &str, span: Duration) {
     histogram("almondpass_hand_over_seconds", hall, span);
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Seconds until an intent was durable, by where it went.
-pub(crate) fn intent(hall: &str, place: &'static str, span: Duration) {
+pub(crate) fn intent_write_time(hall: &str, place: &'static str, span: Duration) {
     metrics::histogram!("almondpass_intent_seconds", "hall" => hall.to_owned(), "place" => place)
         .record(span.as_secs_f64());
 }
--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -30,12 +30,12 @@
     }
 
     fn tell_deferred(&mut self, now: Instant) {
-        for _ in 0..self.deferred.len() {
-            let Some(deferred) = self.deferred.pop_front() else { return };
+        for _ in 0..self.deferred_events.len() {
+            let Some(deferred) = self.deferred_events.pop_front() else { return };
             if deferred.at <= now {
                 self.apply_event(deferred.event);
             } else {
-                self.deferred.push_back(deferred);
+                self.deferred_events.push_back(deferred);
             }
         }
     }
@@ -138,7 +138,7 @@
         let syncs = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
         let commit = self.jobs.next_commit_at.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
-        let deferred = self.deferred.iter().map(|it| it.at).min();
+        let deferred = self.deferred_events.iter().map(|it| it.at).min();
         let timers = [policy, syncs, commit, flush, deferred, self.grants.next_expiry()];
         let next = timers.into_iter().flatten().min();
         let latest = now + SUMMARY_INTERVAL;
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -97,7 +97,7 @@
     }
 
     /// A leaving holder asks this instance to take a hall.
-    pub fn hand_over(&self, call: &model::HandOver) -> model::Ack {
+    pub fn on_hand_over_request(&self, call: &model::HandOver) -> model::Ack {
         if let Some(handle) = self.seats().get(&call.hall) {
             handle.nudge.notify_one();
         }
@@ -245,7 +245,7 @@
             model::JobCancel::PATH => self.serve_call::<model::JobCancel>(&body).await,
             model::HallQuery::PATH => self.serve_call::<model::HallQuery>(&body).await,
             model::HandOver::PATH => {
-                dispatch::answer(&body, async |call| self.hand_over(&call)).await
+                dispatch::answer(&body, async |call| self.on_hand_over_request(&call)).await
             }
             _ => None,
         }
--- a/crates/hall/src/worker_node.rs
+++ b/crates/hall/src/worker_node.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerNode {
     /// What the instance list says of it; `None` while it is not listed.
-    pub(crate) entry: Option<snapshot::WorkerEntry>,
+    pub(crate) member_entry: Option<snapshot::WorkerEntry>,
     /// Its kind.
     pub(crate) kind: model::WorkerKind,
     /// Whether it is counted on.
@@ -36,7 +36,7 @@
     /// A worker that was never called.
     pub(crate) fn new(kind: model::WorkerKind, now: Instant) -> WorkerNode {
         WorkerNode {
-            entry: None,
+            member_entry: None,
             kind,
             state: NodeState::LeasesUnknown,
             draining: false,
@@ -48,12 +48,12 @@
 
     /// Its control address.
     pub(crate) fn address(&self) -> Option<&ids::PeerAddress> {
-        self.entry.as_ref().map(|it| &it.address)
+        self.member_entry.as_ref().map(|it| &it.address)
     }
 
     /// Where an upstream answers on it, unless that leaves.
     pub(crate) fn upstream_address(&self, name: &str) -> Option<&ids::PeerAddress> {
-        let upstreams = self.entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
+        let upstreams = self.member_entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
         let found = upstreams.iter().find(|it| it.upstream == name && !it.leaving)?;
         Some(&found.address)
     }
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -56,7 +56,7 @@
             node.kind = kind;
             // A worker that dropped off the lagging list keeps its address: it may still hold
             // leases, and only its silence says that it is gone.
-            node.entry = entry.or_else(|| node.entry.take());
+            node.member_entry = entry.or_else(|| node.member_entry.take());
         }
         // A worker taken out of the configuration is looked after until its work is over.
         let leases = &self.leases;
@@ -87,7 +87,7 @@
         if hall_layout::is_worker_drained(&self.config, worker) {
             return true;
         }
-        let Some(entry) = self.nodes.get(worker).and_then(|it| it.entry.as_ref()) else {
+        let Some(entry) = self.nodes.get(worker).and_then(|it| it.member_entry.as_ref()) else {
             return false;
         };
         let stays = |it: &almondpass_membership::snapshot::UpstreamEntry| {
@@ -107,7 +107,7 @@
     let layout = hall_layout::workers(config, hall);
     let nodes = layout.into_iter().map(|(name, kind)| {
         let mut node = worker_node::WorkerNode::new(kind, now);
-        node.entry = members.workers.get(&name).cloned();
+        node.member_entry = members.workers.get(&name).cloned();
         (name, node)
     });
     nodes.collect()
