--- a/crates/hall/src/gang_task.rs
+++ b/crates/hall/src/gang_task.rs
@@ -11,7 +11,7 @@
 use crate::actor;
 use crate::backend;
 use crate::lease;
-use crate::serve_task::{self, ReserveOutcome};
+use crate::reserve_task::{self, ReserveOutcome};
 use crate::tenure;
 
 /// A gang to start.
@@ -139,9 +139,14 @@
         let deadline = plan.deadline;
         tasks.spawn(async move {
             evict(&workers, &member, deadline).await;
-            let (sent_at, outcome) =
-                serve_task::reserve(&workers, &tenure, &member.address, &member.reserve, deadline)
-                    .await;
+            let (sent_at, outcome) = reserve_task::reserve(
+                &workers,
+                &tenure,
+                &member.address,
+                &member.reserve,
+                deadline,
+            )
+            .await;
             (member, sent_at, outcome)
         });
     }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -188,7 +188,7 @@
     }
 
     /// The row says that a start may have been sent: send it.
-    pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
+    pub(crate) fn resume_persisted_start(&mut self, job: ids::JobId) {
         let firm = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
+    pub(crate) fn on_gang_start_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -45,13 +45,13 @@
             }
         }
         self.grants.unreported_entries.remove(&report.entry);
-        self.release_unused_adopted();
+        self.release_unused_adopted_slots();
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
 
     /// Once every entry has said which grants of earlier tenures it uses, the other serving
     /// leases of those are free.
-    pub(crate) fn release_unused_adopted(&mut self) {
+    pub(crate) fn release_unused_adopted_slots(&mut self) {
         if !self.grants.unreported_entries.is_empty() {
             return;
         }
--- a/crates/hall/src/grants.rs
+++ b/crates/hall/src/grants.rs
@@ -11,7 +11,7 @@
 use crate::lease;
 use crate::lease_table;
 use crate::metric;
-use crate::serve_task::{self, ReserveOutcome};
+use crate::reserve_task::{self, ReserveOutcome};
 
 impl<B: backend::HallBackend> HallActor<B> {
     /// Carries out the policy's decision to start a request.
@@ -85,15 +85,15 @@
             work.stage = GrantStage::Reserving { lease: name };
         }
         let deadline = self.options.call_deadline();
-        let plan = serve_task::ReservePlan { grant, address, evict, reserve, deadline };
+        let plan = reserve_task::ReservePlan { grant, address, evict, reserve, deadline };
         let (workers, tenure, reports) =
             (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
         tokio::spawn(async move {
-            let _ = reports.send(serve_task::run(workers, tenure, plan).await).await;
+            let _ = reports.send(reserve_task::run(workers, tenure, plan).await).await;
         });
     }
 
-    pub(crate) fn on_reserve_report(&mut self, report: serve_task::ReserveReport) {
+    pub(crate) fn on_reserve_report(&mut self, report: reserve_task::ReserveReport) {
         let wanted = self.grants.get(&report.grant).is_some_and(
             |it| matches!(&it.stage, GrantStage::Reserving { lease } if *lease == report.lease),
         );
@@ -129,7 +129,7 @@
     fn slot_failed(
         &mut self,
         wanted: bool,
-        report: &serve_task::ReserveReport,
+        report: &reserve_task::ReserveReport,
         fault: event::StartFault,
         worker: Option<ids::WorkerId>,
     ) {
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -123,7 +123,7 @@
                 self.apply_event(event::HallEvent::Cancelled(job));
             }
         }
-        self.resume_logged_start(job);
+        self.resume_persisted_start(job);
         self.advance_gang(job);
         let entry = self.jobs.entries.get(&job);
         let over = entry.is_some_and(|it| {
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -38,7 +38,7 @@
         let live = &self.members.instances;
         // The exchanges of an instance that is gone were cut with it.
         self.grants.unreported_entries.retain(|it| live.contains_key(it));
-        self.release_unused_adopted();
+        self.release_unused_adopted_slots();
         self.update_workers();
     }
 
