--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -19,7 +19,7 @@
 
 impl<B: backend::HallBackend> HallActor<B> {
     pub(crate) fn on_grant_request(&mut self, pending: request::PendingCall<model::GrantRequest>) {
-        if self.frozen || self.fenced || self.tenure.standing() == tenure::TenureStanding::Ended {
+        if self.frozen || self.fenced || self.tenure.status() == tenure::TenureStatus::Ended {
             pending.decline();
             return;
         }
@@ -86,7 +86,7 @@
             class,
             arrived_at: now,
             stage: GrantStage::Waiting,
-            until: now + left,
+            expires_at: now + left,
         };
         Admission::Arrived(Uuid::now_v7(), Box::new(work))
     }
@@ -114,8 +114,8 @@
         match &work.stage {
             GrantStage::Granted { grant: told, .. } if same => {
                 let told = told.clone();
-                let until = Instant::now() + self.options.call_deadline() + told.term.0;
-                self.grants.set_expiry(&grant, until);
+                let expires_at = Instant::now() + self.options.call_deadline() + told.term.0;
+                self.grants.set_expiry(&grant, expires_at);
                 Some(Admission::Answer(model::GrantReply::Granted { grant: told }))
             }
             GrantStage::Granted { .. } if work.class.repeatable => {
@@ -221,7 +221,7 @@
 
     /// Live workers on which an upstream leaves, is drained or does not run.
     pub(crate) fn workers_without_upstream(&self, upstream: &str) -> Vec<ids::WorkerId> {
-        let nodes = self.nodes.iter().filter(|(_, it)| it.entry.is_some() && !it.draining);
+        let nodes = self.nodes.iter().filter(|(_, it)| it.member_entry.is_some() && !it.draining);
         let without = nodes.filter(|(name, _)| !self.has_upstream(name, upstream));
         without.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -76,7 +76,7 @@
             self.on_member_lapsed(job, start, &worker);
         }
         for (lease, entry) in self.leases.expire(now) {
-            self.grants.idle.remove(&lease);
+            self.grants.idle_leases.remove(&lease);
             if let lease::LeasePurpose::Task { job, .. } = entry.purpose {
                 self.advance_gang(job);
             }
@@ -180,15 +180,15 @@
         match ending {
             GangEnding::NotStarted { .. } if never_again => self.end_job_unknown(job),
             GangEnding::NotStarted { worker, fault } => {
-                self.requeue_row(job);
+                self.set_queued(job);
                 let failed = event::HallEvent::StartFailed { work: job, worker, fault };
                 self.apply_event(failed);
             }
             GangEnding::Ended(exit) => {
                 if exit == event::WorkExit::Stopped {
-                    metric::reclaim(&account, &class, since.elapsed());
+                    metric::reclaim_time(&account, &class, since.elapsed());
                 }
-                metric::run(&account, &class, ran);
+                metric::run_time(&account, &class, ran);
                 // It had ended well and only waited for its row.
                 let done = entry.record.state == model::JobState::Done;
                 let exit = if done { event::WorkExit::Succeeded } else { exit };
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -87,7 +87,7 @@
         upstream: ids::UpstreamName,
     ) -> Option<gang_task::GangPlan> {
         let entry = self.jobs.entries.get_mut(&job)?;
-        if entry.gang.is_some() || entry.is_over() {
+        if entry.gang.is_some() || entry.has_ended() {
             return None;
         }
         entry.n_starts += 1;
@@ -105,7 +105,7 @@
         for slot in placement {
             let evict = self.evict_idle_leases(slot, &demand);
             let purpose = lease::LeasePurpose::Task { job, start, rank: slot.rank };
-            let name = self.insert_reserving(purpose, slot, demand);
+            let name = self.insert_reserving_lease(purpose, slot, demand);
             let node = self.nodes.get(&slot.worker);
             plans.push(gang_task::MemberPlan {
                 rank: slot.rank,
@@ -188,7 +188,7 @@
     }
 
     /// The row says that a start may have been sent: send it.
-    pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
+    pub(crate) fn resume_persisted_start(&mut self, job: ids::JobId) {
         let firm = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
+    pub(crate) fn on_gang_start_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
@@ -222,11 +222,11 @@
                 entry.record.state_since = wall;
                 let (account, class) =
                     (entry.record.account.clone(), entry.record.submission.class.clone());
-                metric::wait(&account, &class, waited);
+                metric::wait_time(&account, &class, waited);
                 self.mark_dirty(job);
                 self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
-                    self.sync_soon(&worker);
+                    self.poll_soon(&worker);
                 }
                 if unwanted {
                     // The policy wanted it stopped while it was starting.
@@ -283,7 +283,7 @@
         self.mark_dirty(job);
         self.signal_gang(job, model::TaskSignalKind::Checkpoint);
         for worker in self.gang_workers(job) {
-            self.sync_soon(&worker);
+            self.poll_soon(&worker);
         }
     }
 
