--- a/crates/hall/src/admission.rs
+++ b/crates/hall/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests the scheduler takes in, and what the others are told.
+//! Admits slot requests of entries to the queue, or answers at once why they are not admitted.
 
 use std::time::Duration;
 
@@ -24,26 +24,27 @@
             return;
         }
         let request::PendingCall { call, reply } = pending;
-        // Every answer but a grant says "nothing was sent". Proof: only a grant lets an entry
-        // send, and this request has none that was told, or is answered by `recorded`.
+        // Every answer but a grant or a record of the key says "nothing was sent". Proof: an entry sends
+        // only under a grant, and no grant of this request was sent to an entry; if one was, the answer
+        // is that grant or the record of the key.
         match self.admit(call) {
             Admission::Answer(answer) => {
                 let _ = reply.send(answer);
             }
-            Admission::Join(grant) => {
-                if let Some(work) = self.grants.get_mut(&grant) {
-                    work.reply = Some(reply);
+            Admission::TakeOver(grant) => {
+                if let Some(entry) = self.grants.get_mut(&grant) {
+                    entry.reply = Some(reply);
                 }
             }
-            Admission::Arrived(grant, mut work) => {
-                let item = self.work_item(grant, &work);
+            Admission::New(grant, mut entry) => {
+                let item = self.work_item(grant, &entry);
                 if let Err(reason) = self.policy.admits(&item) {
                     let refusal = model::GrantReply::Refused { reason, unrecorded: true };
                     let _ = reply.send(refusal);
                     return;
                 }
-                work.reply = Some(reply);
-                self.grants.insert(grant, *work);
+                entry.reply = Some(reply);
+                self.grants.insert(grant, *entry);
                 self.apply_event(event::HallEvent::Arrived(item));
             }
         }
@@ -55,13 +56,13 @@
             let code = model::WaitCode::SchedulerStarting;
             return Admission::Answer(grant_table::busy_reply(code, text, RETRY_AFTER));
         }
-        if let Some(answer) = self.refuse_class(&call) {
+        if let Some(answer) = self.check_class(&call) {
             return Admission::Answer(answer);
         }
         let Some(class) = self.config.class(&call.class).cloned() else {
-            return Admission::Answer(unknown_class(&call));
+            return Admission::Answer(unknown_class_reply(&call));
         };
-        if let Some(admission) = self.repeated_ask(&call) {
+        if let Some(admission) = self.repeated_request(&call) {
             return admission;
         }
         if !class.repeatable
@@ -72,28 +73,28 @@
         if let Some(answer) = self.check_limits(&call) {
             return Admission::Answer(grant_table::mark_unrecorded(answer));
         }
-        let left = call.deadline.since(self.wall_time());
-        if left.is_zero() {
+        let remaining = call.deadline.since(self.wall_time());
+        if remaining.is_zero() {
             let text = "the deadline passed before the request arrived";
             let code = model::WaitCode::DeadlineMissed;
             let answer = grant_table::busy_reply(code, text, RETRY_AFTER);
             return Admission::Answer(grant_table::mark_unrecorded(answer));
         }
         let now = Instant::now();
-        let work = grant_table::GrantEntry {
+        let entry = grant_table::GrantEntry {
             call,
             reply: None,
             class,
             arrived_at: now,
             stage: GrantStage::Waiting,
-            expires_at: now + left,
+            expires_at: now + remaining,
         };
-        Admission::Arrived(Uuid::now_v7(), Box::new(work))
+        Admission::New(Uuid::now_v7(), Box::new(entry))
     }
 
-    fn refuse_class(&self, call: &model::GrantRequest) -> Option<model::GrantReply> {
+    fn check_class(&self, call: &model::GrantRequest) -> Option<model::GrantReply> {
         let Some(class) = self.config.class(&call.class) else {
-            return Some(unknown_class(call));
+            return Some(unknown_class_reply(call));
         };
         if self.config.account(&call.account).is_none() {
             let text = format!("expected a known client account, found {}", call.account);
@@ -106,29 +107,30 @@
         None
     }
 
-    /// An entry that lost the answer asks again under the same request.
-    fn repeated_ask(&mut self, call: &model::GrantRequest) -> Option<Admission> {
+    /// Handles a call of an entry that lost the answer and repeats the call with the same request id.
+    fn repeated_request(&mut self, call: &model::GrantRequest) -> Option<Admission> {
         let grant = self.grants.find_by_request(&call.request)?;
-        let work = self.grants.get(&grant)?;
-        let same = work.call.attempt == call.attempt && work.call.entry == call.entry;
-        match &work.stage {
-            GrantStage::Granted { grant: told, .. } if same => {
-                let told = told.clone();
-                let expires_at = Instant::now() + self.options.call_deadline() + told.term.0;
+        let entry = self.grants.get(&grant)?;
+        let is_same_attempt = entry.call.attempt == call.attempt && entry.call.entry == call.entry;
+        match &entry.stage {
+            GrantStage::Granted { grant: granted, .. } if is_same_attempt => {
+                let granted = granted.clone();
+                let expires_at = Instant::now() + self.options.call_deadline() + granted.term.0;
                 self.grants.set_expiry(&grant, expires_at);
-                Some(Admission::Answer(model::GrantReply::Granted { grant: told }))
+                Some(Admission::Answer(model::GrantReply::Granted { grant: granted }))
             }
-            GrantStage::Granted { .. } if work.class.repeatable => {
-                // A later try means that the entry is done with this one.
+            GrantStage::Granted { .. } if entry.class.repeatable => {
+                // A later attempt means that the entry has finished the granted one.
                 self.end_grant(grant, model::RequestOutcome::Unknown, false);
                 None
             }
-            GrantStage::Granted { .. } => Some(Admission::Answer(in_progress(call.request))),
-            _ => Some(Admission::Join(grant)),
+            GrantStage::Granted { .. } => Some(Admission::Answer(in_progress_reply(call.request))),
+            _ => Some(Admission::TakeOver(grant)),
         }
     }
 
-    /// Whether a request that must run at most once may be sent, or what it gets instead.
+    /// Answer to a request that must run at most once and may not be sent because of its idempotency
+    /// key; `None` if it may be sent.
     fn check_key(
         &self,
         call: &model::GrantRequest,
@@ -141,8 +143,8 @@
         };
         let window = self.config.document.bounds.idempotency_window.0;
         let now = self.wall_time();
-        // Records of older keys are dropped: such a key may have been sent before, and nobody
-        // would know. "Not run" is true of this request: it is not sent.
+        // Records of older keys are deleted, so a request with such a key may have been sent before
+        // without any record of it. "Not run" holds for this request, as it is not sent.
         if made_at + window < now {
             let text = format!("expected a key younger than {window:?}");
             return Some(grant_table::refused_reply(model::WaitCode::KeyTooOld, text));
@@ -151,7 +153,7 @@
             let text = "expected a key that was made before now";
             return Some(grant_table::refused_reply(model::WaitCode::KeyRequired, text));
         }
-        if !self.is_home(class, &key) {
+        if !self.is_home_hall(class, &key) {
             let text = "another hall keeps the record of this key";
             return Some(grant_table::busy_reply(model::WaitCode::Queued, text, RETRY_AFTER));
         }
@@ -168,11 +170,13 @@
         {
             return Some(model::GrantReply::Recorded { outcome, request });
         }
-        // Another request under this key waits for its slot: of the two only one may be sent.
-        self.grants.find_by_key(&call.account, key).map(|(_, it)| in_progress(it.call.request))
+        // Another request under this key waits or runs: only one of the two may be sent.
+        self.grants
+            .find_by_key(&call.account, key)
+            .map(|(_, it)| in_progress_reply(it.call.request))
     }
 
-    fn is_home(&self, class: &model::JobClass, key: &ids::IdempotencyKey) -> bool {
+    fn is_home_hall(&self, class: &model::JobClass, key: &ids::IdempotencyKey) -> bool {
         let upstreams = &self.config.document.upstreams;
         let upstream = upstreams.iter().find(|it| it.name == class.upstream);
         let home = upstream.and_then(|it| home::home_hall(it, key));
@@ -192,34 +196,34 @@
     pub(crate) fn work_item(
         &self,
         grant: ids::GrantId,
-        work: &grant_table::GrantEntry,
+        entry: &grant_table::GrantEntry,
     ) -> work::WorkItem {
-        let mut exclude = work.call.exclude.clone();
-        exclude.extend(self.workers_without_upstream(&work.class.upstream));
+        let mut exclude = entry.call.exclude.clone();
+        exclude.extend(self.workers_without_upstream(&entry.class.upstream));
         work::WorkItem {
             id: grant,
-            account: work.call.account.clone(),
-            class: work.class.name.clone(),
+            account: entry.call.account.clone(),
+            class: entry.class.name.clone(),
             tasks: 1,
             demand: work::TaskDemand {
-                accelerators: work.class.accelerators,
-                cores: work.class.cores,
-                memory_mb: work.class.memory_mb,
+                accelerators: entry.class.accelerators,
+                cores: entry.class.cores,
+                memory_mb: entry.class.memory_mb,
                 slots: 1,
             },
             adjacency: model::Adjacency::Worker,
             guarantee: None,
             declared_run: None,
-            deadline: Some(work.call.deadline),
-            submitted_at: self.wall_time() - work.arrived_at.elapsed(),
-            attempt: work.call.attempt,
+            deadline: Some(entry.call.deadline),
+            submitted_at: self.wall_time() - entry.arrived_at.elapsed(),
+            attempt: entry.call.attempt,
             saved_run: Duration::ZERO,
             exclude,
             failed_on: Vec::new(),
         }
     }
 
-    /// Live workers on which an upstream leaves, is drained or does not run.
+    /// Live workers on which an upstream is being removed, is drained or does not run.
     pub(crate) fn workers_without_upstream(&self, upstream: &str) -> Vec<ids::WorkerId> {
         let nodes = self.nodes.iter().filter(|(_, it)| it.member_entry.is_some() && !it.draining);
         let without = nodes.filter(|(name, _)| !self.has_upstream(name, upstream));
@@ -235,16 +239,17 @@
 
 enum Admission {
     Answer(model::GrantReply),
-    Join(ids::GrantId),
-    Arrived(ids::GrantId, Box<grant_table::GrantEntry>),
+    TakeOver(ids::GrantId),
+    New(ids::GrantId, Box<grant_table::GrantEntry>),
 }
 
-fn unknown_class(call: &model::GrantRequest) -> model::GrantReply {
+fn unknown_class_reply(call: &model::GrantRequest) -> model::GrantReply {
     let text = format!("expected a known job class, found {}", call.class);
     grant_table::refused_reply(model::WaitCode::UnknownClass, text)
 }
 
-/// A key in progress is never sent a second time, and "not run" would be a lie.
-fn in_progress(request: ids::RequestId) -> model::GrantReply {
+/// Answer for a key whose request is in progress: a second request under the key is never sent, and
+/// "not run" would be false.
+fn in_progress_reply(request: ids::RequestId) -> model::GrantReply {
     model::GrantReply::Recorded { outcome: model::RequestOutcome::Unknown, request }
 }
--- a/crates/hall/src/gang_ends.rs
+++ b/crates/hall/src/gang_ends.rs
@@ -1,4 +1,4 @@
-//! How gangs end: by themselves, by a decision, or because a member was lost.
+//! Ends gangs: after their tasks have ended, on a decision of the policy, or after the loss of a member.
 
 use almondpass_policy::event;
 use almondpass_schema::{ids, model};
@@ -12,8 +12,8 @@
 use crate::metric;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Stops a gang whole: every member's lease is released, and what follows waits until all are
-    /// proven gone.
+    /// Stops all members of a gang: releases the lease of each, and reports `ending` to the policy
+    /// once every lease is proven gone.
     pub(crate) fn stop_gang(&mut self, job: ids::JobId, ending: GangEnding) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else {
@@ -21,13 +21,14 @@
         };
         match gang.phase {
             GangPhase::Stopping { .. } => return,
-            // The task that starts it is under way: a reservation of its that landed behind our
-            // release would hold accelerators for a term. Its report comes soon.
+            // The task that starts the gang is still in progress: a reservation of that task which
+            // reached a worker after our release would hold accelerators for a lease term. The
+            // gang is stopped when the task reports, which it does soon.
             GangPhase::Reserving | GangPhase::Starting if !gang.start_reported => {
                 gang.stop_requested = true;
                 return;
             }
-            // Dropping the sender calls the start off.
+            // Dropping the sender cancels the start.
             GangPhase::PersistingStart(_) => {
                 gang.stop_requested = true;
                 gang.phase = GangPhase::Reserving;
@@ -43,7 +44,7 @@
         self.advance_gang(job);
     }
 
-    /// A member's lease lapsed: the others stop too.
+    /// Stops the gang of a member whose lease lapsed on `worker`, if the gang is running.
     pub(crate) fn on_member_lapsed(
         &mut self,
         job: ids::JobId,
@@ -58,12 +59,13 @@
         }
     }
 
-    /// Stops gangs of which a member may have lapsed: its worker did not answer for a term.
+    /// Stops gangs with a member whose lease may have lapsed because its worker did not answer for a
+    /// lease term, and removes the leases that have certainly lapsed.
     pub(crate) fn stop_lapsed_gangs(&mut self, now: Instant) {
         if now < self.next_lapse_check {
             return;
         }
-        self.next_lapse_check = now + LAPSE_LOOK;
+        self.next_lapse_check = now + LAPSE_CHECK_INTERVAL;
         let lapsed = self
             .leases
             .iter()
@@ -83,39 +85,40 @@
         }
     }
 
-    /// Sees what follows from a gang's members.
+    /// Moves a gang to its next phase if the state of its members allows that: a stopping gang ends
+    /// once all leases are gone, a running one is checked for ended tasks and new checkpoints.
     pub(crate) fn advance_gang(&mut self, job: ids::JobId) {
         let Some(gang) = self.jobs.entries.get(&job).and_then(|it| it.gang.as_ref()) else {
             return;
         };
         match &gang.phase {
             GangPhase::Stopping { .. }
-                if gang.members.iter().all(|it| self.is_given_back(gang, it)) =>
+                if gang.members.iter().all(|it| self.is_released(gang, it)) =>
             {
-                self.gang_stopped(job);
+                self.finish_stopped_gang(job);
             }
-            GangPhase::Running => self.look_at_exits(job),
+            GangPhase::Running => self.check_member_exits(job),
             _ => {}
         }
     }
 
-    /// Whether a member of a stopping gang holds nothing any more. Where no start was sent,
-    /// nothing can run under a lease whose worker does not answer: its accelerators are not to be
-    /// had anyhow, and the job need not wait until it lapses.
-    fn is_given_back(&self, gang: &Gang, member: &GangMember) -> bool {
+    /// Whether a member of a stopping gang holds no accelerators any more. If no start was sent,
+    /// nothing can run under a lease whose worker does not answer: the accelerators of that worker
+    /// cannot be used anyway, and the job need not wait until the lease lapses.
+    fn is_released(&self, gang: &Gang, member: &GangMember) -> bool {
         let Some(lease) = self.leases.get(&member.lease) else { return true };
-        let silent = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failed_polls);
-        !gang.start_sent && silent
+        let is_unreachable = self.nodes.get(&lease.worker).is_none_or(|it| 0 < it.failed_polls);
+        !gang.start_sent && is_unreachable
     }
 
-    fn look_at_exits(&mut self, job: ids::JobId) {
-        let wall = self.wall_time();
+    fn check_member_exits(&mut self, job: ids::JobId) {
+        let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
-        let ended = |it: &&GangMember| {
+        let failed_or_stopped = |it: &&GangMember| {
             matches!(it.exit, Some(model::TaskExit::Failed { .. } | model::TaskExit::Stopped))
         };
-        if let Some(member) = gang.members.iter().find(ended) {
+        if let Some(member) = gang.members.iter().find(failed_or_stopped) {
             let worker = member.assignment.worker.clone();
             let exit = match member.exit {
                 Some(model::TaskExit::Failed { .. }) => event::WorkExit::Failed { worker },
@@ -125,7 +128,7 @@
             return;
         }
         if gang.members.iter().all(|it| it.exit == Some(model::TaskExit::Succeeded)) {
-            self.gang_succeeded(job);
+            self.stop_succeeded_gang(job);
             return;
         }
         let durable = gang.checkpoint_requested
@@ -135,23 +138,24 @@
             });
         if durable {
             gang.checkpoint_requested = false;
-            let first = gang.members.iter().find(|it| it.assignment.rank == 0);
-            entry.record.checkpoint = first.and_then(|it| it.checkpoint.clone());
+            let first_member = gang.members.iter().find(|it| it.assignment.rank == 0);
+            entry.record.checkpoint = first_member.and_then(|it| it.checkpoint.clone());
             entry.saved_run = gang.started_at.elapsed();
-            // A gang saves its run now and then and runs on; only the policy's stop ends it.
+            // A checkpoint does not end the run: the gang runs on until the policy stops it.
             if entry.record.state == model::JobState::Checkpointing {
                 entry.record.state = model::JobState::Running;
-                entry.record.state_since = wall;
+                entry.record.state_since = wall_time;
             }
             self.mark_dirty(job);
             self.apply_event(event::HallEvent::Checkpointed(job));
         }
     }
 
-    /// Work that may run only once keeps its leases until its end is durable: a successor that
-    /// found neither the end in the row nor the leases at the workers could not tell it.
-    fn gang_succeeded(&mut self, job: ids::JobId) {
-        let wall = self.wall_time();
+    /// Stops a gang whose tasks have all succeeded. A job that may run only once keeps its leases
+    /// until its end is durable: a later holder of the tenure that found neither the end in the job's
+    /// row nor the leases at the workers could not know that the job succeeded.
+    fn stop_succeeded_gang(&mut self, job: ids::JobId) {
+        let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if !entry.repeatable {
             let durable =
@@ -159,7 +163,7 @@
             if !durable {
                 if entry.record.state != model::JobState::Done {
                     entry.record.state = model::JobState::Done;
-                    entry.record.state_since = wall;
+                    entry.record.state_since = wall_time;
                     self.mark_dirty(job);
                 }
                 return;
@@ -168,28 +172,28 @@
         self.stop_gang(job, GangEnding::Ended(event::WorkExit::Succeeded));
     }
 
-    /// Nothing of the gang is held any more.
-    fn gang_stopped(&mut self, job: ids::JobId) {
+    /// Removes a stopping gang whose leases are all gone, and reports its ending to the policy.
+    fn finish_stopped_gang(&mut self, job: ids::JobId) {
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.take() else { return };
         let GangPhase::Stopping { ending, since } = gang.phase else { return };
         let (account, class) =
             (entry.record.account.clone(), entry.record.submission.class.clone());
-        let ran = gang.started_at.elapsed();
-        let never_again = !entry.repeatable && entry.record.state == model::JobState::Starting;
+        let run_time = gang.started_at.elapsed();
+        let may_have_run = !entry.repeatable && entry.record.state == model::JobState::Starting;
         match ending {
-            GangEnding::NotStarted { .. } if never_again => self.end_job_unknown(job),
+            GangEnding::NotStarted { .. } if may_have_run => self.end_job_unknown(job),
             GangEnding::NotStarted { worker, fault } => {
                 self.set_queued(job);
-                let failed = event::HallEvent::StartFailed { work: job, worker, fault };
-                self.apply_event(failed);
+                let start_failed = event::HallEvent::StartFailed { work: job, worker, fault };
+                self.apply_event(start_failed);
             }
             GangEnding::Ended(exit) => {
                 if exit == event::WorkExit::Stopped {
                     metric::reclaim_time(&account, &class, since.elapsed());
                 }
-                metric::run_time(&account, &class, ran);
-                // It had ended well and only waited for its row.
+                metric::run_time(&account, &class, run_time);
+                // The gang had succeeded and only waited until its row was durable.
                 let done = entry.record.state == model::JobState::Done;
                 let exit = if done { event::WorkExit::Succeeded } else { exit };
                 let ambiguous = matches!(exit, event::WorkExit::Lost { .. });
@@ -206,5 +210,5 @@
     }
 }
 
-/// Between two looks for lapsed leases.
-const LAPSE_LOOK: std::time::Duration = std::time::Duration::from_millis(250);
+/// Minimum time between two checks for lapsed leases.
+const LAPSE_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(250);
--- a/crates/hall/src/gang_task.rs
+++ b/crates/hall/src/gang_task.rs
@@ -1,4 +1,4 @@
-//! Starts one gang: reserves all members, then starts all, or else says what to release.
+//! Starts one gang: reserves leases for all members, then starts all tasks, and reports the outcome.
 
 use std::time::Duration;
 
@@ -14,113 +14,113 @@
 use crate::serve_task::{self, ReserveOutcome};
 use crate::tenure;
 
-/// A gang to start.
+/// Everything that the task needs to start a gang.
 #[derive(Clone, Debug)]
 pub(crate) struct GangPlan {
-    /// The job.
+    /// Job that the gang runs.
     pub(crate) job: ids::JobId,
-    /// This start of it.
+    /// Number of this start, part of the lease names.
     pub(crate) start: lease::StartNumber,
-    /// Its members.
+    /// One plan for each task of the job.
     pub(crate) members: Vec<MemberPlan>,
-    /// Service that runs it.
+    /// Service on the workers that runs the tasks.
     pub(crate) upstream: ids::UpstreamName,
-    /// Arguments of the caller.
+    /// Arguments that the caller submitted, passed on as they are.
     pub(crate) arguments: blob::Blob,
-    /// Where to resume.
+    /// Checkpoint from which the tasks resume; `None` starts from the beginning.
     pub(crate) checkpoint: Option<ids::CheckpointId>,
-    /// For each call.
+    /// Time limit of each call to a worker.
     pub(crate) deadline: Duration,
 }
 
-/// One member of a gang to start.
+/// Where and how one member of a gang is reserved and started.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberPlan {
-    /// Number of the task.
+    /// Number of the task within the job, from 0.
     pub(crate) rank: u32,
-    /// The worker.
+    /// Worker that runs the task.
     pub(crate) worker: ids::WorkerId,
-    /// Its control address.
+    /// Control address of the worker; empty if unknown.
     pub(crate) address: ids::PeerAddress,
-    /// Idle leases in the way.
+    /// Idle serving leases on the worker to release before the reservation.
     pub(crate) evict: Vec<ids::LeaseId>,
-    /// The reservation.
+    /// Reservation to send.
     pub(crate) reserve: model::LeaseReserve,
 }
 
-/// Every member is reserved; asks whether to start.
+/// Message to the scheduler: every member is reserved. The answer says whether to send the starts.
 pub(crate) struct GangReserved {
-    /// The job.
+    /// Job that the gang runs.
     pub(crate) job: ids::JobId,
-    /// This start of it.
+    /// Number of the start whose members are reserved.
     pub(crate) start: lease::StartNumber,
-    /// When each member's reservation was sent, by rank.
+    /// Rank of each member, and when its granted reservation was sent.
     pub(crate) sent_at: Vec<(u32, Instant)>,
 }
 
-/// What became of a start.
+/// Message to the scheduler: the outcome of a gang start.
 pub(crate) struct GangStartReport {
-    /// The job.
+    /// Job that the gang runs.
     pub(crate) job: ids::JobId,
-    /// This start of it.
+    /// Number of the start that this outcome belongs to.
     pub(crate) start: lease::StartNumber,
-    /// How it went.
+    /// Whether the gang runs, and otherwise why not.
     pub(crate) outcome: GangStartOutcome,
 }
 
-/// How a start went.
+/// Outcome of a gang start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum GangStartOutcome {
     /// Every member runs.
     Started,
-    /// A member could not be reserved. No start was sent to anybody, so nothing ran.
+    /// A member could not be reserved. No start was sent to any worker, so nothing ran.
     NotReserved {
-        /// The worker in the way.
+        /// Worker on which the reservation failed.
         worker: ids::WorkerId,
-        /// Why.
+        /// Whether the worker refused the reservation or could not be reached.
         fault: event::StartFault,
-        /// Leases there that were in the way.
+        /// Leases on the worker that conflict with the reservation.
         holders: Vec<ids::LeaseId>,
     },
-    /// The scheduler called it off before any start was sent, so nothing ran.
+    /// The start was cancelled, or the tenure ended, before any start was sent, so nothing ran.
     Withdrawn,
-    /// A start was sent and not every member runs: some may have run for a moment.
+    /// Starts were sent and not every member runs: some members may have run for a short time.
     NotStarted {
-        /// The worker at fault.
+        /// Worker whose task did not start.
         worker: ids::WorkerId,
-        /// Why.
+        /// Why the task did not start.
         fault: event::StartFault,
     },
 }
 
-/// Starts the gang and reports to its scheduler, which releases what is left over.
+/// Starts the gang and reports the outcome to the scheduler, which releases the leases if the start failed.
 pub(crate) async fn run<B: backend::HallBackend>(
     workers: B::Workers,
     tenure: tenure::TenureWatch,
     plan: GangPlan,
-    reports: xtra::WeakAddress<actor::HallActor<B>>,
+    scheduler: xtra::WeakAddress<actor::HallActor<B>>,
 ) {
-    let outcome = start::<B>(&workers, &tenure, &plan, &reports).await;
+    let outcome = reserve_and_start::<B>(&workers, &tenure, &plan, &scheduler).await;
     let report = GangStartReport { job: plan.job, start: plan.start, outcome };
-    let _ = reports.send(report).await;
+    let _ = scheduler.send(report).await;
 }
 
-async fn start<B: backend::HallBackend>(
+async fn reserve_and_start<B: backend::HallBackend>(
     workers: &B::Workers,
     tenure: &tenure::TenureWatch,
     plan: &GangPlan,
-    reports: &xtra::WeakAddress<actor::HallActor<B>>,
+    scheduler: &xtra::WeakAddress<actor::HallActor<B>>,
 ) -> GangStartOutcome {
     let sent_at = match reserve_all(workers, tenure, plan).await {
         Ok(sent_at) => sent_at,
         Err(outcome) => return outcome,
     };
     let reserved = GangReserved { job: plan.job, start: plan.start, sent_at };
-    // The scheduler answers after it has looked whether the job was cancelled meanwhile and,
-    // for work that is not repeatable, after the row says that a start may have been sent.
-    let Ok(go_ahead) = reports.send(reserved).await else { return GangStartOutcome::Withdrawn };
+    // The scheduler answers after it has checked whether the job was cancelled in the meantime and,
+    // for a job that is not repeatable, after the job's row says that a start may have been sent.
+    let Ok(go_ahead) = scheduler.send(reserved).await else { return GangStartOutcome::Withdrawn };
     let go_ahead = go_ahead.await.unwrap_or(false);
-    // A holder that was paused here may have lost its tenure, and its reservations.
+    // If this process was paused while it waited, it may have lost its tenure and the reservations.
     if !go_ahead || !tenure.may_act() {
         return GangStartOutcome::Withdrawn;
     }
@@ -145,11 +145,11 @@
             (member, sent_at, outcome)
         });
     }
-    let mut sent = Vec::new();
+    let mut granted = Vec::new();
     let mut failure = None;
     while let Some(Ok((member, sent_at, outcome))) = tasks.join_next().await {
         match outcome {
-            ReserveOutcome::Granted => sent.push((member.rank, sent_at)),
+            ReserveOutcome::Granted => granted.push((member.rank, sent_at)),
             ReserveOutcome::Refused { holders } => {
                 let fault = event::StartFault::Refused;
                 failure =
@@ -166,8 +166,8 @@
     match failure {
         Some(_) if !tenure.may_act() => Err(GangStartOutcome::Withdrawn),
         Some(failure) => Err(failure),
-        None if sent.len() < plan.members.len() => Err(GangStartOutcome::Withdrawn),
-        None => Ok(sent),
+        None if granted.len() < plan.members.len() => Err(GangStartOutcome::Withdrawn),
+        None => Ok(granted),
     }
 }
 
@@ -205,19 +205,20 @@
     failure.unwrap_or(GangStartOutcome::Started)
 }
 
-/// Starts one task; asks again where the answer is lost, for a worker starts nothing twice.
+/// Starts one task, and returns the fault if it did not start. A call whose answer is lost is
+/// repeated: a worker does not start a task twice under one lease.
 async fn start_one<W: WorkerControl>(
     workers: &W,
     address: &ids::PeerAddress,
     start: model::TaskStart,
     deadline: Duration,
 ) -> Option<event::StartFault> {
-    for _ in 0..START_TRIES {
+    for _ in 0..MAX_START_CALLS {
         match tokio::time::timeout(deadline, workers.start(address, start.clone())).await {
             Ok(Ok(model::TaskStarted::Started)) => return None,
             Ok(Ok(model::TaskStarted::NoLease)) => return Some(event::StartFault::Refused),
             Ok(Ok(model::TaskStarted::Failed { reason })) => {
-                tracing::info!(job = %start.job, lease = start.lease, reason, "a task did not start");
+                tracing::info!(job = %start.job, lease = start.lease, reason, "worker did not start a task");
                 return Some(event::StartFault::Failed);
             }
             Ok(Err(_)) | Err(_) => {}
@@ -226,4 +227,4 @@
     Some(event::StartFault::Unreachable)
 }
 
-const START_TRIES: usize = 3;
+const MAX_START_CALLS: usize = 3;
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -1,4 +1,4 @@
-//! How the scheduler starts, watches and stops gangs: whole or not at all.
+//! Starts and signals gangs: either all members of a gang run or none does.
 
 use almondpass_policy::{decision, event, work};
 use almondpass_ports::worker::WorkerControl;
@@ -14,7 +14,7 @@
 use crate::metric;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Decisions about jobs.
+    /// Carries out a decision of the policy about a job.
     pub(crate) fn apply_job_decision(&mut self, decision: decision::Decision) {
         match decision {
             decision::Decision::Start { work, placement, reason } => {
@@ -53,11 +53,12 @@
         };
         let (repeatable, class) = (entry.repeatable, entry.record.submission.class.clone());
         let upstream = self.config.class(&class).map(|it| it.upstream.clone());
-        let servable = upstream.as_ref().is_some_and(|upstream| {
+        let serves_upstream = upstream.as_ref().is_some_and(|upstream| {
             placement.iter().all(|it| self.has_upstream(&it.worker, upstream))
         });
-        // Work that may run only once needs its row first, which a cut-off holder cannot write.
-        if !servable || (!repeatable && !self.is_sole_holder()) {
+        // The row of a job that may run only once has to be written before its start, which a holder
+        // that is cut off from the table cannot do.
+        if !serves_upstream || (!repeatable && !self.is_sole_holder()) {
             self.withdraw_start(job);
             return;
         }
@@ -66,18 +67,18 @@
             return;
         };
         tracing::info!(hall = self.hall, job = %job, n_tasks = placement.len(), reason = reason.text,
-            "starts a gang");
+            "starting a gang");
         self.set_wait_reason(job, reason);
-        let (workers, tenure, reports) =
+        let (workers, tenure, scheduler) =
             (self.ports.workers.clone(), self.tenure.clone(), self.own_address());
-        tokio::spawn(gang_task::run::<B>(workers, tenure, plan, reports));
+        tokio::spawn(gang_task::run::<B>(workers, tenure, plan, scheduler));
     }
 
-    /// Tells the policy after a while that a start came to nothing.
+    /// Reports to the policy, after `WITHDRAWAL_REPORT_DELAY`, that a start failed.
     fn withdraw_start(&mut self, job: ids::JobId) {
         let fault = event::StartFault::Withdrawn;
-        let failed = event::HallEvent::StartFailed { work: job, worker: None, fault };
-        self.defer_event(Instant::now() + WITHDRAWN_DELAY, failed);
+        let start_failed = event::HallEvent::StartFailed { work: job, worker: None, fault };
+        self.defer_event(Instant::now() + WITHDRAWAL_REPORT_DELAY, start_failed);
     }
 
     fn plan_gang(
@@ -102,20 +103,20 @@
         };
         let mut members = Vec::new();
         let mut plans = Vec::new();
-        for slot in placement {
-            let evict = self.evict_idle_leases(slot, &demand);
-            let purpose = lease::LeasePurpose::Task { job, start, rank: slot.rank };
-            let name = self.insert_reserving_lease(purpose, slot, demand);
-            let node = self.nodes.get(&slot.worker);
+        for assignment in placement {
+            let evict = self.evict_idle_leases(assignment, &demand);
+            let purpose = lease::LeasePurpose::Task { job, start, rank: assignment.rank };
+            let name = self.insert_reserving_lease(purpose, assignment, demand);
+            let node = self.nodes.get(&assignment.worker);
             plans.push(gang_task::MemberPlan {
-                rank: slot.rank,
-                worker: slot.worker.clone(),
+                rank: assignment.rank,
+                worker: assignment.worker.clone(),
                 address: node.and_then(|it| it.address().cloned()).unwrap_or_default(),
                 evict,
-                reserve: self.reservation(&name, slot, &demand),
+                reserve: self.reservation(&name, assignment, &demand),
             });
             members.push(GangMember {
-                assignment: slot.clone(),
+                assignment: assignment.clone(),
                 lease: name,
                 exit: None,
                 previous_checkpoint: None,
@@ -145,14 +146,15 @@
         })
     }
 
-    /// All members are reserved: go on, unless the job was cancelled or the tenure ended.
+    /// Extends the leases of a fully reserved gang. The receiver gets `true` when the starts may be
+    /// sent; its sender is dropped if the job was cancelled or the tenure ended.
     pub(crate) fn on_gang_reserved(
         &mut self,
         reserved: gang_task::GangReserved,
     ) -> oneshot::Receiver<bool> {
         let (sender, receiver) = oneshot::channel();
         let may_act = !self.fenced && self.tenure.may_act();
-        let wall = self.wall_time();
+        let wall_time = self.wall_time();
         let leases = self.member_leases(reserved.job, reserved.start);
         for (rank, sent_at) in &reserved.sent_at {
             if let Some((_, lease)) = leases.iter().find(|(it, _)| it == rank) {
@@ -168,7 +170,7 @@
             || !may_act
             || !matches!(gang.phase, GangPhase::Reserving)
         {
-            // A dropped sender calls the start off.
+            // Dropping the sender cancels the start.
             return receiver;
         }
         gang.start_sent = true;
@@ -178,18 +180,18 @@
         } else {
             gang.phase = GangPhase::PersistingStart(sender);
         }
-        // From here on a start may be sent, and the row must never claim less.
+        // From here on a start may be sent, so the row must say that one may have been sent.
         entry.record.attempt += 1;
         entry.record.state = model::JobState::Starting;
-        entry.record.state_since = wall;
+        entry.record.state_since = wall_time;
         entry.record.placement = placements(entry.gang.as_ref());
         self.mark_dirty(reserved.job);
         receiver
     }
 
-    /// The row says that a start may have been sent: send it.
+    /// Lets a gang start that waited for its row, if the row now says that a start may have been sent.
     pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
-        let firm = self.is_sole_holder();
+        let sole_holder = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
             it.state == model::JobState::Starting && it.attempt == entry.record.attempt
@@ -201,35 +203,35 @@
         }
         let phase = std::mem::replace(&mut gang.phase, GangPhase::Starting);
         if let GangPhase::PersistingStart(sender) = phase {
-            let _ = sender.send(firm && !cancelled);
+            let _ = sender.send(sole_holder && !cancelled);
         }
     }
 
     pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
-        let wall = self.wall_time();
+        let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let cancelled = entry.record.cancel_requested;
-        let waited = entry.arrived_at.elapsed();
+        let wait_time = entry.arrived_at.elapsed();
         let Some(gang) = entry.gang_for_start(report.start) else { return };
         gang.start_reported = true;
-        let unwanted = cancelled || gang.stop_requested;
+        let must_stop = cancelled || gang.stop_requested;
         match report.outcome {
             gang_task::GangStartOutcome::Started => {
                 gang.phase = GangPhase::Running;
                 gang.started_at = Instant::now();
                 entry.record.state = model::JobState::Running;
-                entry.record.state_since = wall;
+                entry.record.state_since = wall_time;
                 let (account, class) =
                     (entry.record.account.clone(), entry.record.submission.class.clone());
-                metric::wait_time(&account, &class, waited);
+                metric::wait_time(&account, &class, wait_time);
                 self.mark_dirty(job);
                 self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
                     self.poll_soon(&worker);
                 }
-                if unwanted {
-                    // The policy wanted it stopped while it was starting.
+                if must_stop {
+                    // A stop or a cancellation was requested while the gang was starting.
                     self.stop_gang(job, GangEnding::Ended(event::WorkExit::Stopped));
                 }
             }
@@ -240,7 +242,7 @@
                 self.stop_gang(job, GangEnding::NotStarted { worker, fault });
             }
             gang_task::GangStartOutcome::Withdrawn => {
-                self.start_was_not_sent(job);
+                self.revert_unsent_start(job);
                 let fault = event::StartFault::Withdrawn;
                 self.stop_gang(job, GangEnding::NotStarted { worker: None, fault });
             }
@@ -253,10 +255,11 @@
         self.finish_freeze();
     }
 
-    /// Takes back that a start may have been sent. Proof: the task that would have sent it says
-    /// that it was called off before, and it sends nothing afterwards.
-    fn start_was_not_sent(&mut self, job: ids::JobId) {
-        let wall = self.wall_time();
+    /// Reverts the recorded state "a start may have been sent". Proof that none was sent: the task
+    /// that would have sent it reports that the start was cancelled before, and it sends nothing
+    /// after its report.
+    fn revert_unsent_start(&mut self, job: ids::JobId) {
+        let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         if let Some(gang) = entry.gang.as_mut() {
             gang.start_sent = false;
@@ -264,14 +267,14 @@
         if entry.record.state == model::JobState::Starting {
             entry.record.attempt -= 1;
             entry.record.state = model::JobState::Queued;
-            entry.record.state_since = wall;
+            entry.record.state_since = wall_time;
             entry.record.placement = Vec::new();
             self.mark_dirty(job);
         }
     }
 
     fn checkpoint_gang(&mut self, job: ids::JobId) {
-        let wall = self.wall_time();
+        let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let Some(gang) = entry.gang.as_mut() else { return };
         gang.checkpoint_requested = true;
@@ -279,7 +282,7 @@
             member.previous_checkpoint = member.checkpoint.clone();
         }
         entry.record.state = model::JobState::Checkpointing;
-        entry.record.state_since = wall;
+        entry.record.state_since = wall_time;
         self.mark_dirty(job);
         self.signal_gang(job, model::TaskSignalKind::Checkpoint);
         for worker in self.gang_workers(job) {
@@ -298,8 +301,9 @@
             let deadline = self.options.call_deadline();
             let signal = model::TaskSignal { lease: member.lease.clone(), signal };
             tokio::spawn(async move {
-                // Asked twice at most: whoever asked for it stops the gang when it does not come.
-                for _ in 0..SIGNAL_TRIES {
+                // Limited to two calls: the policy, which wanted the signal, stops the gang if the
+                // signal has no effect.
+                for _ in 0..MAX_SIGNAL_CALLS {
                     let call = workers.signal(&address, signal.clone());
                     if let Ok(Ok(_)) = tokio::time::timeout(deadline, call).await {
                         return;
@@ -327,7 +331,7 @@
     }
 }
 
-/// Where the members of a gang are, for the row.
+/// Workers, accelerators and leases of the members of a gang, as stored in the job's row.
 pub(crate) fn placements(gang: Option<&Gang>) -> Vec<model::TaskPlacement> {
     let members = gang.map_or(&[][..], |it| it.members.as_slice());
     let placements = members.iter().map(|it| model::TaskPlacement {
@@ -339,6 +343,6 @@
     placements.collect()
 }
 
-/// A start that the scheduler itself withdraws is told to the policy after this.
-const WITHDRAWN_DELAY: std::time::Duration = std::time::Duration::from_secs(2);
-const SIGNAL_TRIES: usize = 2;
+/// Delay before the policy learns of a start that the scheduler itself withdrew.
+const WITHDRAWAL_REPORT_DELAY: std::time::Duration = std::time::Duration::from_secs(2);
+const MAX_SIGNAL_CALLS: usize = 2;
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -1,4 +1,4 @@
-//! How requests and their slots end.
+//! Ends requests and grants, and releases the serving leases that they used.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
             self.end_grant(returned.grant, returned.outcome, returned.worker_fault);
             return;
         }
-        // A grant of an earlier tenure, or one returned twice.
+        // The grant is of an earlier tenure, or was returned before.
         self.log_outcome(returned.grant, returned.outcome);
         let adopted = self.grants.adopted_slots.iter();
         let mut adopted = adopted.filter(|(_, it)| it.grant == Some(returned.grant));
@@ -49,8 +49,8 @@
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
 
-    /// Once every entry has said which grants of earlier tenures it uses, the other serving
-    /// leases of those are free.
+    /// Releases the adopted serving leases that no grant uses, once every entry has reported which
+    /// grants of earlier tenures it uses.
     pub(crate) fn release_unused_adopted(&mut self) {
         if !self.grants.unreported_entries.is_empty() {
             return;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Nobody uses a serving lease of an earlier tenure any more. It is released, not used on:
-    /// its holder may still run, cut off from the table, and grant from it.
+    /// Releases a serving lease of an earlier tenure that no entry uses any more. The lease is not
+    /// reused: the earlier holder may still run, cut off from the table, and grant slots under it.
     fn end_adopted_lease(&mut self, lease: &ids::LeaseId) {
         let Some(slot) = self.grants.adopted_slots.remove(lease) else { return };
         self.release(lease);
@@ -71,23 +71,23 @@
         self.apply_event(event::HallEvent::Ended { work: slot.work, exit });
     }
 
-    /// The request is over: its slot is free.
+    /// Ends a request with its outcome, and keeps its serving lease idle for other requests.
     pub(crate) fn end_grant(
         &mut self,
         grant: ids::GrantId,
         outcome: model::RequestOutcome,
         worker_fault: bool,
     ) {
-        let Some(work) = self.grants.remove(&grant) else { return };
+        let Some(entry) = self.grants.remove(&grant) else { return };
         self.log_outcome(grant, outcome);
-        metric::outcome(&work.call.account, &work.call.class, outcome);
-        metric::completion_time(&work.call.account, &work.call.class, work.arrived_at.elapsed());
-        let GrantStage::Granted { grant: slot, since } = &work.stage else { return };
-        metric::run_time(&work.call.account, &work.call.class, since.elapsed());
+        metric::outcome(&entry.call.account, &entry.call.class, outcome);
+        metric::completion_time(&entry.call.account, &entry.call.class, entry.arrived_at.elapsed());
+        let GrantStage::Granted { grant: slot, since } = &entry.stage else { return };
+        metric::run_time(&entry.call.account, &entry.call.class, since.elapsed());
         self.keep_idle_lease(&slot.lease);
         let exit = match outcome {
             _ if worker_fault => event::WorkExit::Failed { worker: slot.worker.clone() },
-            // The request's own failure says nothing against the worker.
+            // A request that failed by itself does not count as a failure of the worker.
             model::RequestOutcome::Done | model::RequestOutcome::Failed => {
                 event::WorkExit::Succeeded
             }
@@ -95,55 +95,57 @@
                 event::WorkExit::Stopped
             }
         };
-        // Whether to try again is the entry's decision, under a grant of its own.
+        // The entry decides whether to retry the request, and does so under a new grant.
         self.apply_event(event::HallEvent::Ended { work: grant, exit });
     }
 
-    /// A request that has no grant gets its last answer.
+    /// Removes a request that has no grant, and sends `answer` as its final answer.
     pub(crate) fn abandon_request(&mut self, grant: ids::GrantId, answer: model::GrantReply) {
-        let Some(mut work) = self.grants.remove(&grant) else { return };
-        if let Some(lease) = work.lease().cloned() {
+        let Some(mut entry) = self.grants.remove(&grant) else { return };
+        if let Some(lease) = entry.lease().cloned() {
             self.keep_idle_lease(&lease);
         }
-        // A keyed request waits only after its key was looked up.
-        work.answer(grant_table::mark_unrecorded(answer));
-        metric::outcome(&work.call.account, &work.call.class, model::RequestOutcome::NotRun);
+        // A request with an idempotency key waits only after its key was looked up, so the answer
+        // may say that the key is unrecorded.
+        entry.answer(grant_table::mark_unrecorded(answer));
+        metric::outcome(&entry.call.account, &entry.call.class, model::RequestOutcome::NotRun);
         self.apply_event(event::HallEvent::Cancelled(grant));
-        if !work.is_waiting() {
+        if !entry.is_waiting() {
             let fault = event::StartFault::Withdrawn;
             self.report_start_failure(grant, fault, None);
         }
     }
 
-    /// The policy gave a request up.
+    /// Answers a request that the policy has finished without a grant.
     fn finish_request(&mut self, grant: ids::GrantId, reason: model::WaitReason) {
-        let never = matches!(
+        let is_permanent = matches!(
             reason.code,
             model::WaitCode::NeverFits | model::WaitCode::JobFaulty | model::WaitCode::NotPermitted
         );
-        let answer = match never {
+        let answer = match is_permanent {
             true => model::GrantReply::Refused { reason, unrecorded: true },
             false => model::GrantReply::Busy { reason, retry_after: RETRY_AFTER, unrecorded: true },
         };
-        // Proof for "not run": a request without a grant was sent by nobody.
+        // Proof of "not run": no entry sends a request that has no grant.
         if self.grants.get(&grant).is_some_and(|it| it.is_waiting()) {
             self.abandon_request(grant, answer);
         }
     }
 
-    /// Gives up requests and grants whose time is over.
+    /// Ends requests, grants and adopted slots that expired by `now`, and releases expired idle leases.
     pub(crate) fn expire_grants(&mut self, now: Instant) {
         for grant in self.grants.expired(now) {
             let granted = self.grants.get(&grant).map(|it| it.stage.clone());
             match granted {
                 Some(GrantStage::Granted { .. }) => {
-                    // The entry died or its return was lost: nobody knows what was sent.
-                    tracing::warn!(hall = self.hall, grant = %grant, "a grant ran out");
+                    // The entry died or its return was lost, so the outcome is unknown.
+                    tracing::warn!(hall = self.hall, grant = %grant,
+                        "grant expired without a return; its outcome is unknown");
                     self.end_grant(grant, model::RequestOutcome::Unknown, false);
                 }
                 _ => {
-                    let wall = self.wall_time();
-                    let reason = self.policy.reason(&grant, wall);
+                    let wall_time = self.wall_time();
+                    let reason = self.policy.reason(&grant, wall_time);
                     let text = reason.map_or_else(String::new, |it| format!(": {}", it.text));
                     let text = format!("no slot before the deadline{text}");
                     let code = model::WaitCode::DeadlineMissed;
@@ -161,22 +163,23 @@
         }
     }
 
-    /// Keeps a serving lease for the next request of its place.
+    /// Keeps a serving lease for the next request that is placed on the same accelerators.
     pub(crate) fn keep_idle_lease(&mut self, lease: &ids::LeaseId) {
         let held = self.leases.get(lease);
         if held.is_some_and(|it| it.state == lease_table::LeaseState::Held) {
-            self.grants.idle_leases.insert(lease.clone(), Instant::now() + LINGER);
+            self.grants.idle_leases.insert(lease.clone(), Instant::now() + IDLE_LEASE_RETENTION);
         }
     }
 
-    /// Whether a decision is about a request.
+    /// Whether a work item is a request or stands for an adopted slot.
     pub(crate) fn is_request(&self, work: &work::WorkId) -> bool {
         self.grants.get(work).is_some()
             || self.grants.adopted_slots.values().any(|it| it.work == *work)
     }
 
-    /// A class whose requests look like a serving lease, for the policy's books: who is charged
-    /// for the seconds until it is settled does not matter.
+    /// Class of requests with as many accelerators as an adopted serving lease. The policy accounts
+    /// the lease to this class. Which class is charged does not matter for the few seconds until the
+    /// slot is released.
     pub(crate) fn class_for_serving_lease(
         config: &active::ActiveConfig,
         n_accelerators: usize,
@@ -186,20 +189,20 @@
         requests.find(|it| it.accelerators as usize == n_accelerators)
     }
 
-    /// Decisions about requests.
+    /// Carries out a decision of the policy about a request.
     pub(crate) fn apply_request_decision(&mut self, decision: decision::Decision) {
         match decision {
             decision::Decision::Start { work, placement, .. } => match placement.first() {
-                Some(slot) if placement.len() == 1 => self.place_request(work, slot),
+                Some(assignment) if placement.len() == 1 => self.place_request(work, assignment),
                 _ => self.report_start_failure(work, event::StartFault::Withdrawn, None),
             },
             decision::Decision::Finish { work, reason, .. } => self.finish_request(work, reason),
-            // A request is never stopped in the middle: its bytes are between entry and
-            // upstream, and its deadline bounds it.
+            // A request in progress is never stopped: its bytes flow directly between the entry and
+            // the upstream, and its deadline limits its run time.
             _ => {}
         }
     }
 }
 
-/// A serving lease is kept this long without a request.
-const LINGER: Duration = Duration::from_secs(5);
+/// How long a serving lease is kept without a request.
+const IDLE_LEASE_RETENTION: Duration = Duration::from_secs(5);
--- a/crates/hall/src/lease.rs
+++ b/crates/hall/src/lease.rs
@@ -1,41 +1,42 @@
-//! Names of worker leases, from which a new holder tells what a lease is for.
+//! Names of worker leases. A new holder of the tenure reads the purpose of a lease from its name.
 
 use almondpass_schema::ids;
 use uuid::Uuid;
 
-/// What a lease is for. The tenure is part of the name: two tenures that start the same job would
-/// otherwise share a lease, and the older one's roll-back would stop the newer one's task.
+/// What a lease is used for. The epoch of the tenure is part of the lease name: two tenures that start
+/// the same job would otherwise share a lease, and the roll-back of the earlier tenure would stop the
+/// task of the later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeasePurpose {
     /// One task of one start of a job.
     Task {
-        /// The job.
+        /// Job of the task.
         job: ids::JobId,
-        /// The start.
+        /// Number of the start that reserved the lease.
         start: StartNumber,
-        /// Number of the task.
+        /// Number of the task within the job, from 0.
         rank: u32,
     },
     /// A slot for requests.
     Serve {
-        /// Tenure that reserved it.
+        /// Epoch of the tenure that reserved the lease.
         epoch: ids::Epoch,
-        /// Tells it from others.
+        /// Makes the name unique within the epoch.
         id: Uuid,
     },
 }
 
-/// Numbers the starts of a job over all tenures.
+/// Identifies a start of a job across all tenures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartNumber {
-    /// Tenure that started it.
+    /// Epoch of the tenure that started the job.
     pub epoch: ids::Epoch,
-    /// Starts so far.
+    /// Number of starts of the job under this epoch, this one included.
     pub attempt: u32,
 }
 
 impl LeasePurpose {
-    /// Tenure that reserved the lease.
+    /// Epoch of the tenure that reserved the lease.
     pub fn epoch(&self) -> ids::Epoch {
         match self {
             LeasePurpose::Task { start, .. } => start.epoch,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Reads a name; `None` where the lease is none of ours.
+    /// Parses a lease name; `None` if no hall scheduler made it.
     pub fn parse(name: &str) -> Option<LeasePurpose> {
         let mut parts = name.split('/');
         let purpose = match parts.next()? {
--- a/crates/hall/src/lease_table.rs
+++ b/crates/hall/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! The worker leases that a holder knows of.
+//! Table of the worker leases that the holder of the tenure knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,38 @@
 
 use crate::lease;
 
-/// How a lease stands.
+/// State of a lease, as this scheduler knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseState {
-    /// The reservation was sent and is not answered yet.
+    /// The reservation is sent, or about to be, and not answered yet.
     Reserving,
-    /// Granted and renewed.
+    /// The worker granted the lease, and it is renewed with each poll.
     Held,
-    /// To be released. It counts as held until its worker confirms that it is gone, or until it
-    /// has certainly lapsed: other work would otherwise be promised what is still in use.
+    /// The lease is to be released. It counts as held until its worker confirms the release, or until
+    /// it has certainly lapsed: otherwise other work would get resources that are still in use.
     Releasing,
 }
 
-/// One lease.
+/// A lease on a worker with its resources and time bounds.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LeaseEntry {
-    /// What it is for.
+    /// Task or serving slot that the lease is for.
     pub(crate) purpose: lease::LeasePurpose,
-    /// Its worker.
+    /// Worker that holds the resources.
     pub(crate) worker: ids::WorkerId,
-    /// Accelerators, ascending.
+    /// Indexes of the accelerators on the worker, ascending.
     pub(crate) accelerators: Vec<u32>,
-    /// Slots, cores and memory.
+    /// Slots, cores and memory that the lease takes; the accelerators are listed above.
     pub(crate) demand: work::TaskDemand,
-    /// How it stands.
+    /// State of the lease.
     pub(crate) state: LeaseState,
-    /// Its worker certainly keeps it until then.
+    /// Time until which the worker certainly keeps the lease.
     pub(crate) valid_until: Instant,
-    /// Its worker has certainly dropped it by then.
+    /// Time by which the worker has certainly dropped the lease.
     pub(crate) expired_by: Instant,
 }
 
-/// Leases by name and by worker.
+/// Leases, by name and by worker.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseTable {
     entries: BTreeMap<ids::LeaseId, LeaseEntry>,
@@ -47,7 +47,7 @@
 }
 
 impl LeaseTable {
-    /// Adds a lease, or replaces what is known of it.
+    /// Adds a lease, or replaces the entry of the same name. Returns the name.
     pub(crate) fn insert(&mut self, entry: LeaseEntry) -> ids::LeaseId {
         let name = entry.purpose.name();
         self.by_worker.entry(entry.worker.clone()).or_default().insert(name.clone());
@@ -55,17 +55,17 @@
         name
     }
 
-    /// The lease of this name.
+    /// Lease of this name; `None` once it is gone.
     pub(crate) fn get(&self, name: &str) -> Option<&LeaseEntry> {
         self.entries.get(name)
     }
 
-    /// The lease of this name.
+    /// Mutable lease of this name; its name and worker must not change.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut LeaseEntry> {
         self.entries.get_mut(name)
     }
 
-    /// Forgets a lease that is proven gone.
+    /// Removes a lease that is proven gone.
     pub(crate) fn remove(&mut self, name: &str) -> Option<LeaseEntry> {
         let entry = self.entries.remove(name)?;
         if let Some(names) = self.by_worker.get_mut(&entry.worker) {
@@ -74,14 +74,14 @@
         Some(entry)
     }
 
-    /// Marks a lease for release.
+    /// Marks a lease for release at the next poll of its worker.
     pub(crate) fn start_release(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.state = LeaseState::Releasing;
         }
     }
 
-    /// Leases on a worker.
+    /// Leases on a worker, by name, in any state.
     pub(crate) fn on_worker(
         &self,
         worker: &str,
@@ -96,12 +96,12 @@
         leases.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Every lease.
+    /// Leases on all workers, by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&ids::LeaseId, &LeaseEntry)> {
         self.entries.iter()
     }
 
-    /// Leases that have certainly lapsed by `now`; they are forgotten.
+    /// Removes and returns the leases that have certainly lapsed by `now`.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(ids::LeaseId, LeaseEntry)> {
         let lapsed = self.entries.iter().filter(|(_, it)| it.expired_by <= now);
         let names = lapsed.map(|(name, _)| name.clone()).collect::<Vec<_>>();
--- a/crates/hall/src/leases.rs
+++ b/crates/hall/src/leases.rs
@@ -1,4 +1,4 @@
-//! How the scheduler reserves, releases and accounts for worker leases.
+//! Accounts for worker leases that the scheduler reserves, extends and releases.
 
 use almondpass_policy::work;
 use almondpass_schema::{ids, model, time};
@@ -11,20 +11,20 @@
 use crate::metric;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Enters a lease whose reservation is about to be sent.
+    /// Adds a lease whose reservation is about to be sent.
     pub(crate) fn insert_reserving_lease(
         &mut self,
         purpose: lease::LeasePurpose,
-        slot: &work::TaskAssignment,
+        assignment: &work::TaskAssignment,
         demand: work::TaskDemand,
     ) -> ids::LeaseId {
         let now = Instant::now();
-        // Tries and retries of the reservation end within this; it may land as late.
-        let latest = now + self.options.call_deadline() * RESERVE_SPAN;
+        // The reservation with its retries ends by then, so the worker may grant it that late.
+        let latest = now + self.options.call_deadline() * MAX_RESERVE_DEADLINES;
         self.leases.insert(LeaseEntry {
             purpose,
-            worker: slot.worker.clone(),
-            accelerators: slot.accelerators.clone(),
+            worker: assignment.worker.clone(),
+            accelerators: assignment.accelerators.clone(),
             demand,
             state: LeaseState::Reserving,
             valid_until: now,
@@ -32,16 +32,16 @@
         })
     }
 
-    /// The reservation as sent.
+    /// Reservation call for a lease, as sent to the worker.
     pub(crate) fn reservation(
         &self,
         lease: &ids::LeaseId,
-        slot: &work::TaskAssignment,
+        assignment: &work::TaskAssignment,
         demand: &work::TaskDemand,
     ) -> model::LeaseReserve {
         model::LeaseReserve {
             lease: lease.clone(),
-            accelerators: slot.accelerators.clone(),
+            accelerators: assignment.accelerators.clone(),
             slots: demand.slots,
             cores: demand.cores,
             memory_mb: demand.memory_mb,
@@ -49,21 +49,21 @@
         }
     }
 
-    /// The worker granted or renewed a lease by an exchange that was sent at `sent_at`.
+    /// Extends a lease that the worker granted or renewed in answer to a call sent at `sent_at`.
     pub(crate) fn extend_lease(&mut self, lease: &str, sent_at: Instant) {
         let (term, margin) = (self.options.lease_term(), self.options.lease_margin());
         let Some(entry) = self.leases.get_mut(lease) else { return };
         if entry.state == LeaseState::Reserving {
             entry.state = LeaseState::Held;
         } else {
-            let left = entry.valid_until.saturating_duration_since(Instant::now());
-            metric::lease_margin(&self.hall, left);
+            let remaining = entry.valid_until.saturating_duration_since(Instant::now());
+            metric::lease_margin(&self.hall, remaining);
         }
         entry.valid_until = entry.valid_until.max(sent_at + term.saturating_sub(margin));
         entry.expired_by = entry.expired_by.max(Instant::now() + term + margin);
     }
 
-    /// Gives a lease back; it counts as held until its worker confirms or it has lapsed.
+    /// Marks a lease for release. It counts as held until its worker confirms, or until it lapses.
     pub(crate) fn release(&mut self, lease: &ids::LeaseId) {
         self.grants.idle_leases.remove(lease);
         let Some(worker) = self.leases.get(lease).map(|it| it.worker.clone()) else { return };
@@ -71,7 +71,7 @@
         self.poll_soon(&worker);
     }
 
-    /// Has the worker called at the next turn.
+    /// Schedules a poll of the worker for the next scheduling round.
     pub(crate) fn poll_soon(&mut self, worker: &str) {
         if let Some(node) = self.nodes.get_mut(worker) {
             node.next_poll = Instant::now();
@@ -79,20 +79,21 @@
         self.wake.notify_one();
     }
 
-    /// Idle serving leases that stand in the way of a reservation; they are being released.
+    /// Marks idle serving leases for release that conflict with a reservation, and returns their names:
+    /// all that share its accelerators, then others until slots, cores and memory suffice.
     pub(crate) fn evict_idle_leases(
         &mut self,
-        slot: &work::TaskAssignment,
+        assignment: &work::TaskAssignment,
         demand: &work::TaskDemand,
     ) -> Vec<ids::LeaseId> {
-        let on_worker = self.leases.on_worker(&slot.worker);
+        let on_worker = self.leases.on_worker(&assignment.worker);
         let idle = on_worker.filter(|(name, _)| self.grants.idle_leases.contains_key(*name));
         let (overlapping, mut others): (Vec<_>, Vec<_>) =
             idle.map(|(name, it)| (name.clone(), it.clone())).partition(|(_, it)| {
-                it.accelerators.iter().any(|index| slot.accelerators.contains(index))
+                it.accelerators.iter().any(|index| assignment.accelerators.contains(index))
             });
         let mut evicted = overlapping.into_iter().map(|(name, _)| name).collect::<Vec<_>>();
-        while !self.fits(&slot.worker, demand, &evicted) {
+        while !self.fits_without(&assignment.worker, demand, &evicted) {
             let Some((name, _)) = others.pop() else { break };
             evicted.push(name);
         }
@@ -102,8 +103,13 @@
         evicted
     }
 
-    /// Whether slots, cores and memory suffice once `without` is gone.
-    fn fits(&self, worker: &str, demand: &work::TaskDemand, without: &[ids::LeaseId]) -> bool {
+    /// Whether the worker's slots, cores and memory suffice for `demand` without the leases `without`.
+    fn fits_without(
+        &self,
+        worker: &str,
+        demand: &work::TaskDemand,
+        without: &[ids::LeaseId],
+    ) -> bool {
         let Some(node) = self.nodes.get(worker) else { return true };
         let held = self.leases.on_worker(worker).filter(|(name, _)| !without.contains(name));
         let held = held.map(|(_, it)| it.demand).collect::<Vec<_>>();
@@ -113,9 +119,9 @@
         slots <= node.kind.slots && cores <= node.kind.cores && memory <= node.kind.memory_mb
     }
 
-    /// Releases leases that stood in the way and that this scheduler does not know: they were
-    /// reserved by an earlier tenure, or by a reservation of ours that landed after its release.
-    /// Without this, an accelerator would look free and refuse everybody for a term.
+    /// Releases conflicting leases that this scheduler does not know: they were reserved by an earlier
+    /// tenure, or by a reservation of this one that reached the worker after its release. Otherwise an
+    /// accelerator would look free while its worker refuses all reservations for a lease term.
     pub(crate) fn release_stray_leases(&mut self, worker: &ids::WorkerId, names: &[ids::LeaseId]) {
         for name in names {
             if self.leases.get(name).is_some() {
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Enters an unknown lease found on a worker, to be released.
+    /// Adds an unknown lease that was found on a worker, marked for release.
     pub(crate) fn insert_stray_lease(
         &mut self,
         worker: &ids::WorkerId,
@@ -151,12 +157,12 @@
             hall = self.hall,
             worker,
             lease = entry.purpose.name(),
-            "releases a lease of an earlier tenure"
+            "releasing a stray lease"
         );
         self.leases.insert(entry);
         self.poll_soon(worker);
     }
 }
 
-/// Call deadlines that a reservation with its retries may take.
-const RESERVE_SPAN: u32 = 3;
+/// Longest duration of a reservation with its retries, in call deadlines.
+const MAX_RESERVE_DEADLINES: u32 = 3;
--- a/crates/hall/src/request.rs
+++ b/crates/hall/src/request.rs
@@ -1,54 +1,54 @@
-//! Calls on their way to the scheduler, each with where its answer goes.
+//! Calls to a hall scheduler, each with the sender for its answer.
 
 use almondpass_peer::call;
 use almondpass_schema::{ids, model};
 use tokio::sync::oneshot;
 
-/// A call with where its answer goes. A dropped sender means that this instance stopped
-/// scheduling the hall while the call was under way.
+/// A call with the sender for its answer. If the sender is dropped, this instance stopped scheduling
+/// the hall while the call was in progress.
 pub struct PendingCall<C: call::PeerCall> {
-    /// The call.
+    /// Call as received from the peer.
     pub call: C,
-    /// Where the answer goes.
+    /// Sender for the answer; the caller waits until it is used or dropped.
     pub reply: oneshot::Sender<C::Reply>,
 }
 
 /// Any call that a hall scheduler answers.
 pub enum HallRequest {
-    /// A slot for a request.
+    /// Requests a slot for a request.
     Grant(PendingCall<model::GrantRequest>),
-    /// Slots given back.
+    /// Returns slots with the outcomes of their requests.
     Returns(PendingCall<model::GrantReturns>),
-    /// Slots of an earlier tenure that are in use.
+    /// Reports the grants of earlier tenures that an entry still uses.
     Report(PendingCall<model::GrantReport>),
-    /// A job.
+    /// Submits a job.
     Submit(PendingCall<model::JobSubmit>),
-    /// How a job stands.
+    /// Queries the state of a job.
     Query(PendingCall<model::JobQuery>),
-    /// No more of a job.
+    /// Cancels a job.
     Cancel(PendingCall<model::JobCancel>),
-    /// A picture for operators.
+    /// Queries the state of the hall, for operators.
     Picture(PendingCall<model::HallQuery>),
 }
 
 impl<C: SchedulerCall> PendingCall<C> {
-    /// Says that this instance does not schedule the hall; the call had no effect.
+    /// Answers that this instance does not schedule the hall; the call had no effect.
     pub(crate) fn decline(self) {
         let _ = self.reply.send(C::not_holder(None));
     }
 }
 
-/// A call that a seat can pass to its scheduler.
+/// A call that an instance can pass to the scheduler of a hall.
 pub trait SchedulerCall: call::HallCall {
-    /// Whether a call that was under way when its scheduler stopped may be sent to the next one as
-    /// if it had had no effect. A submission may not: its row may be on its way to the table, and
-    /// an entry that goes on to another hall and is refused there would say "not run".
+    /// Whether a call that was in progress when its scheduler stopped may be sent to the next scheduler
+    /// as if it had had no effect. A submission may not: the write of its row may be in progress, and
+    /// an entry that continues with another hall and is refused there would answer "not run".
     const MAY_RESEND: bool;
 
-    /// The call as a request.
+    /// Wraps the call, with the sender for its answer, as a request to the scheduler.
     fn request(self, reply: oneshot::Sender<Self::Reply>) -> HallRequest;
 
-    /// The answer of an instance that does not schedule the hall.
+    /// Answer of an instance that does not schedule the hall; `holder` is the address of the one that does.
     fn not_holder(holder: Option<ids::PeerAddress>) -> Self::Reply;
 }
 
--- a/crates/hall/src/serve_task.rs
+++ b/crates/hall/src/serve_task.rs
@@ -1,4 +1,4 @@
-//! Reserves one serving lease.
+//! Reserves one serving lease for a request, and defines reservations with retries.
 
 use std::time::Duration;
 
@@ -8,51 +8,51 @@
 
 use crate::tenure;
 
-/// What to reserve.
+/// Everything that the task needs to reserve a serving lease.
 #[derive(Clone, Debug)]
 pub(crate) struct ReservePlan {
-    /// The request's grant.
+    /// Grant of the request that the lease is for.
     pub(crate) grant: ids::GrantId,
     /// Control address of the worker.
     pub(crate) address: ids::PeerAddress,
-    /// Idle leases in the way.
+    /// Idle serving leases on the worker to release before the reservation.
     pub(crate) evict: Vec<ids::LeaseId>,
-    /// The reservation.
+    /// Reservation to send.
     pub(crate) reserve: model::LeaseReserve,
-    /// For each call.
+    /// Time limit of each call to the worker.
     pub(crate) deadline: Duration,
 }
 
-/// What became of it.
+/// Message to the scheduler: the outcome of a reservation.
 #[derive(Clone, Debug)]
 pub(crate) struct ReserveReport {
-    /// The request's grant.
+    /// Grant of the request that the lease is for.
     pub(crate) grant: ids::GrantId,
-    /// The lease.
+    /// Name of the lease.
     pub(crate) lease: ids::LeaseId,
-    /// When the reservation that was answered was sent.
+    /// When the last reservation call was sent, if any was.
     pub(crate) sent_at: Instant,
-    /// The answer.
+    /// Answer of the worker, or the reason why there is none.
     pub(crate) outcome: ReserveOutcome,
 }
 
 /// Answer of a worker to a reservation, after retries.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ReserveOutcome {
-    /// The lease stands.
+    /// The worker granted the lease.
     Granted,
-    /// Something else holds what it needs; the lease does not exist.
+    /// Other leases hold the resources; the lease does not exist.
     Refused {
-        /// Leases in the way.
+        /// Leases on the worker that conflict with the reservation.
         holders: Vec<ids::LeaseId>,
     },
-    /// Nothing was sent; the lease does not exist.
+    /// No reservation reached the worker; the lease does not exist.
     Unsent,
-    /// The lease may exist.
+    /// A call was sent and its answer was lost; the lease may exist.
     Ambiguous,
 }
 
-/// Releases what is in the way, then reserves.
+/// Releases the idle leases that conflict with the reservation, then reserves the lease.
 pub(crate) async fn run<W: WorkerControl>(
     workers: W,
     tenure: tenure::TenureWatch,
@@ -68,8 +68,9 @@
     ReserveReport { grant: plan.grant, lease: plan.reserve.lease, sent_at, outcome }
 }
 
-/// Reserves, and asks again where the answer is lost: a worker grants a lease again that it has,
-/// so the second answer settles the first.
+/// Reserves a lease, and repeats the call if its answer is lost: a worker that already granted the
+/// lease grants it again, so the second answer also decides the first call. Returns when the last
+/// call was sent.
 pub(crate) async fn reserve<W: WorkerControl>(
     workers: &W,
     tenure: &tenure::TenureWatch,
@@ -79,7 +80,7 @@
 ) -> (Instant, ReserveOutcome) {
     let mut unsure = false;
     let mut sent_at = Instant::now();
-    for _ in 0..RESERVE_TRIES {
+    for _ in 0..MAX_RESERVE_CALLS {
         if !tenure.may_act() {
             break;
         }
@@ -88,7 +89,7 @@
         match tokio::time::timeout(deadline, call).await {
             Ok(Ok(model::LeaseReserved::Granted)) => return (sent_at, ReserveOutcome::Granted),
             Ok(Ok(model::LeaseReserved::Refused { holders, reason })) => {
-                tracing::info!(lease = reserve.lease, reason, "a worker refused a reservation");
+                tracing::info!(lease = reserve.lease, reason, "worker refused a reservation");
                 return (sent_at, ReserveOutcome::Refused { holders });
             }
             Ok(Err(fault)) if fault.fault.had_no_effect() => {}
@@ -99,4 +100,4 @@
     (sent_at, outcome)
 }
 
-const RESERVE_TRIES: usize = 2;
+const MAX_RESERVE_CALLS: usize = 2;
--- a/crates/hall/tests/hall/requests.rs
+++ b/crates/hall/tests/hall/requests.rs
@@ -1,4 +1,4 @@
-//! Slots for requests.
+//! Grants of slots to requests: reuse, queueing, expiry and limits.
 
 use almondpass_peer::call::PeerCall;
 use almondpass_schema::model;
@@ -15,7 +15,7 @@
         assert_eq!((first.worker, first.lease), (second.worker, second.lease));
     }
 
-    an_idle_lease_makes_room_for_a_job(site) {
+    an_idle_lease_is_evicted_for_a_job(site) {
         let instance = site.start_holder("a").await;
         let grant = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         instance.return_grant(&grant, model::RequestOutcome::Done).await;
@@ -23,7 +23,7 @@
         assert_eq!(site.n_running_tasks(job), support::N_WORKERS as usize);
     }
 
-    a_request_waits_for_a_slot_and_is_told_when_its_deadline_passes(site) {
+    a_request_without_a_slot_is_answered_busy_at_its_deadline(site) {
         let instance = site.start_holder("a").await;
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let request = model::GrantRequest {
@@ -34,20 +34,19 @@
         assert!(matches!(reply, model::GrantReply::Busy { .. }), "found {reply:?}");
     }
 
-    /// Symptom: an entry that lost an answer gets a second slot, and the first is held in vain.
-    /// Sequence: the entry asks again under the same request.
-    /// Cause: each ask taken for a new request.
-    a_repeated_ask_gets_the_same_grant(site) {
+    /// Guards against an entry that holds two slots for one request, the first unused: the entry lost
+    /// the answer and repeats the call with the same request id. It would come about if each call
+    /// counted as a new request.
+    a_repeated_request_gets_the_same_grant(site) {
         let instance = site.start_holder("a").await;
         let request = support::request(&site, support::REPEATABLE_REQUEST);
         let first = instance.expect_grant(request.clone()).await;
         assert_eq!(instance.expect_grant(request).await, first);
     }
 
-    /// Symptom: accelerators are held for good after an entry died.
-    /// Sequence: the entry gets a grant and dies before it returns it.
-    /// Cause: a grant without an end.
-    a_grant_that_is_not_returned_ends(site) {
+    /// Guards against accelerators that stay held forever: an entry gets a grant and dies before it
+    /// returns it. It would come about if grants did not expire.
+    a_grant_that_is_not_returned_expires(site) {
         let instance = site.start_holder("a").await;
         for _ in 0..support::N_WORKERS * support::N_ACCELERATORS {
             instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
@@ -56,10 +55,10 @@
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
     }
 
-    /// Symptom: a slot is lost for a term, or given twice.
-    /// Sequence: the answer to a reservation is lost.
-    /// Cause: an ambiguous answer taken for a refusal. Asked again, the worker grants it again.
-    a_lost_answer_to_a_reservation_is_settled(site) {
+    /// Guards against a slot that is lost for a lease term or granted twice: the answer to a reservation
+    /// is lost. It would come about if an ambiguous outcome counted as a refusal; instead, the call is
+    /// repeated, and the worker grants the same lease again.
+    a_lost_answer_to_a_reservation_is_retried(site) {
         let instance = site.start_holder("a").await;
         instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
         instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
@@ -67,7 +66,7 @@
         assert_eq!(held, 1);
     }
 
-    connections_are_shared_out_over_the_instances(site) {
+    connections_are_shared_equally_between_instances(site) {
         let instance = site.start_holder("a").await;
         let _others = ["b", "c", "d"].map(|it| site.start(it));
         support::advance(support::secs(1)).await;
@@ -75,17 +74,18 @@
         assert_eq!(grant.connections, 64 / 4);
     }
 
-    the_queue_of_an_account_is_limited(site) {
+    the_request_queue_of_an_account_is_limited(site) {
         let instance = site.start_holder("a").await;
         site.change_config(|it| it.accounts[0].limits.queued_requests = 2);
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
-        let asks = (0..3).map(|_| {
-            let (service, ask) = (instance.service.clone(), support::request(&site, support::REPEATABLE_REQUEST));
-            tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
+        let calls = (0..3).map(|_| {
+            let (service, request) =
+                (instance.service.clone(), support::request(&site, support::REPEATABLE_REQUEST));
+            tokio::spawn(async move { service.ask(request).await.expect(support::ANSWER) })
         });
         let mut codes = Vec::new();
-        for ask in asks.collect::<Vec<_>>() {
-            if let Ok(model::GrantReply::Busy { reason, .. }) = ask.await {
+        for call in calls.collect::<Vec<_>>() {
+            if let Ok(model::GrantReply::Busy { reason, .. }) = call.await {
                 codes.push(reason.code);
             }
         }
