--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -190,7 +190,7 @@
     }
 
     /// Lets a gang start that waited for its row, if the row now says that a start may have been sent.
-    pub(crate) fn resume_logged_start(&mut self, job: ids::JobId) {
+    pub(crate) fn resume_persisted_start(&mut self, job: ids::JobId) {
         let sole_holder = self.is_sole_holder();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         let durable = entry.committed.as_ref().is_some_and(|it| {
@@ -207,7 +207,7 @@
         }
     }
 
-    pub(crate) fn on_gang_report(&mut self, report: gang_task::GangStartReport) {
+    pub(crate) fn on_gang_start_report(&mut self, report: gang_task::GangStartReport) {
         let job = report.job;
         let wall_time = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -45,13 +45,13 @@
             }
         }
         self.grants.unreported_entries.remove(&report.entry);
-        self.release_unused_adopted();
+        self.release_unused_adopted_slots();
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
 
     /// Releases the adopted serving leases that no grant uses, once every entry has reported which
     /// grants of earlier tenures it uses.
-    pub(crate) fn release_unused_adopted(&mut self) {
+    pub(crate) fn release_unused_adopted_slots(&mut self) {
         if !self.grants.unreported_entries.is_empty() {
             return;
         }
