--- a/crates/hall/src/gang_task.rs
+++ b/crates/hall/src/gang_task.rs
@@ -138,7 +138,7 @@
         let tenure = tenure.clone();
         let deadline = plan.deadline;
         tasks.spawn(async move {
-            evict(&workers, &member, deadline).await;
+            release_evicted(&workers, &member, deadline).await;
             let (sent_at, outcome) = reserve_task::reserve(
                 &workers,
                 &tenure,
@@ -176,7 +176,7 @@
     }
 }
 
-async fn evict<W: WorkerControl>(workers: &W, member: &MemberPlan, deadline: Duration) {
+async fn release_evicted<W: WorkerControl>(workers: &W, member: &MemberPlan, deadline: Duration) {
     if member.evict.is_empty() {
         return;
     }
@@ -202,8 +202,8 @@
         tasks.spawn(async move { (worker, start_one(&workers, &address, start, deadline).await) });
     }
     let mut failure = None;
-    while let Some(Ok((worker, outcome))) = tasks.join_next().await {
-        if let Some(fault) = outcome {
+    while let Some(Ok((worker, fault))) = tasks.join_next().await {
+        if let Some(fault) = fault {
             failure = Some(GangStartOutcome::NotStarted { worker, fault });
         }
     }
--- a/crates/hall/src/reserve_task.rs
+++ b/crates/hall/src/reserve_task.rs
@@ -78,7 +78,7 @@
     reserve: &model::LeaseReserve,
     deadline: Duration,
 ) -> (Instant, ReserveOutcome) {
-    let mut unsure = false;
+    let mut ambiguous = false;
     let mut sent_at = Instant::now();
     for _ in 0..MAX_RESERVE_CALLS {
         if !tenure.may_act() {
@@ -93,10 +93,10 @@
                 return (sent_at, ReserveOutcome::Refused { holders });
             }
             Ok(Err(fault)) if fault.fault.had_no_effect() => {}
-            Ok(Err(_)) | Err(_) => unsure = true,
+            Ok(Err(_)) | Err(_) => ambiguous = true,
         }
     }
-    let outcome = if unsure { ReserveOutcome::Ambiguous } else { ReserveOutcome::Unsent };
+    let outcome = if ambiguous { ReserveOutcome::Ambiguous } else { ReserveOutcome::Unsent };
     (sent_at, outcome)
 }
 
