--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -1,5 +1,5 @@
-//! The scheduler of one hall: an actor around the policy. It never awaits a call inside a handler;
-//! calls run in tasks that report back as messages.
+//! The scheduler of one hall: an actor that owns the scheduling policy and the hall's state. Its message
+//! handlers never await a call; calls run in spawned tasks that send their result back as a message.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use crate::worker_node;
 use crate::worker_poll_task;
 
-/// The scheduler of one hall.
+/// The scheduler of one hall. Runs only on the instance that holds the hall's tenure.
 pub struct HallActor<B: backend::HallBackend> {
     pub(crate) ports: backend::HallPorts<B>,
     pub(crate) options: options::HallOptions,
@@ -40,38 +40,40 @@
     pub(crate) grants: grant_table::GrantTable,
     pub(crate) jobs: job_table::JobTable,
     pub(crate) intents: intent_task::IntentState,
-    /// Events that the policy learns later, such as a start withdrawn during an outage: told at
-    /// once, it would decide the same again in a tight loop.
+    /// Events that are applied to the policy after a delay, such as a start withdrawn during an outage:
+    /// if the policy saw it at once, it would make the same decision again in a tight loop.
     pub(crate) deferred: VecDeque<DeferredEvent>,
-    /// Set once anything showed a newer tenure.
+    /// Set once a newer tenure of the hall was observed; never reset.
     pub(crate) fenced: bool,
-    /// Tells the seat of it.
+    /// Mirrors `fenced` to the contender, which then relinquishes the hall.
     pub(crate) fence_signal: watch::Sender<bool>,
-    /// Answered once nothing is in flight; from then on nothing is begun.
+    /// Reply channel of a handover: answered once no write and no start is in flight.
     pub(crate) freeze: Option<oneshot::Sender<()>>,
+    /// Set by a handover: the scheduler begins no new work.
     pub(crate) frozen: bool,
     pub(crate) summary: watch::Sender<Option<model::HallBeat>>,
     pub(crate) next_summary: Instant,
     pub(crate) next_lapse_check: Instant,
+    /// Requests a round before the next timer is due.
     pub(crate) wake: Arc<Notify>,
     pub(crate) address: Option<xtra::WeakAddress<HallActor<B>>>,
 }
 
-/// An event and when the policy is to learn it.
+/// An event that is applied to the policy at a later time.
 pub(crate) struct DeferredEvent {
     pub(crate) at: Instant,
     pub(crate) event: event::HallEvent,
 }
 
-/// Decide, look at timers, and say when to be called next.
+/// Message: runs one scheduling round and returns when the next one is due.
 pub(crate) struct RunRound;
-/// Begin nothing, and answer when nothing is in flight any more.
+/// Message before a handover: begin no new work, and reply once no write and no start is in flight.
 pub struct Freeze;
-/// Another instance schedules the hall: stop.
+/// Message: stop the actor, because this instance no longer schedules the hall.
 pub struct Resign;
-/// The configuration changed.
+/// Message: a configuration was put in force. Versions that aren't newer are ignored.
 pub(crate) struct ConfigChanged(pub(crate) Arc<active::ActiveConfig>);
-/// Instances or workers changed.
+/// Message: the list of instances and workers changed.
 pub(crate) struct MembersChanged(pub(crate) Arc<snapshot::MemberSnapshot>);
 
 impl<B: backend::HallBackend> Actor for HallActor<B> {
@@ -79,15 +81,16 @@
 
     async fn started(&mut self, mailbox: &Mailbox<Self>) -> Result<(), ()> {
         self.address = Some(mailbox.address());
-        spawn_turns(mailbox.address(), Arc::clone(&self.wake));
+        spawn_round_loop(mailbox.address(), Arc::clone(&self.wake));
         Ok(())
     }
 
     async fn stopped(self) {}
 }
 
-/// Calls for turns: when something happened, several happenings in one, and when one is due.
-fn spawn_turns<B: backend::HallBackend>(
+/// Starts a round whenever `wake` was notified or a timer is due. Notifications that arrive during a
+/// round are merged into one further round.
+fn spawn_round_loop<B: backend::HallBackend>(
     address: xtra::WeakAddress<HallActor<B>>,
     wake: Arc<Notify>,
 ) {
@@ -139,20 +142,24 @@
 }
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Begins nothing any more, and has the seat give the hall up. A scheduler that stopped while its
-    /// seat goes on renewing would leave the hall without one for good.
+    /// Stops beginning work and makes the contender relinquish the hall. If only the scheduler stopped
+    /// while the contender went on renewing the tenure, the hall would stay without a scheduler.
     pub(crate) fn fence(&mut self) {
-        tracing::warn!(hall = self.hall, epoch = self.tenure.epoch(), "a newer tenure was seen");
+        tracing::warn!(
+            hall = self.hall,
+            epoch = self.tenure.epoch(),
+            "newer tenure observed, scheduler is fenced"
+        );
         self.fenced = true;
         self.fence_signal.send_replace(true);
     }
 
-    /// Whether the scheduler may begin something.
+    /// Whether the scheduler may begin new work.
     pub(crate) fn may_act(&self) -> bool {
         !self.frozen && !self.fenced && self.tenure.may_act()
     }
 
-    /// Whether nobody else can hold the hall.
+    /// Whether the tenure is certain to be valid still, so that no other instance can hold the hall.
     pub(crate) fn is_sole_holder(&self) -> bool {
         !self.fenced && self.tenure.status() == tenure::TenureStatus::Firm
     }
@@ -161,19 +168,19 @@
         self.options.clock.now()
     }
 
-    /// Tells the policy something; it decides at the next turn.
+    /// Applies an event to the policy, which decides on it in the next round.
     pub(crate) fn apply_event(&mut self, event: event::HallEvent) {
         let now = self.wall_time();
         self.policy.apply(event, now);
         self.wake.notify_one();
     }
 
-    /// Tells the policy something later.
+    /// Applies an event to the policy in the first round after `at`.
     pub(crate) fn defer_event(&mut self, at: Instant, event: event::HallEvent) {
         self.deferred.push_back(DeferredEvent { at, event });
     }
 
-    /// Where tasks report to.
+    /// Address of this actor, to which spawned tasks send their results.
     pub(crate) fn own_address(&self) -> xtra::WeakAddress<HallActor<B>> {
         self.address.clone().expect("a started actor knows its address")
     }
@@ -210,8 +217,8 @@
         receiver
     }
 
-    /// Answers a hand-over once every write and every start in flight is settled: the successor
-    /// reads rows and leases, and would take a gang in the middle of its start for incomplete.
+    /// Replies to a pending [`Freeze`] once no write and no start is in flight. The successor reads rows
+    /// and leases, and would treat a gang in the middle of its start as incomplete.
     pub(crate) fn finish_freeze(&mut self) {
         if self.freeze.is_none() {
             return;
--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -1,4 +1,4 @@
-//! Brings a new scheduler's books in line with what rows and workers say.
+//! Takeover: rebuilds the state of a new scheduler from the job rows and the leases that workers list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use crate::takeover::LeaseListings;
 use crate::worker_node::NodeState;
 
-/// A lease that a worker listed.
+/// A task whose lease a worker listed.
 #[derive(Clone, Debug)]
-struct FoundTask {
+struct ListedTask {
     worker: ids::WorkerId,
     status: model::LeaseStatus,
 }
 
-/// Tasks that workers listed, by start and rank.
-type FoundStarts = BTreeMap<ids::JobId, BTreeMap<StartNumber, BTreeMap<u32, FoundTask>>>;
+/// Tasks that workers listed, by job, start and rank.
+type ListedStarts = BTreeMap<ids::JobId, BTreeMap<StartNumber, BTreeMap<u32, ListedTask>>>;
 
-/// Takes over complete gangs, serving leases and waiting jobs. What is left on the workers is
-/// entered for release.
+/// Adopts complete gangs, serving leases and queued jobs. All other leases on the workers are entered
+/// into the lease table for release.
 pub(crate) fn adopt<B: backend::HallBackend>(
     actor: &mut HallActor<B>,
     records: Vec<model::JobRecord>,
     listings: &LeaseListings,
 ) {
     let workers = actor.nodes.keys().cloned().collect::<Vec<_>>();
-    // Workers that did not answer come back for a moment, so that the policy can place on them
-    // the members that may still run there.
+    // The policy places members only on workers that are back. Workers that did not answer may still
+    // run members of a gang, so they too are reported as back here, and as lost again at the end.
     for worker in &workers {
         apply(actor, event::HallEvent::WorkerBack(worker.clone()));
     }
-    let found = found_tasks(listings);
+    let listed = listed_tasks(listings);
     for record in records {
-        adopt_job(actor, record, &found, listings);
+        adopt_job(actor, record, &listed, listings);
     }
     adopt_slots(actor, listings);
     enter_strays(actor, listings);
@@ -60,8 +60,8 @@
     }
 }
 
-/// Releases what is entered for release and waits for it, so that the first decisions do not meet
-/// leases of earlier tenures.
+/// Releases all leases that are entered for release and waits for the workers' replies, so that the
+/// first placements don't collide with leases of earlier tenures.
 pub(crate) async fn release_stray_leases<B: backend::HallBackend>(actor: &mut HallActor<B>) {
     let mut tasks = JoinSet::new();
     for (worker, node) in &actor.nodes {
@@ -79,38 +79,38 @@
     }
     while let Some(released) = tasks.join_next().await {
         for lease in released.ok().flatten().into_iter().flatten() {
-            // Not only strays: a gang that ended while nobody watched is among them, and its end
-            // follows from its last lease being gone.
+            // These are not only stray leases: they include those of a gang that ended while no
+            // scheduler ran. Its end is recorded when its last lease is removed.
             actor.on_lease_released(&lease);
         }
     }
 }
 
-fn found_tasks(listings: &LeaseListings) -> FoundStarts {
-    let mut found = FoundStarts::new();
+fn listed_tasks(listings: &LeaseListings) -> ListedStarts {
+    let mut listed = ListedStarts::new();
     for (worker, listing) in listings {
         for status in &listing.leases {
             let Some(LeasePurpose::Task { job, start, rank }) = LeasePurpose::parse(&status.lease)
             else {
                 continue;
             };
-            let task = FoundTask { worker: worker.clone(), status: status.clone() };
-            found.entry(job).or_default().entry(start).or_default().insert(rank, task);
+            let task = ListedTask { worker: worker.clone(), status: status.clone() };
+            listed.entry(job).or_default().entry(start).or_default().insert(rank, task);
         }
     }
-    found
+    listed
 }
 
 fn adopt_job<B: backend::HallBackend>(
     actor: &mut HallActor<B>,
     record: model::JobRecord,
-    found: &FoundStarts,
+    listed: &ListedStarts,
     listings: &LeaseListings,
 ) {
     let job = record.job;
     let class = actor.config.class(&record.submission.class).cloned();
     let repeatable = class.as_ref().is_some_and(|it| it.repeatable);
-    let members = complete_gang(&record, found.get(&job), listings);
+    let members = complete_gang(&record, listed.get(&job), listings);
     let cancelled = record.cancel_requested;
     let may_have_run = record.attempt != 0;
     let entry = JobEntry {
@@ -128,7 +128,7 @@
     match (item, members) {
         (Some(item), Some((start, members))) => adopt_gang(actor, item, start, members, listings),
         (_, None) if !repeatable && may_have_run => {
-            // The row says that a start may have been sent, and no worker can tell the end.
+            // The row says that a start may have been sent, and no worker lists how it ended.
             actor.end_job_unknown(job);
             return;
         }
@@ -136,7 +136,7 @@
             actor.requeue_row(job);
             apply(actor, event::HallEvent::Arrived(item));
         }
-        // Its class is gone from the configuration: it waits until that is back.
+        // The job's class was removed from the configuration: the job waits until the class is back.
         (None, _) => actor.requeue_row(job),
     }
     if cancelled {
@@ -145,31 +145,31 @@
     actor.advance_gang(job);
 }
 
-/// Members of the latest start of which every rank runs, or may run on a worker that did not
-/// answer. Anything less is released whole: part of a gang must not run.
+/// Members of the latest start of which every rank runs, or may run on a worker that did not answer.
+/// `None` if no start is complete; its leases are then released, since part of a gang must not run.
 fn complete_gang(
     record: &model::JobRecord,
-    found: Option<&BTreeMap<StartNumber, BTreeMap<u32, FoundTask>>>,
+    listed: Option<&BTreeMap<StartNumber, BTreeMap<u32, ListedTask>>>,
     listings: &LeaseListings,
 ) -> Option<(StartNumber, Vec<GangMember>)> {
     let placed = placed_start(record);
-    let nothing = BTreeMap::new();
-    let mut starts = found.unwrap_or(&nothing).keys().copied().collect::<BTreeSet<_>>();
+    let no_starts = BTreeMap::new();
+    let mut starts = listed.unwrap_or(&no_starts).keys().copied().collect::<BTreeSet<_>>();
     starts.extend(placed);
     starts.into_iter().rev().find_map(|start| {
-        let tasks = found.and_then(|it| it.get(&start));
+        let tasks = listed.and_then(|it| it.get(&start));
         let placement = if placed == Some(start) { &record.placement[..] } else { &[] };
         let members = (0..record.submission.tasks).map(|rank| {
             tasks.and_then(|it| it.get(&rank)).map_or_else(
-                || missing_member(placement, rank, listings),
-                |task| task.status.started.then(|| found_member(rank, task)),
+                || unanswered_member(placement, rank, listings),
+                |task| task.status.started.then(|| listed_member(rank, task)),
             )
         });
         Some((start, members.collect::<Option<Vec<_>>>()?))
     })
 }
 
-/// The start that the row tells of, if all of it was running.
+/// The start whose placement the row holds, if the row says that the whole gang was running.
 fn placed_start(record: &model::JobRecord) -> Option<StartNumber> {
     let running = matches!(record.state, model::JobState::Running | model::JobState::Checkpointing);
     let first = record.placement.first().filter(|_| running)?;
@@ -179,7 +179,7 @@
     }
 }
 
-fn found_member(rank: u32, task: &FoundTask) -> GangMember {
+fn listed_member(rank: u32, task: &ListedTask) -> GangMember {
     GangMember {
         assignment: work::TaskAssignment {
             rank,
@@ -193,8 +193,9 @@
     }
 }
 
-/// A member on a worker that did not answer.
-fn missing_member(
+/// A member on a worker that did not answer, as the row placed it. `None` if the worker answered: then
+/// the member doesn't run, since its lease wasn't listed.
+fn unanswered_member(
     placement: &[model::TaskPlacement],
     rank: u32,
     listings: &LeaseListings,
@@ -231,23 +232,23 @@
         let status = listing.and_then(|it| it.leases.iter().find(|it| it.lease == member.lease));
         let purpose = LeasePurpose::Task { job, start, rank: member.assignment.rank };
         let term = actor.options.lease_term();
-        // Of a worker that did not answer it is only known that its lease lapses within a term.
-        let left = status.map_or(term, |it| it.remaining.0);
+        // A lease on a worker that did not answer lapses at the latest after one full term.
+        let remaining = status.map_or(term, |it| it.remaining.0);
         actor.leases.insert(LeaseEntry {
             purpose,
             worker: member.assignment.worker.clone(),
             accelerators: member.assignment.accelerators.clone(),
             demand,
             state: LeaseState::Held,
-            valid_until: now + left,
+            valid_until: now + remaining,
             expired_by: now + term + actor.options.lease_margin(),
         });
     }
     let placement = members.iter().map(|it| it.assignment.clone()).collect();
-    let wall = actor.wall_time();
+    let wall_now = actor.wall_time();
     let Some(entry) = actor.jobs.entries.get_mut(&job) else { return };
     let ran = match entry.record.state {
-        model::JobState::Running => wall.since(entry.record.state_since),
+        model::JobState::Running => wall_now.since(entry.record.state_since),
         _ => Duration::ZERO,
     };
     entry.gang = Some(Gang {
@@ -263,25 +264,26 @@
     entry.record.placement = crate::gangs::placements(entry.gang.as_ref());
     if entry.record.state != model::JobState::Running {
         entry.record.state = model::JobState::Running;
-        entry.record.state_since = wall;
+        entry.record.state_since = wall_now;
     }
-    // The row may still tell of the time before the start.
+    // The row may have been written before the start, with attempt 0.
     entry.record.attempt = entry.record.attempt.max(1);
     if entry.committed.as_ref() != Some(&entry.record) {
         actor.mark_dirty(job);
     }
-    let started_at = wall - ran;
-    tracing::info!(hall = actor.hall, job = %job, "adopts a gang");
+    let started_at = wall_now - ran;
+    tracing::info!(hall = actor.hall, job = %job, "running gang adopted");
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
-/// Serving leases of earlier tenures count as busy until entries tell, or their grants ran out.
+/// Adopts the serving leases of earlier tenures. Their slots count as busy until the entries report
+/// their grants, or until the longest run that such a grant allows is over.
 fn adopt_slots<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
     let classes = &actor.config.document.classes;
     let requests = classes.iter().filter(|it| it.kind == model::ClassKind::Request);
-    let longest = requests.map(|it| it.max_run.0).max().unwrap_or_default();
+    let longest_run = requests.map(|it| it.max_run.0).max().unwrap_or_default();
     let start_by = actor.options.timing.grant_start_by.0;
-    let expires_at = Instant::now() + longest + start_by + actor.options.call_deadline();
+    let expires_at = Instant::now() + longest_run + start_by + actor.options.call_deadline();
     actor.grants.unreported_entries = actor.members.instances.keys().cloned().collect();
     for (worker, listing) in listings {
         for status in &listing.leases {
@@ -363,5 +365,5 @@
     actor.policy.apply(event, now);
 }
 
-/// For confirming that leases of earlier tenures are gone.
+/// Time limit of the release of one worker's leases during a takeover.
 const RELEASE_DEADLINE: Duration = Duration::from_millis(500);
--- a/crates/hall/src/backend.rs
+++ b/crates/hall/src/backend.rs
@@ -1,4 +1,4 @@
-//! What a hall scheduler is built upon, as one bundle of types instead of five parameters.
+//! The policy and the client types that a hall scheduler uses, bundled into one type parameter.
 
 use std::marker::PhantomData;
 
@@ -6,21 +6,21 @@
 use almondpass_policy::hall_policy;
 use almondpass_ports::{objects, table, worker};
 
-/// The policy and the interfaces of one deployment.
+/// The policy and the client types of one deployment. Tests put fakes in their place.
 pub trait HallBackend: Send + Sync + 'static {
-    /// Decides.
+    /// Decides which work starts and stops, and on which workers.
     type Policy: hall_policy::HallPolicy;
-    /// Keeps rows.
+    /// Stores job rows, intents and the row of the tenure.
     type Table: table::TableService;
-    /// Keeps intents while the table is down.
+    /// Stores intents while the table service is unavailable.
     type Objects: objects::ObjectStore;
-    /// Reaches the workers.
+    /// Calls the workers: leases, task starts and releases.
     type Workers: worker::WorkerControl;
-    /// Reaches the other instances.
+    /// Calls the other instances.
     type Link: link::PeerLink;
 }
 
-/// A bundle of the given types.
+/// A [`HallBackend`] made of the given policy, table, object store, workers and link. Only a type; never constructed.
 pub struct BackendOf<P, T, O, W, L>(PhantomData<TypeBundle<P, T, O, W, L>>);
 
 type TypeBundle<P, T, O, W, L> = fn() -> (P, T, O, W, L);
@@ -40,15 +40,15 @@
     type Link = L;
 }
 
-/// The clients themselves.
+/// The clients of one instance; each of its hall schedulers has a clone.
 pub struct HallPorts<B: HallBackend> {
-    /// Table service.
+    /// Client of the table service.
     pub table: B::Table,
-    /// Object store.
+    /// Client of the object store.
     pub objects: B::Objects,
-    /// Workers.
+    /// Client of the workers.
     pub workers: B::Workers,
-    /// Other instances.
+    /// Client of the other instances.
     pub link: B::Link,
 }
 
--- a/crates/hall/src/codec.rs
+++ b/crates/hall/src/codec.rs
@@ -1,4 +1,4 @@
-//! Rows and objects as MessagePack.
+//! Encoding of rows and objects as MessagePack maps with named fields.
 
 use almondpass_schema::{blob, model};
 use serde::Serialize;
@@ -6,13 +6,12 @@
 
 use crate::error;
 
-/// Encodes a row or an object.
 pub(crate) fn encode<T: Serialize>(value: &T) -> blob::Blob {
     let bytes = rmp_serde::to_vec_named(value).expect("rows of the schema always encode");
     blob::Blob::from(bytes)
 }
 
-/// Decodes a row or an object.
+/// Decodes a row or an object; `step` names the failed operation in the error.
 pub(crate) fn decode<T: DeserializeOwned>(
     step: &'static str,
     value: &blob::Blob,
@@ -21,7 +20,7 @@
         .map_err(|it| error::HallError::Unreadable { step, detail: it.to_string() })
 }
 
-/// Decodes a row that may be missing.
+/// Decodes a row; `None` if the row doesn't exist.
 pub(crate) fn decode_row<T: DeserializeOwned>(
     step: &'static str,
     row: &model::TableRow,
--- a/crates/hall/src/deadline.rs
+++ b/crates/hall/src/deadline.rs
@@ -1,12 +1,12 @@
-//! Bounds calls in time.
+//! Time limits of calls to other services.
 
 use std::future::Future;
 use std::time::Duration;
 
 use almondpass_peer::error;
 
-/// Awaits a call of `step` at `peer` for at most `deadline`. Whether a call that is given up had an
-/// effect is not known.
+/// Awaits `call` for at most `deadline`; `step` and `peer` name the operation and the service in the error.
+/// A call that timed out may have had its effect.
 pub(crate) async fn within<T>(
     deadline: Duration,
     step: &'static str,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Name of the table service in errors that it did not answer.
+/// Name of the table service in error messages.
 pub(crate) const TABLE_SERVICE: &str = "table";
-/// Name of the object store in errors that it did not answer.
+/// Name of the object store in error messages.
 pub(crate) const OBJECT_STORE: &str = "objects";
--- a/crates/hall/src/hall_layout.rs
+++ b/crates/hall/src/hall_layout.rs
@@ -1,9 +1,9 @@
-//! The workers of a hall, and what operators drain on them, as the configuration says.
+//! The workers of a hall and the drain orders for them, read from the configuration.
 
 use almondpass_config::active;
 use almondpass_schema::{ids, model};
 
-/// Names of a hall's workers with their kinds, in order.
+/// Names and kinds of a hall's workers, rack by rack. Empty for a hall that the configuration doesn't have.
 pub(crate) fn workers(
     config: &active::ActiveConfig,
     hall: &str,
@@ -21,13 +21,13 @@
     workers
 }
 
-/// Whether an operator drains the whole worker.
+/// Whether a drain order covers the worker with all its upstreams.
 pub(crate) fn is_worker_drained(config: &active::ActiveConfig, worker: &str) -> bool {
     let drains = config.document.drains.iter().filter(|it| it.upstream.is_none());
     drains.into_iter().any(|it| it.worker.as_deref() == Some(worker))
 }
 
-/// Whether an operator drains an upstream on a worker.
+/// Whether a drain order covers the upstream on this worker or on every worker.
 pub(crate) fn is_upstream_drained(
     config: &active::ActiveConfig,
     upstream: &str,
--- a/crates/hall/src/lib.rs
+++ b/crates/hall/src/lib.rs
@@ -1,7 +1,8 @@
-//! The hall scheduler: ownership by epoch, worker leases, gangs, intents, takeover.
+//! The hall scheduler: exclusive ownership of halls by epoch, worker leases, gangs, intents and takeover.
 //!
-//! [`service::HallService`] runs one [`contender`] for every hall on every instance. The seat that holds
-//! a hall runs an [`actor::HallActor`] around the policy; the others tell who does.
+//! On every instance, [`service::HallService`] runs one [`contender`] per hall. The contender that holds the
+//! hall's tenure runs an [`actor::HallActor`], which schedules the hall by the policy. The other contenders
+//! redirect calls to the holder.
 
 mod acquisition;
 pub mod actor;
--- a/crates/hall/src/metric.rs
+++ b/crates/hall/src/metric.rs
@@ -5,91 +5,91 @@
 use almondpass_schema::{ids, model};
 use tokio::time::Instant;
 
-/// Seconds from arrival to start, by account and class.
+/// Records the seconds from the arrival of work to its start.
 pub(crate) fn wait(account: &str, class: &str, span: Duration) {
     record("almondpass_wait_seconds", account, class, span);
 }
 
-/// Seconds from start to end, by account and class.
+/// Records the seconds from the start of work to its end.
 pub(crate) fn run(account: &str, class: &str, span: Duration) {
     record("almondpass_run_seconds", account, class, span);
 }
 
-/// Seconds from arrival to end, by account and class.
+/// Records the seconds from the arrival of work to its end.
 pub(crate) fn completion(account: &str, class: &str, span: Duration) {
     record("almondpass_completion_seconds", account, class, span);
 }
 
-/// Seconds from the decision to stop a gang until its accelerators were free.
+/// Records the seconds from the decision to stop a gang until its accelerators were free.
 pub(crate) fn reclaim(account: &str, class: &str, span: Duration) {
     record("almondpass_reclaim_seconds", account, class, span);
 }
 
-/// Outcomes told, by account and class.
+/// Counts the outcome of a request or job.
 pub(crate) fn outcome(account: &str, class: &str, outcome: model::RequestOutcome) {
     metrics::counter!("almondpass_hall_outcomes_total", "account" => account.to_owned(),
         "class" => class.to_owned(), "outcome" => outcome.to_string())
     .increment(1);
 }
 
-/// Whether this instance schedules the hall.
+/// Sets whether this instance holds the hall: 1 or 0.
 pub(crate) fn ownership(hall: &str, held: bool) {
     gauge("almondpass_hall_held", hall, f64::from(u8::from(held)));
 }
 
-/// What is left of the tenure after a renewal.
+/// Records for how many seconds the tenure is valid still, measured when a renewal succeeds.
 pub(crate) fn tenure_margin(hall: &str, firm_until: Instant) {
     let left = firm_until.saturating_duration_since(Instant::now());
     histogram("almondpass_tenure_margin_seconds", hall, left);
 }
 
-/// A renewal of the tenure went without an answer.
+/// Counts a renewal of the tenure that got no answer.
 pub(crate) fn renewal_failed(hall: &str) {
     count("almondpass_tenure_renewal_failures_total", hall);
 }
 
-/// From taking a hall to deciding for it.
+/// Records the seconds from acquiring a hall's tenure to the first scheduling decision.
 pub(crate) fn takeover(hall: &str, span: Duration) {
     histogram("almondpass_takeover_seconds", hall, span);
 }
 
-/// From the decision to leave to the successor having been told.
+/// Records the seconds from the decision to leave until the successor was notified.
 pub(crate) fn hand_over(hall: &str, span: Duration) {
     histogram("almondpass_hand_over_seconds", hall, span);
 }
 
-/// What was left of a worker lease when it was renewed.
+/// Records for how many seconds a worker lease was valid still when it was renewed.
 pub(crate) fn lease_margin(hall: &str, left: Duration) {
     histogram("almondpass_lease_margin_seconds", hall, left);
 }
 
-/// A worker lease lapsed under its holder.
+/// Counts a worker lease that lapsed although the scheduler still held it.
 pub(crate) fn lease_lapsed(hall: &str) {
     count("almondpass_leases_lapsed_total", hall);
 }
 
-/// A gang start was rolled back.
+/// Counts a gang start that was rolled back.
 pub(crate) fn start_failed(hall: &str) {
     count("almondpass_gang_starts_failed_total", hall);
 }
 
-/// Seconds until an intent was durable, by where it went.
+/// Records the seconds until an intent was durable; `place` is the store that holds it.
 pub(crate) fn intent(hall: &str, place: &'static str, span: Duration) {
     metrics::histogram!("almondpass_intent_seconds", "hall" => hall.to_owned(), "place" => place)
         .record(span.as_secs_f64());
 }
 
-/// Keys of which the hall keeps a record.
+/// Sets how many idempotency keys the hall keeps a record of.
 pub(crate) fn intent_keys(hall: &str, n_keys: usize) {
     gauge("almondpass_intent_keys", hall, n_keys as f64);
 }
 
-/// Seconds of one turn of the policy.
+/// Records the seconds that one round of the policy took.
 pub(crate) fn policy_round(hall: &str, span: Duration) {
     histogram("almondpass_policy_turn_seconds", hall, span);
 }
 
-/// Free runs, fragmentation and queue of a hall.
+/// Sets the gauges of a hall's free accelerators, its fragmentation and its queue length.
 pub(crate) fn capacity(hall: &ids::HallName, beat: &model::HallBeat, fragmentation: f64) {
     gauge("almondpass_free_accelerators", hall, f64::from(beat.free_accelerators));
     gauge("almondpass_longest_free_run", hall, f64::from(beat.longest_run));
--- a/crates/hall/src/options.rs
+++ b/crates/hall/src/options.rs
@@ -1,4 +1,4 @@
-//! What a seat needs to know of the instance it is on.
+//! Settings of the instance that a contender runs on.
 
 use std::time::Duration;
 
@@ -8,43 +8,44 @@
 /// Identity, timing and clock of this instance.
 #[derive(Clone, Debug)]
 pub struct HallOptions {
-    /// Id of this instance, new at each start.
+    /// Id of this instance, newly generated at each start of the process.
     pub instance: ids::InstanceId,
-    /// Where the other instances reach it.
+    /// Address at which the other instances call this one.
     pub address: ids::PeerAddress,
-    /// Terms and intervals.
+    /// Lease terms, margins and intervals.
     pub timing: model::TimingSettings,
-    /// Time of day.
+    /// Clock for times of day, which are compared between instances.
     pub clock: clock::WallClock,
 }
 
 impl HallOptions {
-    /// Term of a tenure.
+    /// How long a tenure is valid after each renewal.
     pub fn tenure_term(&self) -> Duration {
         self.timing.scheduler_term.0
     }
 
-    /// Term of a worker lease.
+    /// How long a worker lease is valid after each renewal.
     pub fn lease_term(&self) -> Duration {
         self.timing.lease_term.0
     }
 
-    /// What is kept back of a lease.
+    /// Safety margin at the end of a worker lease.
     pub fn lease_margin(&self) -> Duration {
         self.timing.lease_margin.0
     }
 
-    /// What is kept back of a tenure; never so much that nothing is left between two renewals.
+    /// Safety margin at the end of a tenure. At most a quarter of the term, so that the tenure stays usable
+    /// between two renewals.
     pub fn tenure_margin(&self) -> Duration {
-        self.timing.lease_margin.0.min(self.tenure_term() / TENURE_MARGIN_SHARE)
+        self.timing.lease_margin.0.min(self.tenure_term() / TENURE_MARGIN_DIVISOR)
     }
 
-    /// Deadline of one call to the store or to a worker.
+    /// Time limit of one call to the store or to a worker.
     pub fn call_deadline(&self) -> Duration {
         self.timing.store_deadline.0
     }
 
-    /// Between two renewals of a tenure.
+    /// Time between two renewals of a tenure.
     pub fn renewal_interval(&self) -> Duration {
         self.tenure_term() / RENEWALS_PER_TERM
     }
@@ -52,5 +53,5 @@
 
 /// A tenure is renewed this often within its term.
 const RENEWALS_PER_TERM: u32 = 3;
-/// At most this part of a tenure's term is its margin.
-const TENURE_MARGIN_SHARE: u32 = 4;
+/// The margin of a tenure is at most its term divided by this.
+const TENURE_MARGIN_DIVISOR: u32 = 4;
--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -1,4 +1,4 @@
-//! One turn of the scheduler: timers, decisions, writes.
+//! One round of the scheduler: handles timers, executes the policy's decisions and starts writes.
 
 use std::time::Duration;
 
@@ -15,21 +15,21 @@
         let now = Instant::now();
         self.stop_lapsed_gangs(now);
         self.expire_grants(now);
-        self.tell_deferred(now);
+        self.apply_deferred_events(now);
         if self.may_act() {
-            self.decide();
+            self.run_policy();
         }
         self.poll_workers(now);
         self.commit_jobs(now);
         self.append_intents(now);
         self.trim_intents(now);
         self.sweep_jobs(now);
-        self.summarise(now);
+        self.publish_summary(now);
         self.finish_freeze();
         self.next_wake(now)
     }
 
-    fn tell_deferred(&mut self, now: Instant) {
+    fn apply_deferred_events(&mut self, now: Instant) {
         for _ in 0..self.deferred.len() {
             let Some(deferred) = self.deferred.pop_front() else { return };
             if deferred.at <= now {
@@ -40,17 +40,17 @@
         }
     }
 
-    fn decide(&mut self) {
+    fn run_policy(&mut self) {
         let started = std::time::Instant::now();
-        let wall = self.wall_time();
-        let decisions = self.policy.run_round(wall);
+        let wall_now = self.wall_time();
+        let decisions = self.policy.run_round(wall_now);
         metric::policy_round(&self.hall, started.elapsed());
         for decision in decisions {
-            self.carry_out(decision);
+            self.execute(decision);
         }
     }
 
-    fn carry_out(&mut self, decision: decision::Decision) {
+    fn execute(&mut self, decision: decision::Decision) {
         let work = match &decision {
             decision::Decision::Start { work, .. }
             | decision::Decision::Checkpoint { work, .. }
@@ -60,12 +60,12 @@
             | decision::Decision::Finish { work, .. } => *work,
             decision::Decision::WorkerChanged { worker, state, reason } => {
                 tracing::info!(hall = self.hall, worker, state = %state, reason = reason.text,
-                    "a worker changed its state");
+                    "worker state changed");
                 return;
             }
             decision::Decision::GuaranteeChanged { account, guarantee, state, reason } => {
                 tracing::info!(hall = self.hall, account, guarantee, state = %state,
-                    reason = reason.text, "a guarantee changed its state");
+                    reason = reason.text, "guarantee state changed");
                 return;
             }
         };
@@ -74,12 +74,13 @@
         } else if self.is_request(&work) {
             self.apply_request_decision(decision);
         } else {
-            self.decide_unknown(decision);
+            self.withdraw_unknown(decision);
         }
     }
 
-    /// Work that was answered in the meantime.
-    fn decide_unknown(&mut self, decision: decision::Decision) {
+    /// Cancels the start of work that is neither a job nor a waiting request any more, since it was answered
+    /// after the policy had queued it.
+    fn withdraw_unknown(&mut self, decision: decision::Decision) {
         let decision::Decision::Start { work, .. } = decision else { return };
         self.apply_event(almondpass_policy::event::HallEvent::Cancelled(work));
         self.apply_event(almondpass_policy::event::HallEvent::StartFailed {
@@ -89,18 +90,18 @@
         });
     }
 
-    fn summarise(&mut self, now: Instant) {
+    fn publish_summary(&mut self, now: Instant) {
         if now < self.next_summary {
             return;
         }
         self.next_summary = now + SUMMARY_INTERVAL;
         let picture = self.picture();
-        let beat = self.beat(&picture);
+        let beat = self.hall_beat(&picture);
         metric::capacity(&self.hall, &beat, picture.fragmentation);
         self.summary.send_replace(Some(beat));
     }
 
-    fn beat(&self, picture: &model::HallPicture) -> model::HallBeat {
+    fn hall_beat(&self, picture: &model::HallPicture) -> model::HallBeat {
         let mut free = 0;
         let mut run = 0;
         let mut longest = 0;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// How long the request waits that waits longest.
+    /// Age of the oldest waiting request; zero if none waits.
     fn oldest_wait(&self) -> Duration {
         let waiting = self.grants.waiting_grants();
         let waits = waiting.iter().filter_map(|it| self.grants.get(it));
@@ -132,9 +133,9 @@
     }
 
     fn next_wake(&self, now: Instant) -> Instant {
-        let wall = self.wall_time();
-        let policy = self.policy.next_wake(wall).filter(|_| self.may_act());
-        let policy = policy.map(|it| now + it.since(wall).max(SHORTEST_WAKE));
+        let wall_now = self.wall_time();
+        let policy = self.policy.next_wake(wall_now).filter(|_| self.may_act());
+        let policy = policy.map(|it| now + it.since(wall_now).max(SHORTEST_WAKE));
         let syncs = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
         let commit = self.jobs.next_commit_at.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
@@ -146,7 +147,7 @@
     }
 }
 
-/// Between two summaries, and the longest time between two turns.
+/// Time between two summaries, and the longest time between two rounds.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest time between two turns that nothing asked for.
+/// Shortest time until a round that a timer starts. A notification of `wake` starts one at once.
 const SHORTEST_WAKE: Duration = Duration::from_millis(1);
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -1,4 +1,4 @@
-//! The seats of one instance, and the calls that reach them.
+//! The contenders of one instance, and the routing of calls to the schedulers of its halls.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,35 +20,35 @@
 use crate::owner_reader;
 use crate::request::SchedulerCall;
 
-/// Everything that an instance needs to take part in scheduling halls.
+/// Clients, settings and watched state that a [`HallService`] is started with.
 pub struct ServiceDependencies<B: backend::HallBackend> {
-    /// Clients.
+    /// Clients of the store, the workers and the other instances.
     pub ports: backend::HallPorts<B>,
-    /// This instance.
+    /// Settings of this instance.
     pub options: options::HallOptions,
-    /// Configuration in force.
+    /// Configuration in force; version 0 until the first one is known.
     pub config: watch::Receiver<Arc<active::ActiveConfig>>,
-    /// Instances and workers.
+    /// Instance list with the workers, as last received.
     pub members: watch::Receiver<Arc<snapshot::MemberSnapshot>>,
 }
 
-/// The seats of one instance.
+/// The contenders of one instance, one for each hall. Clones share them.
 pub struct HallService<B: backend::HallBackend> {
     inner: Arc<ServiceInner<B>>,
 }
 
 struct ServiceInner<B: backend::HallBackend> {
-    parts: ServiceDependencies<B>,
+    dependencies: ServiceDependencies<B>,
     reader: owner_reader::OwnerReader,
-    seats: Mutex<BTreeMap<ids::HallName, SeatHandle<B>>>,
+    contenders: Mutex<BTreeMap<ids::HallName, ContenderHandle<B>>>,
     leaving: watch::Sender<bool>,
 }
 
-/// One seat, from outside.
-struct SeatHandle<B: backend::HallBackend> {
-    view: watch::Receiver<ContenderState<B>>,
-    nudge: Arc<Notify>,
-    heard: watch::Sender<ids::Epoch>,
+/// Channels to one contender, and its task.
+struct ContenderHandle<B: backend::HallBackend> {
+    state: watch::Receiver<ContenderState<B>>,
+    hand_over_requested: Arc<Notify>,
+    highest_epoch: watch::Sender<ids::Epoch>,
     leaving: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
@@ -60,26 +60,31 @@
 }
 
 impl<B: backend::HallBackend> HallService<B> {
-    /// Starts a seat for every hall of the configuration, and keeps to its changes.
-    pub fn start(parts: ServiceDependencies<B>) -> HallService<B> {
-        let (leaving, left) = watch::channel(false);
-        let config = parts.config.clone();
-        let reader = owner_reader::OwnerReader::start(parts.ports.table.clone(), &parts.options);
-        let inner = ServiceInner { parts, reader, seats: Mutex::default(), leaving };
+    /// Starts a contender for every hall of the configuration, and a task that starts and stops contenders
+    /// when the configuration changes.
+    pub fn start(dependencies: ServiceDependencies<B>) -> HallService<B> {
+        let (leaving, leaving_receiver) = watch::channel(false);
+        let config = dependencies.config.clone();
+        let reader = owner_reader::OwnerReader::start(
+            dependencies.ports.table.clone(),
+            &dependencies.options,
+        );
+        let inner = ServiceInner { dependencies, reader, contenders: Mutex::default(), leaving };
         let service = HallService { inner: Arc::new(inner) };
-        service.fit_seats();
-        tokio::spawn(follow_config(service.clone(), config, left));
+        service.update_contenders();
+        tokio::spawn(follow_config(service.clone(), config, leaving_receiver));
         service
     }
 
-    /// Answers a call, or says who may. `None` where this instance stopped scheduling the hall
-    /// while the call was under way, and nobody can tell whether it had an effect.
+    /// Passes a call to the scheduler of its hall and returns the reply. If another instance schedules the
+    /// hall, the reply redirects to it. `None` if the scheduler stopped while the call was in progress, so
+    /// that it is unknown whether the call had an effect.
     pub async fn ask<C: SchedulerCall>(&self, call: C) -> Option<C::Reply> {
-        let Some(mut view) = self.view(call.hall()) else { return Some(C::not_holder(None)) };
-        // Between taking a hall and knowing how it stands a call waits instead of being refused.
-        let taken = view.wait_for(|it| !matches!(it, ContenderState::TakingOver));
-        let address = match time::timeout(TAKEOVER_WAIT, taken).await {
-            Ok(Ok(view)) => match &*view {
+        let Some(mut state) = self.state(call.hall()) else { return Some(C::not_holder(None)) };
+        // During a takeover a call waits until the scheduler runs, instead of being refused.
+        let taken_over = state.wait_for(|it| !matches!(it, ContenderState::TakingOver));
+        let address = match time::timeout(TAKEOVER_WAIT, taken_over).await {
+            Ok(Ok(state)) => match &*state {
                 ContenderState::Holding { address, .. } => address.clone(),
                 ContenderState::Watching { holder } => return Some(C::not_holder(holder.clone())),
                 ContenderState::TakingOver => return Some(C::not_holder(None)),
@@ -87,40 +92,40 @@
             _ => return Some(C::not_holder(None)),
         };
         let (reply, answer) = oneshot::channel();
-        let passed = address.send(call.request(reply)).await.is_ok();
+        let sent = address.send(call.request(reply)).await.is_ok();
         match answer.await {
             Ok(answer) if C::redirect(&answer) != Some(None) => return Some(answer),
-            Err(_) if passed && !C::MAY_RESEND => return None,
+            Err(_) if sent && !C::MAY_RESEND => return None,
             Ok(_) | Err(_) => {}
         }
-        Some(C::not_holder(successor(view).await))
+        Some(C::not_holder(successor(state).await))
     }
 
-    /// A leaving holder asks this instance to take a hall.
+    /// Handles the request of a leaving holder that this instance acquire a hall.
     pub fn hand_over(&self, call: &model::HandOver) -> model::Ack {
-        if let Some(handle) = self.seats().get(&call.hall) {
-            handle.nudge.notify_one();
+        if let Some(handle) = self.contenders().get(&call.hall) {
+            handle.hand_over_requested.notify_one();
         }
         model::Ack {}
     }
 
-    /// What is known of the halls that this instance schedules, for its beats.
+    /// Summaries of the halls that this instance schedules, which it publishes in its beats.
     pub fn summaries(&self) -> Vec<model::HallBeat> {
-        let seats = self.seats();
-        let beats = seats.values().filter_map(|it| match &*it.view.borrow() {
+        let contenders = self.contenders();
+        let beats = contenders.values().filter_map(|it| match &*it.state.borrow() {
             ContenderState::Holding { summary, .. } => summary.borrow().clone(),
             ContenderState::Watching { .. } | ContenderState::TakingOver => None,
         });
         beats.collect()
     }
 
-    /// Learns of tenures from the beats of others. A holder that is cut off from the table, but
-    /// not from its peers, learns in this way that it is one no longer.
+    /// Records the epochs that the beats of other instances report. A holder that can't reach the table but
+    /// can reach its peers finds out in this way that it has lost its tenure.
     pub fn observe_epochs(&self, beats: &[model::HallBeat]) {
-        let seats = self.seats();
+        let contenders = self.contenders();
         for beat in beats {
-            if let Some(handle) = seats.get(&beat.hall) {
-                handle.heard.send_if_modified(|it| {
+            if let Some(handle) = contenders.get(&beat.hall) {
+                handle.highest_epoch.send_if_modified(|it| {
                     let newer = *it < beat.epoch;
                     *it = beat.epoch.max(*it);
                     newer
@@ -129,79 +134,79 @@
         }
     }
 
-    /// Halls that this instance schedules.
+    /// Halls whose tenure this instance holds, including those that it is taking over.
     pub fn held_halls(&self) -> Vec<ids::HallName> {
-        let seats = self.seats();
-        let held = seats.iter().filter(|(_, it)| {
+        let contenders = self.contenders();
+        let held = contenders.iter().filter(|(_, it)| {
             matches!(
-                &*it.view.borrow(),
+                &*it.state.borrow(),
                 ContenderState::Holding { .. } | ContenderState::TakingOver
             )
         });
         held.map(|(hall, _)| hall.clone()).collect()
     }
 
-    /// Hands every hall over and takes no more.
+    /// Hands over every hall and acquires no more. Returns when all contenders have ended or timed out.
     pub async fn shutdown(&self) {
         self.inner.leaving.send_replace(true);
-        let handles = std::mem::take(&mut *self.seats());
+        let handles = std::mem::take(&mut *self.contenders());
         for handle in handles.values() {
             handle.leaving.send_replace(true);
         }
         for (hall, handle) in handles {
             if time::timeout(SHUTDOWN_LIMIT, handle.task).await.is_err() {
-                tracing::warn!(hall, "the hall was not handed over in time");
+                tracing::warn!(hall, "hall was not handed over within the time limit");
             }
         }
     }
 
-    fn seats(&self) -> std::sync::MutexGuard<'_, BTreeMap<ids::HallName, SeatHandle<B>>> {
-        self.inner.seats.lock().expect("no holder of the lock panics")
+    fn contenders(&self) -> std::sync::MutexGuard<'_, BTreeMap<ids::HallName, ContenderHandle<B>>> {
+        self.inner.contenders.lock().expect("no holder of the lock panics")
     }
 
-    fn view(&self, hall: &str) -> Option<watch::Receiver<ContenderState<B>>> {
-        self.seats().get(hall).map(|it| it.view.clone())
+    fn state(&self, hall: &str) -> Option<watch::Receiver<ContenderState<B>>> {
+        self.contenders().get(hall).map(|it| it.state.clone())
     }
 
-    /// Starts and stops seats as the configuration says.
-    fn fit_seats(&self) {
-        let config = Arc::clone(&self.inner.parts.config.borrow());
-        let mut seats = self.seats();
+    /// Starts contenders for new halls of the configuration and stops those of removed halls.
+    fn update_contenders(&self) {
+        let config = Arc::clone(&self.inner.dependencies.config.borrow());
+        let mut contenders = self.contenders();
         if *self.inner.leaving.borrow() || config.version == 0 {
             return;
         }
-        for (hall, handle) in seats.iter() {
+        for (hall, handle) in contenders.iter() {
             if config.hall(hall).is_none() {
                 handle.leaving.send_replace(true);
             }
         }
-        seats.retain(|hall, _| config.hall(hall).is_some());
+        contenders.retain(|hall, _| config.hall(hall).is_some());
         for layout in &config.document.halls {
-            if !seats.contains_key(&layout.name) {
-                seats.insert(layout.name.clone(), self.start_seat(&layout.name));
+            if !contenders.contains_key(&layout.name) {
+                contenders.insert(layout.name.clone(), self.start_contender(&layout.name));
             }
         }
     }
 
-    fn start_seat(&self, hall: &ids::HallName) -> SeatHandle<B> {
-        let parts = &self.inner.parts;
-        let (view, views) = watch::channel(ContenderState::Watching { holder: None });
-        let (heard, hears) = watch::channel(0);
-        let (leaving, leaves) = watch::channel(false);
-        let nudge = Arc::new(Notify::new());
+    fn start_contender(&self, hall: &ids::HallName) -> ContenderHandle<B> {
+        let dependencies = &self.inner.dependencies;
+        let (state, state_receiver) = watch::channel(ContenderState::Watching { holder: None });
+        let (highest_epoch, epoch_receiver) = watch::channel(0);
+        let (leaving, leaving_receiver) = watch::channel(false);
+        let hand_over_requested = Arc::new(Notify::new());
         let task = tokio::spawn(contender::run(contender::ContenderParts {
-            ports: parts.ports.clone(),
-            options: parts.options.clone(),
+            ports: dependencies.ports.clone(),
+            options: dependencies.options.clone(),
             hall: hall.clone(),
-            config: parts.config.clone(),
-            members: parts.members.clone(),
-            leaving: leaves,
-            highest_epoch: hears,
+            config: dependencies.config.clone(),
+            members: dependencies.members.clone(),
+            leaving: leaving_receiver,
+            highest_epoch: epoch_receiver,
             reader: self.inner.reader.clone(),
-            hand_over_requested: Arc::clone(&nudge),
-            state: view,
+            hand_over_requested: Arc::clone(&hand_over_requested),
+            state,
         }));
-        SeatHandle { view: views, nudge, heard, leaving, task }
+        ContenderHandle { state: state_receiver, hand_over_requested, highest_epoch, leaving, task }
     }
 }
 
@@ -216,19 +221,20 @@
                 if changed.is_err() {
                     return;
                 }
-                service.fit_seats();
+                service.update_contenders();
             }
             _ = leaving.changed() => return,
         }
     }
 }
 
-/// Who schedules the hall after its holder stopped in the middle of a call.
+/// Address of the next holder of a hall, for a call whose scheduler on this instance stopped. `None` if it
+/// isn't known within the time limit.
 async fn successor<B: backend::HallBackend>(
-    mut view: watch::Receiver<ContenderState<B>>,
+    mut state: watch::Receiver<ContenderState<B>>,
 ) -> Option<ids::PeerAddress> {
-    let left = view.wait_for(|it| !matches!(it, ContenderState::Holding { .. }));
-    match &*time::timeout(SUCCESSOR_WAIT, left).await.ok()?.ok()? {
+    let relinquished = state.wait_for(|it| !matches!(it, ContenderState::Holding { .. }));
+    match &*time::timeout(SUCCESSOR_WAIT, relinquished).await.ok()?.ok()? {
         ContenderState::Watching { holder } => holder.clone(),
         ContenderState::Holding { .. } | ContenderState::TakingOver => None,
     }
@@ -263,13 +269,13 @@
 
 impl<B: backend::HallBackend> local::LocalHalls for HallService<B> {
     fn holds(&self, hall: &ids::HallName) -> bool {
-        self.view(hall).is_some_and(|it| !matches!(&*it.borrow(), ContenderState::Watching { .. }))
+        self.state(hall).is_some_and(|it| !matches!(&*it.borrow(), ContenderState::Watching { .. }))
     }
 
     async fn answer<C: HallCall>(&self, call: C) -> Result<C::Reply, error::CallError> {
         let fault = |fault| error::CallError {
             step: C::PATH,
-            peer: self.inner.parts.options.address.clone(),
+            peer: self.inner.dependencies.options.address.clone(),
             fault,
         };
         let malformed = |detail: String| error::CallFault::Malformed(detail);
@@ -291,11 +297,11 @@
     }
 }
 
-/// Status of a call that could not be read.
+/// HTTP status in the error of a local call that was refused.
 const REFUSED_STATUS: u16 = 400;
-/// How long a call waits for a takeover.
+/// How long a call waits for the end of a takeover.
 const TAKEOVER_WAIT: Duration = Duration::from_secs(2);
-/// How long a call of a holder that stopped waits to learn who follows.
+/// How long a call waits for the address of the next holder after the scheduler stopped.
 const SUCCESSOR_WAIT: Duration = Duration::from_secs(1);
-/// For handing one hall over.
+/// How long a shutdown waits for the handover of one hall: the contender's own time limit and some slack.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(contender::LEAVE_TIMEOUT.as_secs() + 5);
--- a/crates/hall/src/worker_node.rs
+++ b/crates/hall/src/worker_node.rs
@@ -1,39 +1,39 @@
-//! One worker as its hall's scheduler sees it.
+//! State that the hall scheduler keeps for each worker.
 
 use almondpass_membership::snapshot;
 use almondpass_schema::{ids, model};
 use tokio::time::Instant;
 
-/// Whether the policy counts on a worker.
+/// Whether a worker is known to the policy as live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodeState {
-    /// Its leases are to be listed before anything is placed on it.
+    /// The worker's leases have to be listed before the policy may place work on it.
     LeasesUnknown,
-    /// It answers, and nothing unknown is on it.
+    /// The worker answers polls and has no lease that the scheduler doesn't know.
     Live,
 }
 
-/// One worker.
+/// A worker of the hall, with its poll schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerNode {
-    /// What the instance list says of it; `None` while it is not listed.
+    /// Latest entry of the worker on the instance list; `None` until it was listed once.
     pub(crate) entry: Option<snapshot::WorkerEntry>,
-    /// Its kind.
+    /// Hardware of the worker, by the configuration.
     pub(crate) kind: model::WorkerKind,
-    /// Whether it is counted on.
+    /// Whether the policy may place work on the worker.
     pub(crate) state: NodeState,
-    /// Whether the policy was told that it takes no new work.
+    /// Whether the policy was notified that the worker drains.
     pub(crate) draining: bool,
-    /// Calls without an answer since the last answer.
+    /// Unanswered polls since the last answered one.
     pub(crate) failed_polls: u32,
-    /// Whether a call is on its way.
+    /// Whether a poll is in progress; a worker has at most one.
     pub(crate) polling: bool,
-    /// When it is to be called next.
+    /// When the next poll is due.
     pub(crate) next_poll: Instant,
 }
 
 impl WorkerNode {
-    /// A worker that was never called.
+    /// A worker that was never polled; its first poll is due at `now`.
     pub(crate) fn new(kind: model::WorkerKind, now: Instant) -> WorkerNode {
         WorkerNode {
             entry: None,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Its control address.
+    /// Control address of the worker; `None` if it was never listed.
     pub(crate) fn address(&self) -> Option<&ids::PeerAddress> {
         self.entry.as_ref().map(|it| &it.address)
     }
 
-    /// Where an upstream answers on it, unless that leaves.
+    /// Address of an upstream on this worker; `None` if the worker doesn't run it or it is leaving.
     pub(crate) fn upstream_address(&self, name: &str) -> Option<&ids::PeerAddress> {
         let upstreams = self.entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
         let found = upstreams.iter().find(|it| it.upstream == name && !it.leaving)?;
--- a/crates/hall/src/worker_poll.rs
+++ b/crates/hall/src/worker_poll.rs
@@ -1,4 +1,4 @@
-//! How the scheduler keeps in touch with the workers.
+//! The periodic polls of workers: lease renewal, release of leases, and detection of lost workers.
 
 use std::time::Duration;
 
@@ -16,30 +16,30 @@
 use crate::worker_poll_task::{self, PollQuery};
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Calls the workers whose time has come.
+    /// Starts a poll of each worker whose next poll is due.
     pub(crate) fn poll_workers(&mut self, now: Instant) {
-        // A holder that does not know whether it still is one must not keep leases alive.
+        // A scheduler that may have lost its tenure must not keep leases alive.
         if self.fenced || !self.tenure.may_act() {
             return;
         }
         let due = self.nodes.iter().filter(|(_, it)| !it.polling && it.next_poll <= now);
         for worker in due.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
-            self.sync_worker(worker, now);
+            self.poll_worker(worker, now);
         }
     }
 
-    fn sync_worker(&mut self, worker: ids::WorkerId, now: Instant) {
+    fn poll_worker(&mut self, worker: ids::WorkerId, now: Instant) {
         let Some(node) = self.nodes.get_mut(&worker) else { return };
         let Some(address) = node.address().cloned() else {
-            node.next_poll = now + UNLISTED_RETRY;
+            node.next_poll = now + UNLISTED_RETRY_DELAY;
             return;
         };
         node.polling = true;
-        // After a failure the worker is asked to list, not to renew: a renewal that may have
-        // landed would move the time by which its leases have certainly lapsed on and on.
-        let lists = node.state == NodeState::LeasesUnknown || 0 < node.failed_polls;
+        // After a failed poll the leases are listed, not renewed. Each unanswered renewal may have taken
+        // effect, so repeating it would postpone the time by which the leases have certainly lapsed.
+        let must_list = node.state == NodeState::LeasesUnknown || 0 < node.failed_polls;
         let release = self.leases.names_in_state(&worker, LeaseState::Releasing);
-        let query = if lists {
+        let query = if must_list {
             PollQuery::List
         } else {
             let leases = self.leases.names_in_state(&worker, LeaseState::Held);
@@ -64,13 +64,13 @@
             }
         }
         match &report.listing {
-            Some(listing) => self.on_worker_answer(&worker, &report, listing),
-            None => self.on_worker_silent(&worker, &report),
+            Some(listing) => self.on_poll_answered(&worker, &report, listing),
+            None => self.on_poll_unanswered(&worker, &report),
         }
         self.wake.notify_one();
     }
 
-    fn on_worker_answer(
+    fn on_poll_answered(
         &mut self,
         worker: &ids::WorkerId,
         report: &worker_poll_task::PollReport,
@@ -81,33 +81,34 @@
             if renews {
                 self.extend_lease(&status.lease, report.sent_at);
             }
-            self.note_status(status);
+            self.record_task_status(status);
         }
         let lapsed = listing.lapsed.clone();
         for lease in &lapsed {
             self.lease_lapsed(lease, worker);
         }
-        let clean = renews || self.reconcile(worker, report, listing);
-        let interval = self.sync_interval(worker);
+        let all_known = renews || self.reconcile(worker, report, listing);
+        let interval = self.poll_interval(worker);
         let Some(node) = self.nodes.get_mut(worker) else { return };
         node.failed_polls = 0;
         let now = Instant::now();
-        if !clean {
+        if !all_known {
             node.next_poll = now;
             return;
         }
-        let back = node.state == NodeState::LeasesUnknown;
+        let came_back = node.state == NodeState::LeasesUnknown;
         node.state = NodeState::Live;
-        // After a list, renew at once: the leases were not renewed by it.
+        // Listing doesn't renew the leases, so a renewal follows at once.
         node.next_poll = if renews { now + interval } else { now };
-        if back {
-            tracing::info!(hall = self.hall, worker, "a worker answers");
+        if came_back {
+            tracing::info!(hall = self.hall, worker, "worker answers");
             self.apply_event(event::HallEvent::WorkerBack(worker.clone()));
             self.update_draining(worker);
         }
     }
 
-    /// Compares a full list with what is known; whether nothing unknown is on the worker.
+    /// Compares a full list of a worker's leases with the lease table. Held leases that the list lacks have
+    /// lapsed; unknown leases are entered for release. Returns whether all listed leases were known.
     fn reconcile(
         &mut self,
         worker: &ids::WorkerId,
@@ -117,13 +118,17 @@
         let held = self.leases.names_in_state(worker, LeaseState::Held);
         for lease in held {
             let listed = listing.leases.iter().any(|it| it.lease == lease);
-            // Reserved after the list was asked for: it cannot be on it.
-            let older = self.leases.get(&lease).is_some_and(|it| it.valid_until < report.sent_at);
-            if !listed && (older || self.nodes[worker].state == NodeState::LeasesUnknown) {
+            // The list can lack a lease that was reserved after the list was requested. Such a lease is
+            // valid beyond `sent_at`.
+            let expired_before_list =
+                self.leases.get(&lease).is_some_and(|it| it.valid_until < report.sent_at);
+            if !listed
+                && (expired_before_list || self.nodes[worker].state == NodeState::LeasesUnknown)
+            {
                 self.lease_lapsed(&lease, worker);
             }
         }
-        let mut clean = true;
+        let mut all_known = true;
         for status in &listing.leases {
             if self.leases.get(&status.lease).is_some() {
                 continue;
@@ -134,15 +139,19 @@
                 return false;
             }
             self.insert_stray_lease(worker, purpose, status.accelerators.clone());
-            clean = false;
+            all_known = false;
         }
-        clean
+        all_known
     }
 
-    fn on_worker_silent(&mut self, worker: &ids::WorkerId, report: &worker_poll_task::PollReport) {
+    fn on_poll_unanswered(
+        &mut self,
+        worker: &ids::WorkerId,
+        report: &worker_poll_task::PollReport,
+    ) {
         let (term, margin) = (self.options.lease_term(), self.options.lease_margin());
         if let PollQuery::Renew { leases, .. } = &report.plan.query {
-            // The renewal may have landed without its answer.
+            // The renewal may have taken effect although its reply was lost.
             for lease in leases {
                 if let Some(entry) = self.leases.get_mut(lease) {
                     entry.expired_by = entry.expired_by.max(Instant::now() + term + margin);
@@ -152,18 +161,18 @@
         let Some(node) = self.nodes.get_mut(worker) else { return };
         node.failed_polls += 1;
         node.next_poll = Instant::now() + self.options.timing.worker_poll.0;
-        let first = node.failed_polls == 1;
-        if node.failed_polls == LOST_AFTER && node.state == NodeState::Live {
+        let is_first_failure = node.failed_polls == 1;
+        if node.failed_polls == LOST_AFTER_POLLS && node.state == NodeState::Live {
             node.state = NodeState::LeasesUnknown;
-            tracing::warn!(hall = self.hall, worker, "a worker does not answer");
+            tracing::warn!(hall = self.hall, worker, "worker does not answer");
             self.apply_event(event::HallEvent::WorkerLost(worker.clone()));
         }
-        if first {
-            self.look_at_gangs_on(worker);
+        if is_first_failure {
+            self.advance_gangs_on(worker);
         }
     }
 
-    fn look_at_gangs_on(&mut self, worker: &str) {
+    fn advance_gangs_on(&mut self, worker: &str) {
         let tasks = self.leases.on_worker(worker).filter_map(|(_, it)| match it.purpose {
             LeasePurpose::Task { job, .. } => Some(job),
             LeasePurpose::Serve { .. } => None,
@@ -173,8 +182,8 @@
         }
     }
 
-    /// What a worker says of one lease.
-    fn note_status(&mut self, status: &model::LeaseStatus) {
+    /// Records the checkpoint and the exit that a worker reports for a gang's task.
+    fn record_task_status(&mut self, status: &model::LeaseStatus) {
         let Some(entry) = self.leases.get(&status.lease) else { return };
         let LeasePurpose::Task { job, start, rank } = entry.purpose else { return };
         let Some(gang) = self.jobs.entries.get_mut(&job).and_then(|it| it.gang_for_start(start))
@@ -193,7 +202,7 @@
         self.advance_gang(job);
     }
 
-    /// A lease is proven gone.
+    /// Removes a lease whose release the worker confirmed.
     pub(crate) fn on_lease_released(&mut self, lease: &ids::LeaseId) {
         let Some(entry) = self.leases.remove(lease) else { return };
         self.grants.idle_leases.remove(lease);
@@ -202,12 +211,12 @@
         }
     }
 
-    /// A lease lapsed that was not given back.
+    /// Removes a lease that lapsed on its worker without having been released by the scheduler.
     pub(crate) fn lease_lapsed(&mut self, lease: &ids::LeaseId, worker: &ids::WorkerId) {
         let Some(entry) = self.leases.get(lease) else { return };
         if entry.state == LeaseState::Held {
             metric::lease_lapsed(&self.hall);
-            tracing::warn!(hall = self.hall, lease, worker, "a worker lease lapsed");
+            tracing::warn!(hall = self.hall, lease, worker, "worker lease lapsed");
         }
         let purpose = entry.purpose;
         self.leases.remove(lease);
@@ -218,9 +227,9 @@
         }
     }
 
-    /// Calls are as seldom as the youngest task allows: one that ran for hours is not worth a
-    /// call each second, and one that just started may end at once.
-    fn sync_interval(&self, worker: &str) -> Duration {
+    /// Time until the next poll of a worker. It grows with the age of the worker's youngest task: a task that
+    /// just started may end at once, while one that has run for hours need not be polled each second.
+    fn poll_interval(&self, worker: &str) -> Duration {
         let shortest = self.options.timing.worker_poll.0;
         let longest = self.options.lease_term() / RENEWALS_PER_TERM;
         if !self.leases.names_in_state(worker, LeaseState::Releasing).is_empty() {
@@ -237,16 +246,16 @@
             GangPhase::Running if !it.checkpoint_requested => it.started_at.elapsed(),
             _ => Duration::ZERO,
         });
-        let youngest = youngest.min().unwrap_or(longest * AGE_PER_CALL);
-        (youngest / AGE_PER_CALL).clamp(shortest, longest.max(shortest))
+        let youngest = youngest.min().unwrap_or(longest * AGE_PER_POLL_INTERVAL);
+        (youngest / AGE_PER_POLL_INTERVAL).clamp(shortest, longest.max(shortest))
     }
 }
 
-/// Calls without an answer after which a worker counts as lost.
-const LOST_AFTER: u32 = 3;
-/// A worker that is not on the instance list is looked for after this.
-const UNLISTED_RETRY: Duration = Duration::from_secs(1);
+/// Unanswered polls in a row after which a worker counts as lost.
+const LOST_AFTER_POLLS: u32 = 3;
+/// Time until the next attempt to poll a worker that has no address on the instance list.
+const UNLISTED_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Leases are renewed at least this often within their term.
 const RENEWALS_PER_TERM: u32 = 4;
-/// A task that ran for this many intervals is called once in one.
-const AGE_PER_CALL: u32 = 16;
+/// The poll interval is the age of the worker's youngest task divided by this.
+const AGE_PER_POLL_INTERVAL: u32 = 16;
--- a/crates/hall/src/worker_poll_task.rs
+++ b/crates/hall/src/worker_poll_task.rs
@@ -1,4 +1,4 @@
-//! One exchange with a worker: release what is given back, then renew or list in one message.
+//! One poll of a worker: releases leases, then renews or lists the others in one call.
 
 use std::time::Duration;
 
@@ -6,49 +6,49 @@
 use almondpass_schema::{ids, model, time};
 use tokio::time::Instant;
 
-/// What to tell a worker and ask of it.
+/// Parameters of one poll of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct PollPlan {
-    /// The worker.
+    /// The worker to poll.
     pub(crate) worker: ids::WorkerId,
-    /// Its control address.
+    /// The worker's control address.
     pub(crate) address: ids::PeerAddress,
-    /// Leases to release.
+    /// Leases to release before the query; no release is sent if empty.
     pub(crate) release: Vec<ids::LeaseId>,
-    /// What to ask.
+    /// The query for the leases that stay.
     pub(crate) query: PollQuery,
-    /// For each call.
+    /// Time limit of each of the two calls.
     pub(crate) deadline: Duration,
 }
 
-/// What to ask of a worker.
+/// Whether a poll renews or lists leases. Both return the state of leases.
 #[derive(Clone, Debug)]
 pub(crate) enum PollQuery {
-    /// Renew these leases.
+    /// Renew the leases that the scheduler holds.
     Renew {
-        /// The leases.
+        /// The held leases.
         leases: Vec<ids::LeaseId>,
-        /// Their new term.
+        /// How long they are valid from the renewal on.
         term: Duration,
     },
-    /// List every lease.
+    /// List every lease on the worker, also those that the scheduler doesn't know.
     List,
 }
 
-/// What a worker said.
+/// Result of one poll.
 #[derive(Clone, Debug)]
 pub(crate) struct PollReport {
-    /// What was asked.
+    /// The parameters of the poll.
     pub(crate) plan: PollPlan,
-    /// When the renewal was sent.
+    /// When the query was sent; the new term of renewed leases counts from then on.
     pub(crate) sent_at: Instant,
-    /// Whether the release was confirmed.
+    /// Whether the worker confirmed the release, or there was none.
     pub(crate) released: bool,
-    /// The leases; `None` without an answer.
+    /// The reply to the query; `None` if it failed or timed out.
     pub(crate) listing: Option<model::LeaseListing>,
 }
 
-/// Carries the plan out.
+/// Polls the worker. A failed release doesn't prevent the query.
 pub(crate) async fn run<W: WorkerControl>(workers: W, plan: PollPlan) -> PollReport {
     let released = release(&workers, &plan).await;
     let sent_at = Instant::now();
@@ -65,7 +65,7 @@
     let listing = match tokio::time::timeout(plan.deadline, listing).await {
         Ok(Ok(listing)) => Some(listing),
         Ok(Err(fault)) => {
-            tracing::debug!(worker = plan.worker, %fault, "a worker did not answer");
+            tracing::debug!(worker = plan.worker, %fault, "worker poll failed");
             None
         }
         Err(_) => None,
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -1,4 +1,4 @@
-//! What changes around a hall: configuration, instances, workers, drains.
+//! Updates of the hall's workers after a change of the configuration, the instance list or a drain order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,12 +19,13 @@
         if config.version <= self.config.version {
             return;
         }
-        let wall = self.wall_time();
-        if let Err(fault) = self.policy.configure(Arc::clone(&config.document), wall) {
-            // The rules let only documents in that fit, so this hall was taken out of it, or
-            // workers are gone that a guarantee needs. The old one goes on here.
+        let wall_now = self.wall_time();
+        if let Err(fault) = self.policy.configure(Arc::clone(&config.document), wall_now) {
+            // Documents are checked by the configuration rules before they get here. So this hall was
+            // removed from the document, or workers that a guarantee needs are gone. The scheduler keeps
+            // its previous configuration.
             tracing::error!(hall = self.hall, version = config.version, %fault,
-                "the policy cannot work with the configuration");
+                "policy rejected the configuration; the previous one stays in force for this hall");
             return;
         }
         self.config = config;
@@ -36,13 +37,13 @@
         let MembersChanged(members) = changed;
         self.members = members;
         let live = &self.members.instances;
-        // The exchanges of an instance that is gone were cut with it.
+        // The requests that an instance relayed ended with it, so no report of it is waited for.
         self.grants.unreported_entries.retain(|it| live.contains_key(it));
         self.release_unused_adopted();
         self.update_workers();
     }
 
-    /// Brings the workers in line with the configuration and the instance list.
+    /// Updates the set of workers from the configuration and the instance list.
     pub(crate) fn update_workers(&mut self) {
         let now = Instant::now();
         let layout = hall_layout::workers(&self.config, &self.hall);
@@ -54,11 +55,11 @@
                 .entry(name)
                 .or_insert_with(|| worker_node::WorkerNode::new(kind.clone(), now));
             node.kind = kind;
-            // A worker that dropped off the lagging list keeps its address: it may still hold
-            // leases, and only its silence says that it is gone.
+            // The instance list lags. A worker that it no longer names keeps its address, since it may
+            // still hold leases; it counts as lost only when it doesn't answer its polls.
             node.entry = entry.or_else(|| node.entry.take());
         }
-        // A worker taken out of the configuration is looked after until its work is over.
+        // A worker that was removed from the configuration is polled until its last lease ends.
         let leases = &self.leases;
         self.nodes
             .retain(|name, _| names.contains(name) || leases.on_worker(name).next().is_some());
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Tells the policy whether a worker takes new work.
+    /// Notifies the policy when a worker begins or stops draining.
     pub(crate) fn update_draining(&mut self, worker: &ids::WorkerId) {
         let draining = self.is_draining(worker);
         let Some(node) = self.nodes.get_mut(worker) else { return };
@@ -81,8 +82,8 @@
         }
     }
 
-    /// A worker drains when it leaves, when an operator says so, or when none of its upstreams
-    /// stays.
+    /// Whether a worker takes no new work: it leaves, an operator drains it, or each of its upstreams leaves
+    /// or is drained.
     fn is_draining(&self, worker: &str) -> bool {
         if hall_layout::is_worker_drained(&self.config, worker) {
             return true;
@@ -97,7 +98,7 @@
     }
 }
 
-/// Workers as the configuration and the instance list have them, before anything is known.
+/// The hall's workers by the configuration and the instance list, before any of them was polled.
 pub(crate) fn initial_nodes(
     config: &active::ActiveConfig,
     members: &almondpass_membership::snapshot::MemberSnapshot,
--- a/crates/hall/tests/hall/changes.rs
+++ b/crates/hall/tests/hall/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration, workers and upstreams.
+//! Tests of changes of the configuration, workers and upstreams.
 
 use almondpass_membership::home;
 use almondpass_schema::{model, time};
@@ -6,9 +6,8 @@
 use crate::support;
 
 cases! {
-    /// Symptom: work for an upstream that leaves.
-    /// Sequence: a worker's upstream is marked leaving while requests come.
-    /// Cause: a grant by what was known when the request arrived, or from a lease kept for later.
+    /// Guards against grants of slots on an upstream that is leaving. They come about if a request is granted
+    /// by the instance list of its arrival, or from a lease that was kept for later requests.
     a_leaving_upstream_gets_no_new_grant(site) {
         let instance = site.start_holder("a").await;
         let grant = instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
@@ -42,9 +41,9 @@
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
     }
 
-    /// Symptom: a request is told "busy" for ever, or goes to an upstream that is drained.
-    /// Sequence: an upstream is drained on every worker.
-    an_upstream_drained_everywhere_gets_nothing(site) {
+    /// Guards against two failures while an upstream is drained on every worker: its requests get "busy" for
+    /// ever, or are sent to the drained upstream.
+    an_upstream_drained_on_all_workers_gets_no_grant(site) {
         let instance = site.start_holder("a").await;
         site.change_config(|it| it.drains.push(model::DrainOrder {
             worker: None,
@@ -60,7 +59,7 @@
         assert!(refused, "found {reply:?}");
     }
 
-    a_new_hall_gets_a_scheduler_and_a_removed_one_loses_it(site) {
+    a_new_hall_gets_a_scheduler_and_a_removed_hall_loses_its(site) {
         let instance = site.start_holder("a").await;
         site.change_config(|it| {
             let mut hall = it.halls[0].clone();
@@ -73,9 +72,8 @@
         instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
-    /// Symptom: a key runs twice, once in each of two halls.
-    /// Sequence: a key is used; its upstream gets another hall; the key is offered again.
-    /// Cause: the home of a key computed from the halls of today.
+    /// Guards against running a request twice, in two halls. That happens if the home hall of an idempotency
+    /// key is computed from the upstream's current halls: after they change, a repeated key has another home.
     a_key_keeps_its_home_when_the_halls_change(site) {
         let before = model::UpstreamSpec {
             name: "u".to_owned(),
--- a/crates/hall/tests/hall/main.rs
+++ b/crates/hall/tests/hall/main.rs
@@ -1,6 +1,6 @@
-//! Hall schedulers on the paused clock, against the in-memory platform.
+//! Tests of hall schedulers with the clock paused and an in-memory platform.
 
-/// Names each case, gives it a site and pauses its clock.
+/// Defines tests that run with the clock paused; each gets a new site under the given name.
 macro_rules! cases {
     ($($(#[$comment:meta])* $name:ident($site:ident) $body:block)*) => {
         $(
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -1,4 +1,4 @@
-//! A small site with a few instances, and what tests ask of it.
+//! A small test site with a few instances, and helpers that call and observe it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Types of the tests.
+/// The real policy with in-memory fakes of all services.
 pub(crate) type TestBackend = backend::BackendOf<
     core::HallCore,
     table::TableFake,
@@ -39,10 +39,10 @@
 pub(crate) const SINGLE_RUN_JOB: &str = "print";
 /// Workers of a rack; most tests have one.
 pub(crate) const N_WORKERS: u32 = 8;
-/// Accelerators of each.
+/// Accelerators of each worker.
 pub(crate) const N_ACCELERATORS: u32 = 4;
 
-/// The platform and the network.
+/// The fake platform and network, and the configuration and instance list that all instances watch.
 pub(crate) struct TestSite {
     pub(crate) net: net::FakeNet,
     pub(crate) table: table::TableFake,
@@ -54,7 +54,7 @@
     n_keys: AtomicU64,
 }
 
-/// One instance, with the faults of its own ways to the platform.
+/// One instance, with fault plans for its own connections to the table, the objects and the workers.
 pub(crate) struct TestInstance {
     pub(crate) id: ids::InstanceId,
     pub(crate) address: ids::PeerAddress,
@@ -65,12 +65,12 @@
 }
 
 impl TestSite {
-    /// A site without instances.
+    /// A site with one rack and no instances.
     pub(crate) fn new() -> TestSite {
         TestSite::with_racks(1)
     }
 
-    /// A site with a hall of this many racks.
+    /// A site with a hall of `n_racks` racks and no instances.
     pub(crate) fn with_racks(n_racks: u32) -> TestSite {
         let document = Arc::new(document(n_racks));
         let site = TestSite {
@@ -80,7 +80,7 @@
             fleet: fleet::WorkerFleet::new(),
             config: watch::channel(active_config(1, Arc::clone(&document))).0,
             members: watch::channel(Arc::default()).0,
-            clock: clock::WallClock::starting_at(time::WallTime(EPOCH)),
+            clock: clock::WallClock::starting_at(time::WallTime(START_TIME)),
             n_keys: AtomicU64::new(0),
         };
         let workers = plan::workers_of(&document).into_iter().map(|it| {
@@ -100,7 +100,7 @@
         site
     }
 
-    /// Starts an instance.
+    /// Starts an instance and adds it to the instance list.
     pub(crate) fn start(&self, id: &str) -> TestInstance {
         let address = format!("{id}:peer");
         self.change_members(|members| {
@@ -150,14 +150,14 @@
         instance
     }
 
-    /// Takes an instance off the list, as after its death.
+    /// Removes an instance from the instance list, as happens after a crash.
     pub(crate) fn remove_member(&self, id: &str) {
         self.change_members(|members| {
             members.instances.remove(id);
         });
     }
 
-    /// Changes what is known of instances and workers.
+    /// Changes the list of instances and workers that all instances watch.
     pub(crate) fn change_members(&self, change: impl FnOnce(&mut snapshot::MemberSnapshot)) {
         self.members.send_modify(|it| change(Arc::make_mut(it)));
     }
@@ -170,30 +170,30 @@
         self.config.send_replace(active_config(active.version + 1, Arc::new(document)));
     }
 
-    /// Time of day.
+    /// Time of day at the site.
     pub(crate) fn now(&self) -> time::WallTime {
         self.clock.now()
     }
 
-    /// A new key for a request that may run only once.
+    /// A new, unique idempotency key.
     pub(crate) fn key(&self) -> ids::IdempotencyKey {
         let number = self.n_keys.fetch_add(1, Ordering::Relaxed);
         numbered_key(self.now(), number)
     }
 
-    /// Reads a row past all faults.
+    /// Reads a row directly, unaffected by injected faults.
     pub(crate) fn row<R: DeserializeOwned>(&self, key: &str) -> Option<R> {
         let rows = self.table.peek(key);
         let row = rows.into_iter().find(|it| it.key == key)?;
         rmp_serde::from_slice(&row.value?).ok()
     }
 
-    /// Who schedules the hall, by its row.
+    /// The row that names the hall's holder.
     pub(crate) fn scheduler(&self) -> Option<model::SchedulerRow> {
         self.row(&keys::scheduler(HALL))
     }
 
-    /// The row of a job.
+    /// The row of a job; `None` if there is none.
     pub(crate) fn job(&self, job: ids::JobId) -> Option<model::JobRecord> {
         self.row(&keys::job(ACCOUNT, &job))
     }
@@ -204,42 +204,42 @@
         wait_until(&step, async || self.job(job).is_some_and(|it| it.state == state)).await;
     }
 
-    /// Tasks of a job that run now.
+    /// Number of a job's tasks that run now.
     pub(crate) fn n_running_tasks(&self, job: ids::JobId) -> usize {
         let runs = self.fleet.runs();
         runs.iter().filter(|it| it.job == job && it.ended.is_none()).count()
     }
 
-    /// Times at which part of a gang ran without the rest for longer than `slack`.
+    /// Number of intervals longer than `slack` in which only part of a gang ran.
     pub(crate) fn partial_runs(&self, job: ids::JobId, n_tasks: usize, slack: Duration) -> usize {
         let runs = self.fleet.runs();
         let runs = runs.iter().filter(|it| it.job == job).collect::<Vec<_>>();
         let ends = runs.iter().filter_map(|it| it.ended.as_ref().map(|it| it.at));
-        let mut edges = runs.iter().map(|it| it.started).chain(ends).collect::<Vec<_>>();
-        edges.push(Instant::now());
-        edges.sort();
-        let spans = edges.windows(2).filter(|it| slack < it[1] - it[0]);
+        let mut change_times = runs.iter().map(|it| it.started).chain(ends).collect::<Vec<_>>();
+        change_times.push(Instant::now());
+        change_times.sort();
+        let spans = change_times.windows(2).filter(|it| slack < it[1] - it[0]);
         let partial = spans.filter(|span| {
-            let n_up = runs.iter().filter(|it| it.overlaps(span[0], span[1])).count();
-            n_up != 0 && n_up != n_tasks
+            let n_running = runs.iter().filter(|it| it.overlaps(span[0], span[1])).count();
+            n_running != 0 && n_running != n_tasks
         });
         partial.count()
     }
 }
 
 impl TestInstance {
-    /// Whether it schedules the hall.
+    /// Whether this instance schedules the hall.
     pub(crate) fn holds(&self) -> bool {
         let beats = self.service.summaries();
         beats.iter().any(|it| it.hall == HALL)
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     pub(crate) async fn grant(&self, request: model::GrantRequest) -> model::GrantReply {
         self.service.ask(request).await.expect(ANSWER)
     }
 
-    /// Asks for a slot and expects it.
+    /// Requests a slot and expects that it is granted.
     pub(crate) async fn expect_grant(&self, request: model::GrantRequest) -> model::SlotGrant {
         match self.grant(request).await {
             model::GrantReply::Granted { grant } => grant,
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Gives a slot back.
+    /// Returns a granted slot with the outcome of its request.
     pub(crate) async fn return_grant(
         &self,
         grant: &model::SlotGrant,
@@ -257,7 +257,7 @@
         self.service.ask(returns).await.expect(ANSWER);
     }
 
-    /// Submits a job.
+    /// Submits a job to the hall.
     pub(crate) async fn submit(
         &self,
         job: ids::JobId,
@@ -272,7 +272,7 @@
         self.service.ask(submit).await.expect(ANSWER)
     }
 
-    /// Submits a gang and waits until its row says that it runs.
+    /// Submits a gang and waits until its row is in state running.
     pub(crate) async fn run_gang(&self, site: &TestSite, class: &str, n_tasks: u32) -> ids::JobId {
         let job = site.key();
         expect_record(self.submit(job, gang_submission(class, n_tasks)).await);
@@ -280,24 +280,24 @@
         job
     }
 
-    /// Cancels a job.
+    /// Requests that a job be cancelled.
     pub(crate) async fn cancel(&self, job: ids::JobId) -> model::JobReply {
         let cancel = model::JobCancel { job, hall: HALL.to_owned(), account: ACCOUNT.to_owned() };
         self.service.ask(cancel).await.expect(ANSWER)
     }
 
-    /// Asks for a job.
+    /// Queries the state of a job.
     pub(crate) async fn query(&self, job: ids::JobId) -> model::JobReply {
         let query = model::JobQuery { job, hall: HALL.to_owned(), account: ACCOUNT.to_owned() };
         self.service.ask(query).await.expect(ANSWER)
     }
 
-    /// Cuts it off from the table, as by a failure of the network between them.
+    /// Makes the table stop answering this instance, as in a network partition between them.
     pub(crate) fn cut_off_from_table(&self) {
         self.table_faults.set(fault::Condition::Silent);
     }
 
-    /// Kills it, as far as anybody else can see: nothing it does has an effect any more.
+    /// Simulates a crash: no call of this instance has an effect any more, and the others lose sight of it.
     pub(crate) fn crash(&self, site: &TestSite) {
         self.table_faults.set(fault::Condition::Silent);
         self.object_faults.set(fault::Condition::Silent);
@@ -307,7 +307,7 @@
     }
 }
 
-/// A request for a slot.
+/// A request for a slot without an idempotency key; its deadline is 10 s from now.
 pub(crate) fn request(site: &TestSite, class: &str) -> model::GrantRequest {
     model::GrantRequest {
         request: site.key(),
@@ -322,7 +322,7 @@
     }
 }
 
-/// Gives a slot back.
+/// The message that returns one granted slot.
 pub(crate) fn grant_returns(
     grant: &model::SlotGrant,
     outcome: model::RequestOutcome,
@@ -342,12 +342,12 @@
     }
 }
 
-/// A request that may run only once.
+/// A request with an idempotency key, which may run only once.
 pub(crate) fn request_with_key(site: &TestSite, key: ids::IdempotencyKey) -> model::GrantRequest {
     model::GrantRequest { idempotency: Some(key), ..request(site, SINGLE_RUN_REQUEST) }
 }
 
-/// A gang of tasks with one worker's accelerators each.
+/// A submission of a gang whose tasks each need all accelerators of one worker.
 pub(crate) fn gang_submission(class: &str, n_tasks: u32) -> model::JobSubmission {
     let submission = json!({
         "class": class,
@@ -358,7 +358,7 @@
     serde_json::from_value(submission).expect("a valid submission")
 }
 
-/// The record of an accepted job.
+/// The job record in a reply; panics on any other reply.
 pub(crate) fn expect_record(reply: model::JobReply) -> model::JobRecord {
     match reply {
         model::JobReply::Record { record } => record,
@@ -366,39 +366,40 @@
     }
 }
 
-/// A key made at some time.
+/// An idempotency key with the given creation time.
 pub(crate) fn key_made_at(made_at: time::WallTime) -> ids::IdempotencyKey {
     numbered_key(made_at, 0)
 }
 
-/// A UUIDv7 without random bits, so that every run of a test is the same.
+/// A UUIDv7 without random bits, so that all runs of a test are identical.
 fn numbered_key(made_at: time::WallTime, number: u64) -> ids::IdempotencyKey {
-    let millis = u64::try_from(made_at.0.as_millis()).expect("a time of this age");
+    let millis =
+        u64::try_from(made_at.0.as_millis()).expect("milliseconds since 1970 fit into 64 bits");
     let mut bytes = [0; 10];
     bytes[2..].copy_from_slice(&number.to_be_bytes());
     uuid::Builder::from_unix_timestamp_millis(millis, &bytes).into_uuid()
 }
 
-/// Lets time pass until something holds; fails after a while that no test needs.
+/// Lets time pass until `check` holds; panics after `WAIT_LIMIT`.
 pub(crate) async fn wait_until(step: &str, mut check: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !check().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain until {step}");
+        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting until {step}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Lets time pass.
+/// Lets the paused clock advance by `span`.
 pub(crate) async fn advance(span: Duration) {
     tokio::time::sleep(span).await;
 }
 
-/// Seconds.
+/// A duration of `n` seconds.
 pub(crate) const fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-/// Tasks that run for `run` and succeed.
+/// A script for tasks that run for `run` and succeed.
 pub(crate) fn task_script(run: Duration) -> script::TaskScript {
     script::TaskScript::lasting(run)
 }
@@ -458,8 +459,8 @@
 }
 
 /// The time of day at which tests begin.
-const EPOCH: Duration = Duration::from_secs(1_800_000_000);
+const START_TIME: Duration = Duration::from_secs(1_800_000_000);
 /// Longer than any step of a test takes.
-const PATIENCE: Duration = Duration::from_secs(300);
-/// Only a submission to a scheduler that stops goes without one.
+const WAIT_LIMIT: Duration = Duration::from_secs(300);
+/// What `expect` on a reply names. Only a submission to a scheduler that stops gets no reply.
 pub(crate) const ANSWER: &str = "an answer";
