--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -133,11 +133,11 @@
             return;
         }
         (Some(item), None) => {
-            actor.requeue_row(job);
+            actor.set_queued(job);
             apply(actor, event::HallEvent::Arrived(item));
         }
         // The job's class was removed from the configuration: the job waits until the class is back.
-        (None, _) => actor.requeue_row(job),
+        (None, _) => actor.set_queued(job),
     }
     if cancelled {
         apply(actor, event::HallEvent::Cancelled(job));
