--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -159,7 +159,7 @@
         !self.frozen && !self.fenced && self.tenure.may_act()
     }
 
-    /// Whether the tenure is certain to be valid still, so that no other instance can hold the hall.
+    /// Whether the tenure is certainly valid, so that no other instance can hold the hall.
     pub(crate) fn is_sole_holder(&self) -> bool {
         !self.fenced && self.tenure.status() == tenure::TenureStatus::Firm
     }
--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -47,7 +47,7 @@
         adopt_job(actor, record, &listed, listings);
     }
     adopt_slots(actor, listings);
-    enter_strays(actor, listings);
+    insert_stray_leases(actor, listings);
     for worker in &workers {
         let node = actor.nodes.get_mut(worker).expect("the worker was just listed");
         if listings.contains_key(worker) {
@@ -63,21 +63,21 @@
 /// Releases all leases that are entered for release and waits for the workers' replies, so that the
 /// first placements don't collide with leases of earlier tenures.
 pub(crate) async fn release_stray_leases<B: backend::HallBackend>(actor: &mut HallActor<B>) {
-    let mut tasks = JoinSet::new();
+    let mut releases = JoinSet::new();
     for (worker, node) in &actor.nodes {
         let leases = actor.leases.names_in_state(worker, LeaseState::Releasing);
         let Some(address) = node.address().cloned().filter(|_| !leases.is_empty()) else {
             continue;
         };
         let workers = actor.ports.workers.clone();
-        tasks.spawn(async move {
+        releases.spawn(async move {
             let release = model::LeaseRelease { leases: leases.clone() };
             let released = workers.release(&address, release);
             let released = tokio::time::timeout(RELEASE_DEADLINE, released).await;
             matches!(released, Ok(Ok(_))).then_some(leases)
         });
     }
-    while let Some(released) = tasks.join_next().await {
+    while let Some(released) = releases.join_next().await {
         for lease in released.ok().flatten().into_iter().flatten() {
             // These are not only stray leases: they include those of a gang that ended while no
             // scheduler ran. Its end is recorded when its last lease is removed.
@@ -146,7 +146,7 @@
 }
 
 /// Members of the latest start of which every rank runs, or may run on a worker that did not answer.
-/// `None` if no start is complete; its leases are then released, since part of a gang must not run.
+/// `None` if no start is complete; the job's leases are then released, since part of a gang must not run.
 fn complete_gang(
     record: &model::JobRecord,
     listed: Option<&BTreeMap<StartNumber, BTreeMap<u32, ListedTask>>>,
@@ -193,8 +193,8 @@
     }
 }
 
-/// A member on a worker that did not answer, as the row placed it. `None` if the worker answered: then
-/// the member doesn't run, since its lease wasn't listed.
+/// A member on a worker that did not answer, as the row placed it. `None` if the row doesn't place the rank,
+/// or if its worker answered: then the task doesn't run, since the worker didn't list its lease.
 fn unanswered_member(
     placement: &[model::TaskPlacement],
     rank: u32,
@@ -347,7 +347,11 @@
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
-fn enter_strays<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
+/// Enters for release all listed leases that belong to no adopted gang or slot.
+fn insert_stray_leases<B: backend::HallBackend>(
+    actor: &mut HallActor<B>,
+    listings: &LeaseListings,
+) {
     for (worker, listing) in listings {
         for status in &listing.leases {
             if actor.leases.get(&status.lease).is_some() {
--- a/crates/hall/src/backend.rs
+++ b/crates/hall/src/backend.rs
@@ -20,7 +20,7 @@
     type Link: link::PeerLink;
 }
 
-/// A [`HallBackend`] made of the given policy, table, object store, workers and link. Only a type; never constructed.
+/// A [`HallBackend`] made of the given policy, table, object store, workers and link. Never constructed.
 pub struct BackendOf<P, T, O, W, L>(PhantomData<TypeBundle<P, T, O, W, L>>);
 
 type TypeBundle<P, T, O, W, L> = fn() -> (P, T, O, W, L);
--- a/crates/hall/src/metric.rs
+++ b/crates/hall/src/metric.rs
@@ -37,13 +37,13 @@
     gauge("almondpass_hall_held", hall, f64::from(u8::from(held)));
 }
 
-/// Records for how many seconds the tenure is valid still, measured when a renewal succeeds.
-pub(crate) fn tenure_margin(hall: &str, firm_until: Instant) {
-    let left = firm_until.saturating_duration_since(Instant::now());
-    histogram("almondpass_tenure_margin_seconds", hall, left);
+/// Records the remaining validity of the tenure, in seconds, just after its renewal.
+pub(crate) fn tenure_margin(hall: &str, valid_until: Instant) {
+    let remaining = valid_until.saturating_duration_since(Instant::now());
+    histogram("almondpass_tenure_margin_seconds", hall, remaining);
 }
 
-/// Counts a renewal of the tenure that got no answer.
+/// Counts a renewal of the tenure that failed or timed out.
 pub(crate) fn renewal_failed(hall: &str) {
     count("almondpass_tenure_renewal_failures_total", hall);
 }
@@ -53,14 +53,14 @@
     histogram("almondpass_takeover_seconds", hall, span);
 }
 
-/// Records the seconds from the decision to leave until the successor was notified.
+/// Records the seconds from the start of a handover to the end of the successor's notification.
 pub(crate) fn hand_over(hall: &str, span: Duration) {
     histogram("almondpass_hand_over_seconds", hall, span);
 }
 
-/// Records for how many seconds a worker lease was valid still when it was renewed.
-pub(crate) fn lease_margin(hall: &str, left: Duration) {
-    histogram("almondpass_lease_margin_seconds", hall, left);
+/// Records the remaining validity of a worker lease, in seconds, just before its renewal.
+pub(crate) fn lease_margin(hall: &str, remaining: Duration) {
+    histogram("almondpass_lease_margin_seconds", hall, remaining);
 }
 
 /// Counts a worker lease that lapsed although the scheduler still held it.
@@ -89,7 +89,8 @@
     histogram("almondpass_policy_turn_seconds", hall, span);
 }
 
-/// Sets the gauges of a hall's free accelerators, its fragmentation and its queue length.
+/// Sets the gauges of a hall's free accelerators, longest run of adjacent free accelerators, queue length
+/// and fragmentation.
 pub(crate) fn capacity(hall: &ids::HallName, beat: &model::HallBeat, fragmentation: f64) {
     gauge("almondpass_free_accelerators", hall, f64::from(beat.free_accelerators));
     gauge("almondpass_longest_free_run", hall, f64::from(beat.longest_run));
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -77,8 +77,8 @@
     }
 
     /// Passes a call to the scheduler of its hall and returns the reply. If another instance schedules the
-    /// hall, the reply redirects to it. `None` if the scheduler stopped while the call was in progress, so
-    /// that it is unknown whether the call had an effect.
+    /// hall, the reply redirects to it. `None` if the scheduler stopped
+    /// during a call that must not be resent: then it is unknown whether the call had an effect.
     pub async fn ask<C: SchedulerCall>(&self, call: C) -> Option<C::Reply> {
         let Some(mut state) = self.state(call.hall()) else { return Some(C::not_holder(None)) };
         // During a takeover a call waits until the scheduler runs, instead of being refused.
--- a/crates/hall/src/worker_poll.rs
+++ b/crates/hall/src/worker_poll.rs
@@ -108,7 +108,8 @@
     }
 
     /// Compares a full list of a worker's leases with the lease table. Held leases that the list lacks have
-    /// lapsed; unknown leases are entered for release. Returns whether all listed leases were known.
+    /// lapsed, except those that may have been reserved after the list was requested. Unknown leases are
+    /// entered for release. Returns whether all listed leases were known.
     fn reconcile(
         &mut self,
         worker: &ids::WorkerId,
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Removes a lease that lapsed on its worker without having been released by the scheduler.
+    /// Removes a lease that lapsed on its worker. It is counted and logged if the scheduler still held it.
     pub(crate) fn lease_lapsed(&mut self, lease: &ids::LeaseId, worker: &ids::WorkerId) {
         let Some(entry) = self.leases.get(lease) else { return };
         if entry.state == LeaseState::Held {
@@ -251,7 +252,7 @@
     }
 }
 
-/// Unanswered polls in a row after which a worker counts as lost.
+/// Failed polls in a row after which a worker counts as lost.
 const LOST_AFTER_POLLS: u32 = 3;
 /// Time until the next attempt to poll a worker that has no address on the instance list.
 const UNLISTED_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -14,8 +14,8 @@
 use crate::worker_node;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    pub(crate) fn on_config_changed(&mut self, configured: ConfigChanged) {
-        let ConfigChanged(config) = configured;
+    pub(crate) fn on_config_changed(&mut self, changed: ConfigChanged) {
+        let ConfigChanged(config) = changed;
         if config.version <= self.config.version {
             return;
         }
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -29,15 +29,15 @@
 pub(crate) const HALL: &str = "vadodara";
 /// The account of most tests.
 pub(crate) const ACCOUNT: &str = "utility";
-/// Requests that may run more than once.
+/// Class of requests that may run more than once.
 pub(crate) const REPEATABLE_REQUEST: &str = "check";
-/// Requests that may run only once.
+/// Class of requests that may run only once.
 pub(crate) const SINGLE_RUN_REQUEST: &str = "ticket";
-/// Jobs that may run more than once.
+/// Class of jobs that may run more than once.
 pub(crate) const REPEATABLE_JOB: &str = "batch";
-/// Jobs that may run only once.
+/// Class of jobs that may run only once.
 pub(crate) const SINGLE_RUN_JOB: &str = "print";
-/// Workers of a rack; most tests have one.
+/// Workers of a rack; the hall of most tests has one rack.
 pub(crate) const N_WORKERS: u32 = 8;
 /// Accelerators of each worker.
 pub(crate) const N_ACCELERATORS: u32 = 4;
