--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -42,13 +42,13 @@
     pub(crate) intents: intent_task::IntentState,
     /// Events that are applied to the policy after a delay, such as a start withdrawn during an outage:
     /// if the policy saw it at once, it would make the same decision again in a tight loop.
-    pub(crate) deferred: VecDeque<DeferredEvent>,
+    pub(crate) deferred_events: VecDeque<DeferredEvent>,
     /// Set once a newer tenure of the hall was observed; never reset.
     pub(crate) fenced: bool,
     /// Mirrors `fenced` to the contender, which then relinquishes the hall.
     pub(crate) fence_signal: watch::Sender<bool>,
     /// Reply channel of a handover: answered once no write and no start is in flight.
-    pub(crate) freeze: Option<oneshot::Sender<()>>,
+    pub(crate) freeze_reply: Option<oneshot::Sender<()>>,
     /// Set by a handover: the scheduler begins no new work.
     pub(crate) frozen: bool,
     pub(crate) summary: watch::Sender<Option<model::HallBeat>>,
@@ -177,7 +177,7 @@
 
     /// Applies an event to the policy in the first round after `at`.
     pub(crate) fn defer_event(&mut self, at: Instant, event: event::HallEvent) {
-        self.deferred.push_back(DeferredEvent { at, event });
+        self.deferred_events.push_back(DeferredEvent { at, event });
     }
 
     /// Address of this actor, to which spawned tasks send their results.
@@ -212,7 +212,7 @@
     fn on_freeze(&mut self, _: Freeze) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.frozen = true;
-        self.freeze = Some(sender);
+        self.freeze_reply = Some(sender);
         self.finish_freeze();
         receiver
     }
@@ -220,14 +220,14 @@
     /// Replies to a pending [`Freeze`] once no write and no start is in flight. The successor reads rows
     /// and leases, and would treat a gang in the middle of its start as incomplete.
     pub(crate) fn finish_freeze(&mut self) {
-        if self.freeze.is_none() {
+        if self.freeze_reply.is_none() {
             return;
         }
         let busy = self.jobs.is_busy() || self.intents.is_busy() || self.grants.is_starting();
         if busy {
             return;
         }
-        if let Some(freeze) = self.freeze.take() {
+        if let Some(freeze) = self.freeze_reply.take() {
             self.grants.drop_reply_senders();
             let _ = freeze.send(());
         }
--- a/crates/hall/src/gangs.rs
+++ b/crates/hall/src/gangs.rs
@@ -87,7 +87,7 @@
         upstream: ids::UpstreamName,
     ) -> Option<gang_task::GangPlan> {
         let entry = self.jobs.entries.get_mut(&job)?;
-        if entry.gang.is_some() || entry.is_over() {
+        if entry.gang.is_some() || entry.has_ended() {
             return None;
         }
         entry.n_starts += 1;
@@ -222,7 +222,7 @@
                 entry.record.state_since = wall;
                 let (account, class) =
                     (entry.record.account.clone(), entry.record.submission.class.clone());
-                metric::wait(&account, &class, waited);
+                metric::wait_time(&account, &class, waited);
                 self.mark_dirty(job);
                 self.apply_event(event::HallEvent::Started(job));
                 for worker in self.gang_workers(job) {
--- a/crates/hall/src/metric.rs
+++ b/crates/hall/src/metric.rs
@@ -6,22 +6,22 @@
 use tokio::time::Instant;
 
 /// Records the seconds from the arrival of work to its start.
-pub(crate) fn wait(account: &str, class: &str, span: Duration) {
+pub(crate) fn wait_time(account: &str, class: &str, span: Duration) {
     record("almondpass_wait_seconds", account, class, span);
 }
 
 /// Records the seconds from the start of work to its end.
-pub(crate) fn run(account: &str, class: &str, span: Duration) {
+pub(crate) fn run_time(account: &str, class: &str, span: Duration) {
     record("almondpass_run_seconds", account, class, span);
 }
 
 /// Records the seconds from the arrival of work to its end.
-pub(crate) fn completion(account: &str, class: &str, span: Duration) {
+pub(crate) fn completion_time(account: &str, class: &str, span: Duration) {
     record("almondpass_completion_seconds", account, class, span);
 }
 
 /// Records the seconds from the decision to stop a gang until its accelerators were free.
-pub(crate) fn reclaim(account: &str, class: &str, span: Duration) {
+pub(crate) fn reclaim_time(account: &str, class: &str, span: Duration) {
     record("almondpass_reclaim_seconds", account, class, span);
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// Sets whether this instance holds the hall: 1 or 0.
-pub(crate) fn ownership(hall: &str, held: bool) {
+pub(crate) fn hall_held(hall: &str, held: bool) {
     gauge("almondpass_hall_held", hall, f64::from(u8::from(held)));
 }
 
@@ -49,12 +49,12 @@
 }
 
 /// Records the seconds from acquiring a hall's tenure to the first scheduling decision.
-pub(crate) fn takeover(hall: &str, span: Duration) {
+pub(crate) fn takeover_time(hall: &str, span: Duration) {
     histogram("almondpass_takeover_seconds", hall, span);
 }
 
 /// Records the seconds from the start of a handover to the end of the successor's notification.
-pub(crate) fn hand_over(hall: &str, span: Duration) {
+pub(crate) fn hand_over_time(hall: &str, span: Duration) {
     histogram("almondpass_hand_over_seconds", hall, span);
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Records the seconds until an intent was durable; `place` is the store that holds it.
-pub(crate) fn intent(hall: &str, place: &'static str, span: Duration) {
+pub(crate) fn intent_write_time(hall: &str, place: &'static str, span: Duration) {
     metrics::histogram!("almondpass_intent_seconds", "hall" => hall.to_owned(), "place" => place)
         .record(span.as_secs_f64());
 }
--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -30,12 +30,12 @@
     }
 
     fn apply_deferred_events(&mut self, now: Instant) {
-        for _ in 0..self.deferred.len() {
-            let Some(deferred) = self.deferred.pop_front() else { return };
+        for _ in 0..self.deferred_events.len() {
+            let Some(deferred) = self.deferred_events.pop_front() else { return };
             if deferred.at <= now {
                 self.apply_event(deferred.event);
             } else {
-                self.deferred.push_back(deferred);
+                self.deferred_events.push_back(deferred);
             }
         }
     }
@@ -136,11 +136,11 @@
         let wall_now = self.wall_time();
         let policy = self.policy.next_wake(wall_now).filter(|_| self.may_act());
         let policy = policy.map(|it| now + it.since(wall_now).max(SHORTEST_WAKE));
-        let syncs = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
+        let polls = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
         let commit = self.jobs.next_commit_at.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
-        let deferred = self.deferred.iter().map(|it| it.at).min();
-        let timers = [policy, syncs, commit, flush, deferred, self.grants.next_expiry()];
+        let deferred = self.deferred_events.iter().map(|it| it.at).min();
+        let timers = [policy, polls, commit, flush, deferred, self.grants.next_expiry()];
         let next = timers.into_iter().flatten().min();
         let latest = now + SUMMARY_INTERVAL;
         next.unwrap_or(latest).clamp(now + SHORTEST_WAKE, latest)
--- a/crates/hall/src/service.rs
+++ b/crates/hall/src/service.rs
@@ -77,8 +77,8 @@
     }
 
     /// Passes a call to the scheduler of its hall and returns the reply. If another instance schedules the
-    /// hall, the reply redirects to it. `None` if the scheduler stopped
-    /// during a call that must not be resent: then it is unknown whether the call had an effect.
+    /// hall, the reply redirects to it. `None` if the scheduler stopped during a call that must not
+    /// be resent: then it is unknown whether the call had an effect.
     pub async fn ask<C: SchedulerCall>(&self, call: C) -> Option<C::Reply> {
         let Some(mut state) = self.state(call.hall()) else { return Some(C::not_holder(None)) };
         // During a takeover a call waits until the scheduler runs, instead of being refused.
@@ -102,7 +102,7 @@
     }
 
     /// Handles the request of a leaving holder that this instance acquire a hall.
-    pub fn hand_over(&self, call: &model::HandOver) -> model::Ack {
+    pub fn on_hand_over_request(&self, call: &model::HandOver) -> model::Ack {
         if let Some(handle) = self.contenders().get(&call.hall) {
             handle.hand_over_requested.notify_one();
         }
@@ -251,7 +251,7 @@
             model::JobCancel::PATH => self.serve_call::<model::JobCancel>(&body).await,
             model::HallQuery::PATH => self.serve_call::<model::HallQuery>(&body).await,
             model::HandOver::PATH => {
-                dispatch::answer(&body, async |call| self.hand_over(&call)).await
+                dispatch::answer(&body, async |call| self.on_hand_over_request(&call)).await
             }
             _ => None,
         }
--- a/crates/hall/src/worker_node.rs
+++ b/crates/hall/src/worker_node.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerNode {
     /// Latest entry of the worker on the instance list; `None` until it was listed once.
-    pub(crate) entry: Option<snapshot::WorkerEntry>,
+    pub(crate) member_entry: Option<snapshot::WorkerEntry>,
     /// Hardware of the worker, by the configuration.
     pub(crate) kind: model::WorkerKind,
     /// Whether the policy may place work on the worker.
@@ -36,7 +36,7 @@
     /// A worker that was never polled; its first poll is due at `now`.
     pub(crate) fn new(kind: model::WorkerKind, now: Instant) -> WorkerNode {
         WorkerNode {
-            entry: None,
+            member_entry: None,
             kind,
             state: NodeState::LeasesUnknown,
             draining: false,
@@ -48,12 +48,12 @@
 
     /// Control address of the worker; `None` if it was never listed.
     pub(crate) fn address(&self) -> Option<&ids::PeerAddress> {
-        self.entry.as_ref().map(|it| &it.address)
+        self.member_entry.as_ref().map(|it| &it.address)
     }
 
     /// Address of an upstream on this worker; `None` if the worker doesn't run it or it is leaving.
     pub(crate) fn upstream_address(&self, name: &str) -> Option<&ids::PeerAddress> {
-        let upstreams = self.entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
+        let upstreams = self.member_entry.as_ref().map_or(&[][..], |it| it.upstreams.as_slice());
         let found = upstreams.iter().find(|it| it.upstream == name && !it.leaving)?;
         Some(&found.address)
     }
--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -57,7 +57,7 @@
             node.kind = kind;
             // The instance list lags. A worker that it no longer names keeps its address, since it may
             // still hold leases; it counts as lost only when it doesn't answer its polls.
-            node.entry = entry.or_else(|| node.entry.take());
+            node.member_entry = entry.or_else(|| node.member_entry.take());
         }
         // A worker that was removed from the configuration is polled until its last lease ends.
         let leases = &self.leases;
@@ -88,7 +88,7 @@
         if hall_layout::is_worker_drained(&self.config, worker) {
             return true;
         }
-        let Some(entry) = self.nodes.get(worker).and_then(|it| it.entry.as_ref()) else {
+        let Some(entry) = self.nodes.get(worker).and_then(|it| it.member_entry.as_ref()) else {
             return false;
         };
         let stays = |it: &almondpass_membership::snapshot::UpstreamEntry| {
@@ -108,7 +108,7 @@
     let layout = hall_layout::workers(config, hall);
     let nodes = layout.into_iter().map(|(name, kind)| {
         let mut node = worker_node::WorkerNode::new(kind, now);
-        node.entry = members.workers.get(&name).cloned();
+        node.member_entry = members.workers.get(&name).cloned();
         (name, node)
     });
     nodes.collect()
