--- a/crates/hall/src/actor.rs
+++ b/crates/hall/src/actor.rs
@@ -227,9 +227,9 @@
         if busy {
             return;
         }
-        if let Some(freeze) = self.freeze_reply.take() {
+        if let Some(reply) = self.freeze_reply.take() {
             self.grants.drop_reply_senders();
-            let _ = freeze.send(());
+            let _ = reply.send(());
         }
     }
 }
--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -103,15 +103,15 @@
 
     fn hall_beat(&self, picture: &model::HallPicture) -> model::HallBeat {
         let mut free = 0;
-        let mut run = 0;
-        let mut longest = 0;
+        let mut free_run = 0;
+        let mut longest_run = 0;
         for worker in &picture.workers {
             for view in &worker.accelerators {
                 let is_free = view.state == model::AcceleratorState::Free
                     && worker.state == model::WorkerState::Live;
                 free += u32::from(is_free);
-                run = if is_free { run + 1 } else { 0 };
-                longest = longest.max(run);
+                free_run = if is_free { free_run + 1 } else { 0 };
+                longest_run = longest_run.max(free_run);
             }
         }
         let queued = u32::try_from(picture.queue.len()).unwrap_or(u32::MAX);
@@ -119,7 +119,7 @@
             hall: self.hall.clone(),
             epoch: self.tenure.epoch(),
             free_accelerators: free,
-            longest_run: longest,
+            longest_run,
             queued,
             wait: time::TimeSpan(self.oldest_wait()),
         }
@@ -135,7 +135,7 @@
     fn next_wake(&self, now: Instant) -> Instant {
         let wall_now = self.wall_time();
         let policy = self.policy.next_wake(wall_now).filter(|_| self.may_act());
-        let policy = policy.map(|it| now + it.since(wall_now).max(SHORTEST_WAKE));
+        let policy = policy.map(|it| now + it.since(wall_now).max(MIN_WAKE_DELAY));
         let polls = self.nodes.values().filter(|it| !it.polling).map(|it| it.next_poll).min();
         let commit = self.jobs.next_commit_at.filter(|_| !self.jobs.committing);
         let flush = self.intents.flush_at.filter(|_| self.intents.cursors.is_some());
@@ -143,11 +143,11 @@
         let timers = [policy, polls, commit, flush, deferred, self.grants.next_expiry()];
         let next = timers.into_iter().flatten().min();
         let latest = now + SUMMARY_INTERVAL;
-        next.unwrap_or(latest).clamp(now + SHORTEST_WAKE, latest)
+        next.unwrap_or(latest).clamp(now + MIN_WAKE_DELAY, latest)
     }
 }
 
 /// Time between two summaries, and the longest time between two rounds.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest time until a round that a timer starts. A notification of `wake` starts one at once.
-const SHORTEST_WAKE: Duration = Duration::from_millis(1);
+const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -297,7 +297,8 @@
         self.table_faults.set(fault::Condition::Silent);
     }
 
-    /// Simulates a crash: no call of this instance has an effect any more, and the others lose sight of it.
+    /// Simulates a crash: no call of this instance has an effect any more, no call reaches it, and it is
+    /// removed from the instance list.
     pub(crate) fn crash(&self, site: &TestSite) {
         self.table_faults.set(fault::Condition::Silent);
         self.object_faults.set(fault::Condition::Silent);
@@ -462,5 +463,5 @@
 const START_TIME: Duration = Duration::from_secs(1_800_000_000);
 /// Longer than any step of a test takes.
 const WAIT_LIMIT: Duration = Duration::from_secs(300);
-/// What `expect` on a reply names. Only a submission to a scheduler that stops gets no reply.
+/// Message of `expect` on replies. Only a submission to a scheduler that stops gets no reply.
 pub(crate) const ANSWER: &str = "an answer";
