--- a/crates/hall/src/worker_updates.rs
+++ b/crates/hall/src/worker_updates.rs
@@ -39,7 +39,7 @@
         let live = &self.members.instances;
         // The requests that an instance relayed ended with it, so no report of it is waited for.
         self.grants.unreported_entries.retain(|it| live.contains_key(it));
-        self.release_unused_adopted();
+        self.release_unused_adopted_slots();
         self.update_workers();
     }
 
