--- a/crates/hall/src/round.rs
+++ b/crates/hall/src/round.rs
@@ -65,7 +65,7 @@
             }
             decision::Decision::GuaranteeChanged { account, guarantee, state, reason } => {
                 tracing::info!(hall = self.hall, account, guarantee, state = %state,
-                    reason = reason.text, "guarantee state changed");
+                    reason = reason.text, "a guarantee changed its state");
                 return;
             }
         };
--- a/crates/hall/src/worker_poll_task.rs
+++ b/crates/hall/src/worker_poll_task.rs
@@ -65,7 +65,7 @@
     let listing = match tokio::time::timeout(plan.deadline, listing).await {
         Ok(Ok(listing)) => Some(listing),
         Ok(Err(fault)) => {
-            tracing::debug!(worker = plan.worker, %fault, "worker poll failed");
+            tracing::debug!(worker = plan.worker, %fault, "worker did not answer the poll");
             None
         }
         Err(_) => None,
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -385,7 +385,7 @@
 pub(crate) async fn wait_until(step: &str, mut check: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !check().await {
-        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting until {step}");
+        assert!(started.elapsed() < WAIT_LIMIT, "waited in vain until {step}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
