--- a/crates/hall/src/commit.rs
+++ b/crates/hall/src/commit.rs
@@ -1,4 +1,4 @@
-//! Writes the rows of jobs in groups, each group a transaction under the tenure.
+//! Writes job rows in batches. Each batch is one table transaction, conditional on the tenure.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,101 +10,102 @@
 use crate::job_table;
 use crate::tenure;
 
-/// One job's rows.
+/// A change of one job's rows.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct JobWrite {
-    /// The job as it is to stand.
+    /// New content of the job row.
     pub(crate) record: model::JobRecord,
-    /// Whether the job is accepted by this write.
+    /// Whether the row is new: committing the write accepts the job.
     pub(crate) create: bool,
 }
 
-/// A group of writes; kept until its outcome is certain.
+/// Job writes that are committed together; kept and retried until the outcome is certain.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct CommitPlan {
-    /// The hall.
+pub(crate) struct CommitBatch {
     pub(crate) hall: ids::HallName,
-    /// Jobs.
     pub(crate) writes: Vec<JobWrite>,
-    /// When it was put together; ended jobs are kept from then on. One that ended in an outage
-    /// would otherwise be dropped in the moment in which its end can be read.
-    pub(crate) at: time::WallTime,
-    /// Number of the group in its tenure.
+    /// Time at which the batch was created. The retention time of the jobs that ended counts from
+    /// here: counted from the end itself, a job that ended during a long table outage would be
+    /// deleted as soon as its end became readable.
+    pub(crate) created_at: time::WallTime,
+    /// Number of the batch, counted from the start of the tenure.
     pub(crate) number: u64,
-    /// Version of the commit row before the group; read where it is not known yet.
+    /// Version of the commit row before the batch; `None` until it is read from the table.
     ///
-    /// A try of an earlier group that was lost on its way may still arrive, and the condition on
-    /// the tenure lets it pass: a job that ended would run again by its row. One would see a row
-    /// that never changes while the hall has no such job. Each group therefore writes the commit
-    /// row under a condition on its version, so that groups take effect in their order.
-    pub(crate) after: Option<ids::RowVersion>,
-    /// Whether an earlier try of the same group may have taken effect.
-    pub(crate) unsure: bool,
+    /// A delayed write of an earlier batch may reach the table late, and still meets the condition
+    /// on the tenure. It could set the row of an ended job back to running, and that row would
+    /// never change again, because the hall no longer has the job. Each batch therefore also
+    /// writes the commit row, conditional on its version, so that batches take effect in order.
+    pub(crate) expected_version: Option<ids::RowVersion>,
+    /// Whether an earlier attempt to commit this batch may have taken effect.
+    pub(crate) may_be_committed: bool,
 }
 
-/// What became of a group.
+/// Sent to the hall actor after an attempt to commit a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CommitReport {
-    /// The group.
-    pub(crate) plan: CommitPlan,
-    /// How it went.
+    pub(crate) batch: CommitBatch,
     pub(crate) outcome: CommitOutcome,
 }
 
-/// How a group went.
+/// Result of one attempt to commit a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CommitOutcome {
-    /// Every row is durable.
+    /// All rows of the batch are durable.
     Committed {
-        /// Version of the commit row after the group.
+        /// Version of the commit row after the batch.
         version: ids::RowVersion,
     },
-    /// Nothing was written: these jobs existed before.
-    Known(Vec<model::JobRecord>),
+    /// Nothing was written: these jobs, which the batch was to create, exist already.
+    JobsExist(Vec<model::JobRecord>),
     /// Nothing was written: a newer tenure holds the hall.
     Fenced,
-    /// Nothing was written, for the table did not get it.
-    Unsent,
-    /// It may have been written. The same group is tried again until that is known: another one
-    /// in its place could be overtaken by it.
-    Unsure,
+    /// Nothing was written: the batch certainly had no effect on the table.
+    NoEffect,
+    /// The batch may have been written. The same batch is retried until its outcome is known: it
+    /// could otherwise take effect after a different batch sent in its place.
+    Unconfirmed,
 }
 
-/// Tries a group once.
-pub(crate) async fn run<T: TableService>(
+/// Sends a batch to the table once.
+pub(crate) async fn try_commit<T: TableService>(
     table: T,
     tenure: tenure::TenureWatch,
-    mut plan: CommitPlan,
+    mut batch: CommitBatch,
     deadline: Duration,
 ) -> CommitReport {
-    let after = match plan.after {
-        Some(after) => after,
-        None => match read_version(&table, &plan.hall, deadline).await {
-            Some(after) => after,
-            None => return CommitReport { plan, outcome: CommitOutcome::Unsent },
+    let expected_version = match batch.expected_version {
+        Some(version) => version,
+        None => match read_version(&table, &batch.hall, deadline).await {
+            Some(version) => version,
+            None => return CommitReport { batch, outcome: CommitOutcome::NoEffect },
         },
     };
-    plan.after = Some(after);
-    let mark = model::CommitRow { epoch: tenure.epoch(), number: plan.number };
-    let transaction = transaction(&plan, &tenure, after, &mark);
+    batch.expected_version = Some(expected_version);
+    let commit_row = model::CommitRow { epoch: tenure.epoch(), number: batch.number };
+    let transaction = commit_transaction(&batch, &tenure, expected_version, &commit_row);
     let outcome = match tokio::time::timeout(deadline, table.transact(transaction)).await {
-        Ok(Ok(model::TableOutcome::Committed { versions })) => {
-            CommitOutcome::Committed { version: versions.first().copied().unwrap_or(after + 1) }
+        Ok(Ok(model::TableOutcome::Committed { versions })) => CommitOutcome::Committed {
+            version: versions.first().copied().unwrap_or(expected_version + 1),
+        },
+        Ok(Ok(model::TableOutcome::Conflict { rows })) => {
+            conflict_outcome(&batch, &commit_row, &rows)
+        }
+        // If the batch was sent before, only this attempt had no effect; an earlier one may have.
+        Ok(Err(fault)) if fault.fault.had_no_effect() && !batch.may_be_committed => {
+            CommitOutcome::NoEffect
         }
-        Ok(Ok(model::TableOutcome::Conflict { rows })) => conflict(&plan, &mark, &rows),
-        // Only this try had no effect; an earlier one of the same group may have.
-        Ok(Err(fault)) if fault.fault.had_no_effect() && !plan.unsure => CommitOutcome::Unsent,
         Ok(Err(fault)) => {
-            tracing::warn!(hall = plan.hall, %fault, "a commit of jobs has no answer");
-            CommitOutcome::Unsure
+            tracing::warn!(hall = batch.hall, %fault, "job commit is unconfirmed; retrying");
+            CommitOutcome::Unconfirmed
         }
-        Err(_) => CommitOutcome::Unsure,
+        Err(_) => CommitOutcome::Unconfirmed,
     };
-    CommitReport { plan, outcome }
+    CommitReport { batch, outcome }
 }
 
-/// Reads the version of the commit row. Under a new tenure it is final: what former holders still
-/// have on its way fails by the condition on the tenure.
+/// Reads the version of the commit row; `None` if the table does not answer. Earlier holders cannot
+/// change the version any more: their delayed writes fail the condition on the tenure.
 async fn read_version<T: TableService>(
     table: &T,
     hall: &str,
@@ -115,51 +116,58 @@
     Some(rows.rows.first().map_or(0, |it| it.version))
 }
 
-fn conflict(plan: &CommitPlan, mark: &model::CommitRow, rows: &[model::TableRow]) -> CommitOutcome {
-    let commit = keys::commit(&plan.hall);
-    if let Some(row) = rows.iter().find(|it| it.key == commit) {
-        // The mark is of this group alone: an earlier try committed, as a whole.
-        let ours = row.value.as_ref() == Some(&codec::encode(mark));
+fn conflict_outcome(
+    batch: &CommitBatch,
+    commit_row: &model::CommitRow,
+    rows: &[model::TableRow],
+) -> CommitOutcome {
+    let commit_key = keys::commit(&batch.hall);
+    if let Some(row) = rows.iter().find(|it| it.key == commit_key) {
+        // Only this batch writes this epoch and number, so an earlier attempt committed all of it.
+        let ours = row.value.as_ref() == Some(&codec::encode(commit_row));
         let version = row.version;
         return if ours { CommitOutcome::Committed { version } } else { CommitOutcome::Fenced };
     }
     let found = rows.iter().filter_map(|it| Some((it.key.as_str(), it.value.as_ref()?)));
     let found = found.collect::<BTreeMap<_, _>>();
-    let creates = plan.writes.iter().filter(|it| it.create);
+    let creates = batch.writes.iter().filter(|it| it.create);
     let existing = creates.filter_map(|it| found.get(job_key(it).as_str()));
     let records = existing.filter_map(|it| decode(it)).collect::<Vec<_>>();
     if records.is_empty() {
         return CommitOutcome::Fenced;
     }
-    CommitOutcome::Known(records)
+    CommitOutcome::JobsExist(records)
 }
 
 fn decode(value: &blob::Blob) -> Option<model::JobRecord> {
     codec::decode("read a job", value).ok()
 }
 
-fn transaction(
-    plan: &CommitPlan,
+fn commit_transaction(
+    batch: &CommitBatch,
     tenure: &tenure::TenureWatch,
-    after: ids::RowVersion,
-    mark: &model::CommitRow,
+    expected_version: ids::RowVersion,
+    commit_row: &model::CommitRow,
 ) -> model::TableTransaction {
-    let commit = keys::commit(&plan.hall);
-    let mut conditions =
-        vec![tenure.condition(), model::TableCondition { key: commit.clone(), version: after }];
-    let mut writes = vec![model::TableWrite { key: commit, value: Some(codec::encode(mark)) }];
-    for write in &plan.writes {
+    let commit_key = keys::commit(&batch.hall);
+    let mut conditions = vec![
+        tenure.condition(),
+        model::TableCondition { key: commit_key.clone(), version: expected_version },
+    ];
+    let mut writes =
+        vec![model::TableWrite { key: commit_key, value: Some(codec::encode(commit_row)) }];
+    for write in &batch.writes {
         let record = &write.record;
         if write.create {
             conditions.push(model::TableCondition { key: job_key(write), version: 0 });
         }
         let value = Some(codec::encode(record));
         writes.push(model::TableWrite { key: job_key(write), value });
-        let index = keys::hall_job(&plan.hall, &record.job);
+        let index = keys::hall_job(&batch.hall, &record.job);
         let account = blob::Blob::from(record.account.as_bytes());
         if job_table::is_terminal(record.state) {
             writes.push(model::TableWrite { key: index, value: None });
-            let ended = keys::ended_job(&plan.hall, plan.at, &record.job);
+            let ended = keys::ended_job(&batch.hall, batch.created_at, &record.job);
             writes.push(model::TableWrite { key: ended, value: Some(account) });
         } else if write.create {
             writes.push(model::TableWrite { key: index, value: Some(account) });
@@ -172,7 +180,7 @@
     keys::job(&write.record.account, &write.record.job)
 }
 
-/// Drops jobs that ended before `oldest`, a page at a time; whether there may be more.
+/// Deletes one page of the jobs that ended before `oldest`. Returns whether there may be more.
 pub(crate) async fn sweep<T: TableService>(
     table: T,
     tenure: tenure::TenureWatch,
@@ -199,4 +207,5 @@
     matches!(table.transact(transaction).await, Ok(model::TableOutcome::Committed { .. }))
 }
 
+/// Rows of ended jobs read in one scan and deleted in one transaction.
 const SWEEP_PAGE: u32 = 64;
--- a/crates/hall/src/intent_index.rs
+++ b/crates/hall/src/intent_index.rs
@@ -1,4 +1,5 @@
-//! What became of idempotency keys, in memory, as read from the log and as it happens.
+//! In-memory index of idempotency keys and their outcomes, filled from the intent log at takeover
+//! and kept current while the hall runs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,50 +7,51 @@
 use almondpass_membership::home;
 use almondpass_schema::{ids, model, time};
 
-/// What a key that is offered again gets.
+/// Whether a request with a given idempotency key may be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus {
-    /// It may be sent: it is new, or every try ended without anything sent.
+    /// The request may be sent: the key is new, or no earlier request with it was sent.
     Free,
-    /// It was used before.
+    /// A request with the key was sent, or may have been.
     Recorded {
-        /// The request that used it.
+        /// The request that used the key.
         request: ids::RequestId,
-        /// What became of that; `unknown` while it is in progress.
+        /// Outcome of that request; `unknown` while it is in progress.
         outcome: model::RequestOutcome,
     },
 }
 
-/// One grant under a key.
+/// A grant for a request with the key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct KeyTry {
+struct KeyUse {
     grant: ids::GrantId,
     request: ids::RequestId,
-    /// `None` while the request may still be on its way.
+    /// `None` while the request may be in progress.
     outcome: Option<model::RequestOutcome>,
 }
 
-/// Keys are told apart by account, so that no account learns of another's.
+/// An idempotency key within its account. The same key in two accounts counts as two keys, so that
+/// no account learns about the requests of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct KeyOwner {
     account: ids::AccountId,
     key: ids::IdempotencyKey,
 }
 
-/// Records of the keys of one hall.
+/// Uses of the idempotency keys of one hall.
 #[derive(Debug, Default)]
 pub struct IntentIndex {
-    tries: HashMap<KeyOwner, Vec<KeyTry>>,
-    owners: HashMap<ids::GrantId, KeyOwner>,
+    uses: HashMap<KeyOwner, Vec<KeyUse>>,
+    owner_by_grant: HashMap<ids::GrantId, KeyOwner>,
 }
 
 impl IntentIndex {
-    /// How a key stands.
+    /// Returns whether a request with the key may be sent, or what became of an earlier one.
     pub fn status(&self, account: &str, key: ids::IdempotencyKey) -> KeyStatus {
         let owner = KeyOwner { account: account.to_owned(), key };
-        let tries = self.tries.get(&owner).map_or(&[][..], Vec::as_slice);
-        let used = tries.iter().filter(|it| it.outcome != Some(model::RequestOutcome::NotRun));
-        // A settled try tells more than one that is still on its way.
+        let uses = self.uses.get(&owner).map_or(&[][..], Vec::as_slice);
+        let used = uses.iter().filter(|it| it.outcome != Some(model::RequestOutcome::NotRun));
+        // A use with a known outcome takes precedence over one in progress.
         let Some(found) = used.max_by_key(|it| it.outcome.is_some()) else {
             return KeyStatus::Free;
         };
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Notes that a grant may send a key from now on.
+    /// Records that the holder of a grant may send a request with the key from now on. Has no
+    /// effect if the grant is recorded already.
     pub fn begin(
         &mut self,
         account: &ids::AccountId,
@@ -68,23 +71,24 @@
         request: ids::RequestId,
     ) {
         let owner = KeyOwner { account: account.clone(), key };
-        let tries = self.tries.entry(owner.clone()).or_default();
-        if tries.iter().any(|it| it.grant == grant) {
+        let uses = self.uses.entry(owner.clone()).or_default();
+        if uses.iter().any(|it| it.grant == grant) {
             return;
         }
-        tries.push(KeyTry { grant, request, outcome: None });
-        self.owners.insert(grant, owner);
+        uses.push(KeyUse { grant, request, outcome: None });
+        self.owner_by_grant.insert(grant, owner);
     }
 
-    /// Notes the outcome of a grant, the first one told; returns the line for the log.
+    /// Records the outcome of a grant and returns the entry for the log. Returns `None` if the grant
+    /// is unknown or has an outcome already: the first outcome counts.
     pub fn settle(
         &mut self,
         grant: ids::GrantId,
         outcome: model::RequestOutcome,
     ) -> Option<model::IntentEntry> {
-        let owner = self.owners.get(&grant)?;
-        let tries = self.tries.get_mut(owner)?;
-        let open = tries.iter_mut().find(|it| it.grant == grant && it.outcome.is_none())?;
+        let owner = self.owner_by_grant.get(&grant)?;
+        let uses = self.uses.get_mut(owner)?;
+        let open = uses.iter_mut().find(|it| it.grant == grant && it.outcome.is_none())?;
         open.outcome = Some(outcome);
         let entry = model::IntentEntry::Outcome {
             key: owner.key,
@@ -92,15 +96,16 @@
             grant,
             outcome,
         };
-        if tries.iter().all(|it| it.outcome == Some(model::RequestOutcome::NotRun)) {
-            self.forget_unused(grant);
+        if uses.iter().all(|it| it.outcome == Some(model::RequestOutcome::NotRun)) {
+            self.remove_unused(grant);
         }
         Some(entry)
     }
 
-    /// Takes lines of a log. The table's and the object store's lines have no order between
-    /// them, so the result must not depend on it: lines meet by grant.
-    pub fn replay(&mut self, entries: &[model::IntentEntry]) {
+    /// Adds the intents of log entries. The entries of the table and those of the object store have
+    /// no order relative to each other, so outcomes are matched to intents by grant, whatever the
+    /// order.
+    pub fn replay_intents(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Intent { key, account, request, grant, .. } = entry {
                 self.begin(account, *key, *grant, *request);
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Takes the outcomes of a log, after `replay` of all its intents.
+    /// Adds the outcomes of log entries; called after [`Self::replay_intents`] for the whole log.
     pub fn replay_outcomes(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Outcome { grant, outcome, .. } = entry {
@@ -117,44 +122,44 @@
         }
     }
 
-    /// Grants whose outcome is not known.
+    /// Grants that have no outcome yet.
     pub fn open_grants(&self) -> Vec<ids::GrantId> {
-        let tries = self.tries.values().flatten().filter(|it| it.outcome.is_none());
-        tries.map(|it| it.grant).collect()
+        let uses = self.uses.values().flatten().filter(|it| it.outcome.is_none());
+        uses.map(|it| it.grant).collect()
     }
 
-    /// Forgets keys made before `oldest`; they are refused for their age from now on.
+    /// Removes the keys made before `oldest`. Requests with such keys are refused for their age.
     pub fn trim(&mut self, oldest: time::WallTime) {
-        self.tries
+        self.uses
             .retain(|owner, _| home::key_time(&owner.key).is_some_and(|made_at| oldest <= made_at));
-        let tries = &self.tries;
-        self.owners.retain(|_, owner| tries.contains_key(owner));
+        let uses = &self.uses;
+        self.owner_by_grant.retain(|_, owner| uses.contains_key(owner));
     }
 
-    /// Keys on record.
+    /// Number of keys in the index, counted per account.
     pub fn n_keys(&self) -> usize {
-        self.tries.len()
+        self.uses.len()
     }
 
-    fn forget_unused(&mut self, grant: ids::GrantId) {
-        let Some(owner) = self.owners.remove(&grant) else { return };
-        if let Some(tries) = self.tries.get_mut(&owner) {
-            tries.retain(|it| it.grant != grant);
-            if tries.is_empty() {
-                self.tries.remove(&owner);
+    fn remove_unused(&mut self, grant: ids::GrantId) {
+        let Some(owner) = self.owner_by_grant.remove(&grant) else { return };
+        if let Some(uses) = self.uses.get_mut(&owner) {
+            uses.retain(|it| it.grant != grant);
+            if uses.is_empty() {
+                self.uses.remove(&owner);
             }
         }
     }
 }
 
-/// When a line of the log stops to matter: its key is refused for its age by then, by every
-/// clock that is right within [`CLOCK_SLACK`].
-pub fn matters_until(entry: &model::IntentEntry, window: Duration) -> time::WallTime {
+/// Time from which a log entry is no longer needed: every instance whose clock error is within
+/// [`CLOCK_SLACK`] refuses its key for its age by then.
+pub fn entry_expiry(entry: &model::IntentEntry, window: Duration) -> time::WallTime {
     let key = match entry {
         model::IntentEntry::Intent { key, .. } | model::IntentEntry::Outcome { key, .. } => key,
     };
     home::key_time(key).unwrap_or_default() + window + CLOCK_SLACK
 }
 
-/// How far the clocks of two instances, or of a caller, may be apart.
+/// Largest tolerated difference between the clocks of two instances, or of an instance and a caller.
 pub const CLOCK_SLACK: Duration = Duration::from_secs(600);
--- a/crates/hall/src/intent_log.rs
+++ b/crates/hall/src/intent_log.rs
@@ -1,5 +1,6 @@
-//! The durable log of intents: numbered batches in the table and, while that is down, in the
-//! object store. The two are independent sequences whose union is the log.
+//! The durable intent log of a hall: numbered batches of entries in the table and, while the table
+//! is down, in the object store. Both stores number their batches independently; together the two
+//! sequences are the log.
 
 use std::time::Duration;
 
@@ -13,69 +14,69 @@
 use crate::error;
 use crate::tenure;
 
-/// Where the next batch goes in one of the two stores.
+/// Write position in one of the two stores.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogCursor {
-    /// First number that is not known to be taken.
+    /// First batch number that is not known to be taken.
     pub next: u64,
-    /// A batch that may have taken `next`. It is written again, unchanged, before any other: a
-    /// write whose answer was lost may land at any later time, and would then take the number of
-    /// a different batch.
-    pub unsure: Option<model::IntentBatch>,
+    /// A batch that may have been written under the number `next`. It is written again, unchanged,
+    /// before any other batch: a write whose answer was lost may take effect at any later time, and
+    /// would then take the number of a different batch.
+    pub unconfirmed: Option<model::IntentBatch>,
 }
 
-/// Where the log of a hall goes on.
+/// Write positions of a hall's log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogCursors {
-    /// In the table.
+    /// Write position in the table.
     pub table: LogCursor,
-    /// In the object store.
+    /// Write position in the object store.
     pub objects: LogCursor,
 }
 
-/// What became of an append.
+/// Result of an append to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// Durable in the table.
+    /// The entries are durable in the table.
     InTable,
-    /// Durable in the object store.
+    /// The entries are durable in the object store.
     InObjects,
-    /// Neither store confirmed it; either may have it.
+    /// Neither store confirmed the entries; either store may hold them.
     NotDurable,
-    /// A newer tenure sealed the log: nothing of this tenure counts from here on.
+    /// A newer tenure sealed the log: writes of this tenure are ignored from here on.
     Fenced,
 }
 
 /// A batch as read from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredBatch {
-    /// Its number in its store.
+    /// Number of the batch in its store.
     pub number: u64,
-    /// Its content.
+    /// Content, with the epoch of the tenure that wrote it.
     pub batch: model::IntentBatch,
 }
 
-/// The log of one hall under one tenure.
+/// Access to the log of one hall under one tenure.
 pub struct IntentLog<B: backend::HallBackend> {
-    /// Stores.
+    /// Table and object store.
     pub ports: backend::HallPorts<B>,
-    /// The hall.
+    /// Hall whose log this is.
     pub hall: ids::HallName,
-    /// The tenure.
+    /// Tenure under which batches are written.
     pub tenure: tenure::TenureWatch,
-    /// For each call.
+    /// Time limit of each call to a store.
     pub deadline: Duration,
 }
 
-enum BatchWrite {
+enum BatchWriteOutcome {
     Written,
-    Unsure,
+    Unconfirmed,
     NoEffect,
     Fenced,
 }
 
 impl<B: backend::HallBackend> IntentLog<B> {
-    /// Makes lines durable, in the table or else in the object store.
+    /// Writes entries to the table or, if the table does not confirm them, to the object store.
     pub async fn append(
         &self,
         cursors: &mut LogCursors,
@@ -84,28 +85,34 @@
         let batch = model::IntentBatch { epoch: self.tenure.epoch(), entries, sealed: false };
         if !self.tenure.outage_seen() {
             match self.append_table(&mut cursors.table, &batch).await {
-                BatchWrite::Written => return AppendOutcome::InTable,
-                BatchWrite::Fenced => return AppendOutcome::Fenced,
-                BatchWrite::Unsure | BatchWrite::NoEffect => {}
+                BatchWriteOutcome::Written => return AppendOutcome::InTable,
+                BatchWriteOutcome::Fenced => return AppendOutcome::Fenced,
+                BatchWriteOutcome::Unconfirmed | BatchWriteOutcome::NoEffect => {}
             }
         }
         match self.append_objects(&mut cursors.objects, &batch).await {
-            BatchWrite::Written => AppendOutcome::InObjects,
-            BatchWrite::Fenced => AppendOutcome::Fenced,
-            BatchWrite::Unsure | BatchWrite::NoEffect => AppendOutcome::NotDurable,
+            BatchWriteOutcome::Written => AppendOutcome::InObjects,
+            BatchWriteOutcome::Fenced => AppendOutcome::Fenced,
+            BatchWriteOutcome::Unconfirmed | BatchWriteOutcome::NoEffect => {
+                AppendOutcome::NotDurable
+            }
         }
     }
 
-    async fn append_table(&self, cursor: &mut LogCursor, batch: &model::IntentBatch) -> BatchWrite {
-        if let Some(unsure) = cursor.unsure.clone() {
-            match self.put_table(cursor.next, &unsure).await {
-                BatchWrite::Written => cursor.advance(),
-                BatchWrite::NoEffect => return BatchWrite::Unsure,
+    async fn append_table(
+        &self,
+        cursor: &mut LogCursor,
+        batch: &model::IntentBatch,
+    ) -> BatchWriteOutcome {
+        if let Some(unconfirmed) = cursor.unconfirmed.clone() {
+            match self.put_table(cursor.next, &unconfirmed).await {
+                BatchWriteOutcome::Written => cursor.advance(),
+                BatchWriteOutcome::NoEffect => return BatchWriteOutcome::Unconfirmed,
                 other => return other,
             }
         }
         let written = self.put_table(cursor.next, batch).await;
-        cursor.note(&written, batch);
+        cursor.record_write(&written, batch);
         written
     }
 
@@ -113,21 +120,21 @@
         &self,
         cursor: &mut LogCursor,
         batch: &model::IntentBatch,
-    ) -> BatchWrite {
-        if let Some(unsure) = cursor.unsure.clone() {
-            match self.put_object(cursor.next, &unsure).await {
-                BatchWrite::Written => cursor.advance(),
-                BatchWrite::NoEffect => return BatchWrite::Unsure,
+    ) -> BatchWriteOutcome {
+        if let Some(unconfirmed) = cursor.unconfirmed.clone() {
+            match self.put_object(cursor.next, &unconfirmed).await {
+                BatchWriteOutcome::Written => cursor.advance(),
+                BatchWriteOutcome::NoEffect => return BatchWriteOutcome::Unconfirmed,
                 other => return other,
             }
         }
         let written = self.put_object(cursor.next, batch).await;
-        cursor.note(&written, batch);
+        cursor.record_write(&written, batch);
         written
     }
 
-    /// Writes a batch unless its number is taken, and only under this tenure.
-    async fn put_table(&self, number: u64, batch: &model::IntentBatch) -> BatchWrite {
+    /// Writes a batch to the table, conditional on this tenure and on the number being free.
+    async fn put_table(&self, number: u64, batch: &model::IntentBatch) -> BatchWriteOutcome {
         let key = keys::intent_batch(&self.hall, number);
         let absent = model::TableCondition { key: key.clone(), version: 0 };
         let write = model::TableWrite { key: key.clone(), value: Some(codec::encode(batch)) };
@@ -136,67 +143,73 @@
             writes: vec![write],
         };
         match self.transact(transaction).await {
-            Ok(model::TableOutcome::Committed { .. }) => BatchWrite::Written,
+            Ok(model::TableOutcome::Committed { .. }) => BatchWriteOutcome::Written,
             Ok(model::TableOutcome::Conflict { rows }) => {
                 let found = rows.iter().find(|it| it.key == key);
                 match found.and_then(|it| it.value.as_ref()) {
-                    Some(value) => self.compare(value, batch),
-                    None => BatchWrite::Fenced,
+                    Some(value) => self.compare_existing(value, batch),
+                    None => BatchWriteOutcome::Fenced,
                 }
             }
-            Err(fault) => lost(&fault),
+            Err(fault) => failed_write(&fault),
         }
     }
 
-    /// Writes a batch unless its number is taken. The store knows no tenures: what stops a stale
-    /// holder here is the seal that its successor put at the number it would take.
-    async fn put_object(&self, number: u64, batch: &model::IntentBatch) -> BatchWrite {
+    /// Writes a batch to the object store if the number is free. The object store cannot check the
+    /// tenure; a stale holder is stopped by the seal that its successor wrote under the number
+    /// which the stale holder would use next.
+    async fn put_object(&self, number: u64, batch: &model::IntentBatch) -> BatchWriteOutcome {
         let key = keys::intent_batch(&self.hall, number);
         let put = model::ObjectPut { key: key.clone(), value: codec::encode(batch) };
         match self.put(put).await {
-            Ok(model::ObjectPutOutcome::Created) => BatchWrite::Written,
+            Ok(model::ObjectPutOutcome::Created) => BatchWriteOutcome::Written,
             Ok(model::ObjectPutOutcome::Exists) => match self.get_object(key).await {
-                Ok(model::ObjectFound { value: Some(value) }) => self.compare(&value, batch),
-                Ok(model::ObjectFound { value: None }) => BatchWrite::Unsure,
-                Err(_) => BatchWrite::Unsure,
+                Ok(model::ObjectFound { value: Some(value) }) => {
+                    self.compare_existing(&value, batch)
+                }
+                Ok(model::ObjectFound { value: None }) => BatchWriteOutcome::Unconfirmed,
+                Err(_) => BatchWriteOutcome::Unconfirmed,
             },
-            Err(fault) => lost(&fault),
+            Err(fault) => failed_write(&fault),
         }
     }
 
-    /// Whether a taken number was taken by an earlier try of the same write.
-    fn compare(
+    /// Checks whether the batch found under a taken number is an earlier write of `batch`; if not,
+    /// this tenure is fenced.
+    fn compare_existing(
         &self,
         value: &almondpass_schema::blob::Blob,
         batch: &model::IntentBatch,
-    ) -> BatchWrite {
+    ) -> BatchWriteOutcome {
         match codec::decode::<model::IntentBatch>("read an intent batch", value) {
-            Ok(found) if found == *batch => BatchWrite::Written,
-            _ => BatchWrite::Fenced,
+            Ok(found) if found == *batch => BatchWriteOutcome::Written,
+            _ => BatchWriteOutcome::Fenced,
         }
     }
 
-    /// Reads the table's part and seals it. The condition on the tenure fences it already; the
-    /// seal shows readers where a tenure began.
+    /// Reads the batches in the table and seals them. The condition on the tenure already fences
+    /// earlier holders in the table; the seal only shows readers where a tenure began.
     pub async fn seal_table(&self) -> Result<(LogCursor, Vec<StoredBatch>), error::HallError> {
         let mut batches = self.read_table().await?;
         let next = batches.last().map_or(self.floor().await?.table, |it| it.number + 1);
-        let mut cursor = LogCursor { next, unsure: None };
+        let mut cursor = LogCursor { next, unconfirmed: None };
         let seal = self.seal_batch();
         match self.append_table(&mut cursor, &seal).await {
-            BatchWrite::Written => {
+            BatchWriteOutcome::Written => {
                 let number = cursor.next - 1;
                 batches.push(StoredBatch { number, batch: seal });
                 Ok((cursor, batches))
             }
-            BatchWrite::Fenced => Err(self.fenced("seal the intents in the table")),
-            // Not needed for safety; the next batch takes the place.
-            BatchWrite::Unsure | BatchWrite::NoEffect => Ok((cursor, batches)),
+            BatchWriteOutcome::Fenced => Err(self.fenced("seal the intent log in the table")),
+            // The seal is not needed for safety. If it had no effect, the next batch takes its
+            // number; if it is unconfirmed, the next append writes it again first.
+            BatchWriteOutcome::Unconfirmed | BatchWriteOutcome::NoEffect => Ok((cursor, batches)),
         }
     }
 
-    /// Reads the object store's part and seals it, so that an older holder which still runs can
-    /// make nothing durable there any more. Batches that slip in before the seal are read.
+    /// Reads the batches in the object store and seals them, so that an earlier holder which still
+    /// runs cannot append there any more. Batches written before the seal takes effect are read
+    /// too.
     pub async fn seal_objects(&self) -> Result<(LogCursor, Vec<StoredBatch>), error::HallError> {
         let floor = self.floor().await?.objects;
         let mut batches = self.read_objects(floor).await?;
@@ -208,28 +221,28 @@
             let put = self.put(put).await;
             if matches!(put, Ok(model::ObjectPutOutcome::Created)) {
                 batches.push(StoredBatch { number, batch: seal });
-                return Ok((LogCursor { next: number + 1, unsure: None }, batches));
+                return Ok((LogCursor { next: number + 1, unconfirmed: None }, batches));
             }
-            // Taken, or the answer was lost: what stands there tells.
+            // The number is taken, or the answer was lost: the stored batch shows which.
             let Some(batch) = self.read_object(number).await? else {
                 return Err(put.err().map_or_else(
-                    || self.fenced("seal the intents in the object store"),
+                    || self.fenced("seal the intent log in the object store"),
                     error::HallError::from,
                 ));
             };
             let ours = batch == seal;
             if self.tenure.epoch() < batch.epoch {
-                return Err(self.fenced("seal the intents in the object store"));
+                return Err(self.fenced("seal the intent log in the object store"));
             }
             batches.push(StoredBatch { number, batch });
             if ours {
-                return Ok((LogCursor { next: number + 1, unsure: None }, batches));
+                return Ok((LogCursor { next: number + 1, unconfirmed: None }, batches));
             }
         }
     }
 
-    /// Drops what no longer matters: deletes `numbers` from the table, oldest first, and moves
-    /// the floor. Objects cannot be deleted; nobody reads below the floor.
+    /// Deletes the batches `numbers`, the oldest ones, from the table and moves the floor. Objects
+    /// cannot be deleted; readers skip the batches below the floor.
     pub async fn trim(
         &self,
         numbers: Vec<u64>,
@@ -254,7 +267,8 @@
         let rows = self.ports.table.get(get);
         let rows =
             deadline::within(self.deadline, READ_STEP, deadline::TABLE_SERVICE, rows).await?.rows;
-        let floor = rows.first().map(|it| codec::decode_row("read the floor of the intents", it));
+        let floor =
+            rows.first().map(|it| codec::decode_row("read the floor of the intent log", it));
         let floor = floor.transpose()?.flatten();
         Ok(floor.unwrap_or(model::IntentFloor { table: FIRST_BATCH, objects: FIRST_BATCH }))
     }
@@ -354,20 +368,24 @@
 impl LogCursor {
     fn advance(&mut self) {
         self.next += 1;
-        self.unsure = None;
+        self.unconfirmed = None;
     }
 
-    fn note(&mut self, written: &BatchWrite, batch: &model::IntentBatch) {
+    fn record_write(&mut self, written: &BatchWriteOutcome, batch: &model::IntentBatch) {
         match written {
-            BatchWrite::Written => self.advance(),
-            BatchWrite::Unsure => self.unsure = Some(batch.clone()),
-            BatchWrite::NoEffect | BatchWrite::Fenced => {}
+            BatchWriteOutcome::Written => self.advance(),
+            BatchWriteOutcome::Unconfirmed => self.unconfirmed = Some(batch.clone()),
+            BatchWriteOutcome::NoEffect | BatchWriteOutcome::Fenced => {}
         }
     }
 }
 
-fn lost(fault: &peer_error::CallError) -> BatchWrite {
-    if fault.fault.had_no_effect() { BatchWrite::NoEffect } else { BatchWrite::Unsure }
+fn failed_write(fault: &peer_error::CallError) -> BatchWriteOutcome {
+    if fault.fault.had_no_effect() {
+        BatchWriteOutcome::NoEffect
+    } else {
+        BatchWriteOutcome::Unconfirmed
+    }
 }
 
 fn batch_number(key: &str) -> Option<u64> {
@@ -375,6 +393,7 @@
 }
 
 const FIRST_BATCH: u64 = 1;
+/// Batches listed in one call.
 const READ_PAGE: u32 = 256;
 const READ_STEP: &str = "read the intent log";
 const WRITE_STEP: &str = "write the intent log";
--- a/crates/hall/src/intent_task.rs
+++ b/crates/hall/src/intent_task.rs
@@ -1,4 +1,4 @@
-//! Appends to the intent log, seals it and trims it, in tasks that report to the scheduler.
+//! Background tasks that append to, seal and trim the intent log and report to the hall actor.
 
 use std::collections::VecDeque;
 
@@ -9,85 +9,83 @@
 use crate::intent_index;
 use crate::intent_log;
 
-/// The scheduler's end of the intent log.
+/// State of the intent log in the hall actor.
 #[derive(Debug, Default)]
 pub(crate) struct IntentState {
-    /// What became of keys.
+    /// Uses of idempotency keys and their outcomes.
     pub(crate) index: intent_index::IntentIndex,
-    /// Where the log goes on; taken by the append on its way, absent until the log is sealed.
+    /// Write positions; `None` until the log is sealed and while an append is in flight.
     pub(crate) cursors: Option<intent_log::LogCursors>,
-    /// Whether both stores are sealed, so that no older holder can add anything.
+    /// Whether both stores are sealed, so that no earlier holder can append to the log.
     pub(crate) sealed: bool,
-    /// Intents to append, by grant.
-    pub(crate) intents: Vec<model::IntentEntry>,
+    /// Intents to append.
+    pub(crate) pending_intents: Vec<model::IntentEntry>,
     /// Outcomes to append.
-    pub(crate) outcomes: Vec<model::IntentEntry>,
-    /// When outcomes go out even without an intent.
+    pub(crate) pending_outcomes: Vec<model::IntentEntry>,
+    /// When pending outcomes are appended even if no intent is pending.
     pub(crate) flush_at: Option<Instant>,
-    /// Batches in the table that still matter, oldest first.
-    pub(crate) table_batches: VecDeque<BatchAge>,
-    /// Batches in the object store that still matter, oldest first.
-    pub(crate) object_batches: VecDeque<BatchAge>,
-    /// When the log is trimmed next.
+    /// Batches in the table that are still needed, oldest first.
+    pub(crate) table_batches: VecDeque<BatchExpiry>,
+    /// Batches in the object store that are still needed, oldest first.
+    pub(crate) object_batches: VecDeque<BatchExpiry>,
+    /// When the log is next trimmed; `None` if it has not been trimmed under this tenure.
     pub(crate) next_trim: Option<Instant>,
 }
 
-/// A batch and when it stops to matter.
+/// A batch of the log and the time from which it is no longer needed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct BatchAge {
-    /// Its number.
+pub(crate) struct BatchExpiry {
     pub(crate) number: u64,
-    /// When its last line stops to matter.
-    pub(crate) until: almondpass_schema::time::WallTime,
+    /// Time from which none of its entries is needed.
+    pub(crate) expires_at: almondpass_schema::time::WallTime,
 }
 
 impl IntentState {
-    /// Whether an append is on its way or due.
+    /// Whether an append is in flight or entries are pending.
     pub(crate) fn is_busy(&self) -> bool {
         let appending = self.sealed && self.cursors.is_none();
-        appending || !self.intents.is_empty() || !self.outcomes.is_empty()
+        appending || !self.pending_intents.is_empty() || !self.pending_outcomes.is_empty()
     }
 }
 
-/// What became of an append.
+/// Sent to the hall actor after an append.
 pub(crate) struct AppendReport {
-    /// Where the log goes on.
+    /// Write positions after the append.
     pub(crate) cursors: intent_log::LogCursors,
-    /// Where it went on before.
+    /// Write positions before the append.
     pub(crate) before: intent_log::LogCursors,
-    /// What was appended.
+    /// The entries of the append, durable or not.
     pub(crate) entries: Vec<model::IntentEntry>,
-    /// How it went.
     pub(crate) outcome: intent_log::AppendOutcome,
 }
 
-/// What sealing found.
+/// Sent to the hall actor after an attempt to seal the log.
 pub(crate) struct SealReport {
-    /// The log; `None` where a store did not answer.
+    /// Content of the sealed log; `None` if it could not be sealed.
     pub(crate) sealed: Option<SealedLog>,
-    /// Whether a newer tenure was found.
+    /// Whether a newer tenure holds the log.
     pub(crate) fenced: bool,
 }
 
-/// A sealed log with its content.
+/// Content of a log after both stores were sealed.
 pub(crate) struct SealedLog {
-    /// Where it goes on.
+    /// Write positions after the seals.
     pub(crate) cursors: intent_log::LogCursors,
-    /// Batches of the table.
+    /// Batches in the table.
     pub(crate) table: Vec<intent_log::StoredBatch>,
-    /// Batches of the object store.
+    /// Batches in the object store.
     pub(crate) objects: Vec<intent_log::StoredBatch>,
 }
 
-/// What became of a trim.
+/// Sent to the hall actor after a trim of the log.
 pub(crate) struct TrimReport {
-    /// Batches that were to be dropped from the table.
+    /// Batches to be deleted from the table.
     pub(crate) numbers: Vec<u64>,
-    /// Whether they were.
+    /// Whether the table answered the deletion.
     pub(crate) done: bool,
 }
 
-/// Appends a batch.
+/// Appends entries to the log, starting at the write positions `before`.
 pub(crate) async fn append<B: backend::HallBackend>(
     log: intent_log::IntentLog<B>,
     before: intent_log::LogCursors,
@@ -98,7 +96,7 @@
     AppendReport { cursors, before, entries, outcome }
 }
 
-/// Seals both stores.
+/// Seals and reads the log in both stores.
 pub(crate) async fn seal<B: backend::HallBackend>(log: intent_log::IntentLog<B>) -> SealReport {
     match seal_both(&log).await {
         Ok(sealed) => SealReport { sealed: Some(sealed), fenced: false },
@@ -119,7 +117,7 @@
     Ok(SealedLog { cursors, table, objects })
 }
 
-/// Drops batches.
+/// Deletes the batches `numbers` from the table and moves the floor of the log.
 pub(crate) async fn trim<B: backend::HallBackend>(
     log: intent_log::IntentLog<B>,
     numbers: Vec<u64>,
@@ -132,8 +130,8 @@
     TrimReport { numbers, done: trimmed.is_ok() }
 }
 
-/// Grants whose intents are among `entries`.
-pub(crate) fn granted(entries: &[model::IntentEntry]) -> Vec<ids::GrantId> {
+/// Returns the grants whose intents are among `entries`.
+pub(crate) fn intent_grants(entries: &[model::IntentEntry]) -> Vec<ids::GrantId> {
     let grants = entries.iter().filter_map(|it| match it {
         model::IntentEntry::Intent { grant, .. } => Some(*grant),
         model::IntentEntry::Outcome { .. } => None,
--- a/crates/hall/src/intents.rs
+++ b/crates/hall/src/intents.rs
@@ -1,4 +1,4 @@
-//! How the scheduler uses the intent log.
+//! The hall actor's part in the intent log: queues entries, appends them, loads and trims the log.
 
 use std::time::Duration;
 
@@ -13,32 +13,33 @@
 use crate::metric;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Puts an intent on its way to the log.
+    /// Queues an intent and starts an append unless one is in flight.
     pub(crate) fn log_intent(&mut self, entry: model::IntentEntry) {
-        self.intents.intents.push(entry);
+        self.intents.pending_intents.push(entry);
         self.append_intents(Instant::now());
     }
 
-    /// Notes the outcome of a grant under a key, and sees that the log learns it.
+    /// Records the outcome of a grant with an idempotency key, and queues it for the log.
     pub(crate) fn log_outcome(&mut self, grant: ids::GrantId, outcome: model::RequestOutcome) {
         let Some(entry) = self.intents.index.settle(grant, outcome) else { return };
-        self.intents.outcomes.push(entry);
+        self.intents.pending_outcomes.push(entry);
         let flush_at = Instant::now() + OUTCOME_DELAY;
         self.intents.flush_at.get_or_insert(flush_at);
         self.wake.notify_one();
     }
 
-    /// Appends what is due, if nothing is on its way: lines that come meanwhile go together.
+    /// Appends the pending entries if some are due and no append is in flight. Entries queued during
+    /// an append go out together in the next one.
     pub(crate) fn append_intents(&mut self, now: Instant) {
         let outcomes_due = self.intents.flush_at.is_some_and(|it| it <= now) || self.frozen;
-        let due =
-            !self.intents.intents.is_empty() || (outcomes_due && !self.intents.outcomes.is_empty());
+        let due = !self.intents.pending_intents.is_empty()
+            || (outcomes_due && !self.intents.pending_outcomes.is_empty());
         if !due || !self.tenure.may_act() || self.fenced {
             return;
         }
         let Some(before) = self.intents.cursors.take() else { return };
-        let mut entries = std::mem::take(&mut self.intents.outcomes);
-        entries.append(&mut self.intents.intents);
+        let mut entries = std::mem::take(&mut self.intents.pending_outcomes);
+        entries.append(&mut self.intents.pending_intents);
         self.intents.flush_at = None;
         let log = self.intent_log();
         let reports = self.own_address();
@@ -58,14 +59,14 @@
                 None
             }
         };
-        self.note_batches(&report);
+        self.track_batches(&report);
         self.intents.cursors = Some(report.cursors);
-        for grant in intent_task::granted(&report.entries) {
+        for grant in intent_task::intent_grants(&report.entries) {
             match durable {
                 Some(place) => self.on_intent_durable(grant, place),
-                // Proof for "not run": the grant was not told to anybody and never will be, so
-                // no entry can send the request. The intent itself may be in a store, where a
-                // later holder would read it as unknown; the outcome that follows corrects it.
+                // Proof of "not run": the grant was not and never will be sent to an entry, so no
+                // entry can send the request. The intent itself may be in a store, where a later
+                // holder would read it as "unknown"; the outcome appended next corrects that.
                 None => self.withdraw_intent(grant),
             }
         }
@@ -79,26 +80,26 @@
     fn retry_outcomes(&mut self, entries: Vec<model::IntentEntry>) {
         let outcomes = entries.into_iter();
         let outcomes = outcomes.filter(|it| matches!(it, model::IntentEntry::Outcome { .. }));
-        self.intents.outcomes.extend(outcomes);
-        if !self.intents.outcomes.is_empty() {
+        self.intents.pending_outcomes.extend(outcomes);
+        if !self.intents.pending_outcomes.is_empty() {
             self.intents.flush_at = Some(Instant::now() + OUTCOME_RETRY);
         }
     }
 
-    fn note_batches(&mut self, report: &intent_task::AppendReport) {
-        // A batch of an earlier try may have taken its number with this append, so the bound is
-        // that of the youngest key there can be.
+    fn track_batches(&mut self, report: &intent_task::AppendReport) {
+        // This append may also have written the unconfirmed batch of an earlier append, so the
+        // expiry is that of the newest key that any entry can have.
         let window = self.config.document.bounds.idempotency_window.0;
-        let until = self.wall_time() + window + intent_index::CLOCK_SLACK * 2;
+        let expires_at = self.wall_time() + window + intent_index::CLOCK_SLACK * 2;
         for number in report.before.table.next..report.cursors.table.next {
-            self.intents.table_batches.push_back(intent_task::BatchAge { number, until });
+            self.intents.table_batches.push_back(intent_task::BatchExpiry { number, expires_at });
         }
         for number in report.before.objects.next..report.cursors.objects.next {
-            self.intents.object_batches.push_back(intent_task::BatchAge { number, until });
+            self.intents.object_batches.push_back(intent_task::BatchExpiry { number, expires_at });
         }
     }
 
-    /// Seals the log and reads it, again and again until both stores answered.
+    /// Seals and reads the log after `delay`; repeated until both stores have answered.
     pub(crate) fn seal_intents(&self, delay: Duration) {
         let log = self.intent_log();
         let reports = self.own_address();
@@ -122,28 +123,28 @@
         self.wake.notify_one();
     }
 
-    /// Takes over what earlier tenures logged.
+    /// Loads the entries that earlier tenures logged into the index, and the expiry of their batches.
     pub(crate) fn load_intent_log(&mut self, sealed: intent_task::SealedLog) {
         let window = self.config.document.bounds.idempotency_window.0;
         let batches = || sealed.table.iter().chain(&sealed.objects);
         for stored in batches() {
-            self.intents.index.replay(&stored.batch.entries);
+            self.intents.index.replay_intents(&stored.batch.entries);
         }
         for stored in batches() {
             self.intents.index.replay_outcomes(&stored.batch.entries);
         }
-        let age = |stored: &intent_log::StoredBatch| intent_task::BatchAge {
+        let expiry = |stored: &intent_log::StoredBatch| intent_task::BatchExpiry {
             number: stored.number,
-            until: stored
+            expires_at: stored
                 .batch
                 .entries
                 .iter()
-                .map(|it| intent_index::matters_until(it, window))
+                .map(|it| intent_index::entry_expiry(it, window))
                 .max()
                 .unwrap_or_default(),
         };
-        self.intents.table_batches = sealed.table.iter().map(age).collect();
-        self.intents.object_batches = sealed.objects.iter().map(age).collect();
+        self.intents.table_batches = sealed.table.iter().map(expiry).collect();
+        self.intents.object_batches = sealed.objects.iter().map(expiry).collect();
         self.intents.cursors = Some(sealed.cursors);
         self.intents.sealed = true;
         let n_open = self.intents.index.open_grants().len();
@@ -151,11 +152,11 @@
             hall = self.hall,
             n_keys = self.intents.index.n_keys(),
             n_open,
-            "read intents"
+            "intent log loaded"
         );
     }
 
-    /// Drops what no longer matters from memory and from the stores.
+    /// Removes expired keys from the index and expired batches from the stores.
     pub(crate) fn trim_intents(&mut self, now: Instant) {
         if self.intents.next_trim.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
@@ -168,10 +169,10 @@
         let Some(cursors) = self.intents.cursors.clone() else { return };
         let objects = &mut self.intents.object_batches;
         let n_objects = objects.len();
-        while objects.front().is_some_and(|it| it.until < wall) {
+        while objects.front().is_some_and(|it| it.expires_at < wall) {
             objects.pop_front();
         }
-        let old = self.intents.table_batches.iter().take_while(|it| it.until < wall);
+        let old = self.intents.table_batches.iter().take_while(|it| it.expires_at < wall);
         let numbers = old.map(|it| it.number).take(TRIM_PAGE).collect::<Vec<_>>();
         if numbers.is_empty() && n_objects == self.intents.object_batches.len() {
             return;
@@ -209,13 +210,13 @@
     }
 }
 
-/// Outcomes wait this long for an intent to go with.
+/// Time that outcomes wait for an intent to be appended together with.
 const OUTCOME_DELAY: Duration = Duration::from_millis(300);
-/// Outcomes that did not get through are tried again after this.
+/// Pause before outcomes are appended again after an append that was not durable.
 const OUTCOME_RETRY: Duration = Duration::from_secs(2);
-/// Sealing is tried again after this.
+/// Pause before another attempt to seal the log.
 pub(crate) const SEAL_RETRY: Duration = Duration::from_secs(1);
-/// Between two trims.
+/// Interval between two trims of the log.
 const TRIM_INTERVAL: Duration = Duration::from_secs(60);
-/// Batches dropped from the table in one transaction.
+/// Largest number of batches deleted from the table in one transaction.
 const TRIM_PAGE: usize = 64;
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -1,4 +1,4 @@
-//! How the scheduler keeps the rows of jobs.
+//! The hall actor's part in committing job rows: forms batches, handles their outcomes, sweeps.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::jobs;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Sends a group of rows on its way, or the one again whose outcome is not known.
+    /// Starts the commit of the next batch, or again of the batch whose outcome is not known.
     pub(crate) fn commit_jobs(&mut self, now: Instant) {
         if self.jobs.committing || self.fenced || !self.tenure.may_act() {
             return;
@@ -21,10 +21,10 @@
         if self.jobs.next_commit_at.is_none_or(|it| now < it) && !self.frozen {
             return;
         }
-        if self.jobs.commit.is_none() {
-            self.jobs.commit = self.next_group();
+        if self.jobs.pending_batch.is_none() {
+            self.jobs.pending_batch = self.next_batch();
         }
-        let Some(plan) = self.jobs.commit.clone() else {
+        let Some(batch) = self.jobs.pending_batch.clone() else {
             self.jobs.next_commit_at = None;
             return;
         };
@@ -33,14 +33,14 @@
             (self.ports.table.clone(), self.tenure.clone(), self.own_address());
         let deadline = self.options.call_deadline();
         tokio::spawn(async move {
-            let _ = reports.send(commit::run(table, tenure, plan, deadline).await).await;
+            let _ = reports.send(commit::try_commit(table, tenure, batch, deadline).await).await;
         });
     }
 
-    fn next_group(&mut self) -> Option<commit::CommitPlan> {
-        let group = self.jobs.dirty.iter().take(COMMIT_GROUP).copied().collect::<Vec<_>>();
+    fn next_batch(&mut self) -> Option<commit::CommitBatch> {
+        let jobs = self.jobs.dirty.iter().take(JOBS_PER_COMMIT).copied().collect::<Vec<_>>();
         let mut writes = Vec::new();
-        for job in group {
+        for job in jobs {
             self.jobs.dirty.remove(&job);
             let Some(entry) = self.jobs.entries.get(&job) else { continue };
             if entry.committed.as_ref() == Some(&entry.record) {
@@ -52,14 +52,14 @@
         if writes.is_empty() {
             return None;
         }
-        self.jobs.commit_number += 1;
-        Some(commit::CommitPlan {
+        self.jobs.last_batch_number += 1;
+        Some(commit::CommitBatch {
             hall: self.hall.clone(),
             writes,
-            at: self.wall_time(),
-            number: self.jobs.commit_number,
-            after: self.jobs.commit_version,
-            unsure: false,
+            created_at: self.wall_time(),
+            number: self.jobs.last_batch_number,
+            expected_version: self.jobs.commit_row_version,
+            may_be_committed: false,
         })
     }
 
@@ -68,33 +68,34 @@
         let now = Instant::now();
         match report.outcome {
             CommitOutcome::Committed { version } => {
-                self.jobs.commit = None;
-                self.jobs.commit_version = Some(version);
-                for write in report.plan.writes {
-                    self.job_committed(write);
+                self.jobs.pending_batch = None;
+                self.jobs.commit_row_version = Some(version);
+                for write in report.batch.writes {
+                    self.on_job_committed(write);
                 }
                 self.jobs.next_commit_at =
                     (!self.jobs.dirty.is_empty()).then_some(now + COMMIT_DELAY);
             }
-            CommitOutcome::Known(records) => {
-                self.jobs.commit = None;
+            CommitOutcome::JobsExist(records) => {
+                self.jobs.pending_batch = None;
                 for record in records {
-                    self.job_was_known(record);
+                    self.answer_repeated_submission(record);
                 }
-                self.write_again(report.plan, false);
+                self.return_batch(report.batch, false);
                 self.jobs.next_commit_at = Some(now);
             }
             CommitOutcome::Fenced => {
                 self.fence();
-                self.jobs.commit = None;
+                self.jobs.pending_batch = None;
             }
-            CommitOutcome::Unsent => {
-                self.jobs.commit = None;
-                self.write_again(report.plan, true);
+            CommitOutcome::NoEffect => {
+                self.jobs.pending_batch = None;
+                self.return_batch(report.batch, true);
                 self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
-            CommitOutcome::Unsure => {
-                self.jobs.commit = Some(commit::CommitPlan { unsure: true, ..report.plan });
+            CommitOutcome::Unconfirmed => {
+                self.jobs.pending_batch =
+                    Some(commit::CommitBatch { may_be_committed: true, ..report.batch });
                 self.jobs.next_commit_at = Some(now + COMMIT_RETRY);
             }
         }
@@ -102,11 +103,11 @@
         self.finish_freeze();
     }
 
-    fn job_committed(&mut self, write: commit::JobWrite) {
+    fn on_job_committed(&mut self, write: commit::JobWrite) {
         let job = write.record.job;
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
         entry.committed = Some(write.record.clone());
-        // A cancellation that came while this group was on its way waits for the next one.
+        // A cancellation that arrived while this batch was in flight is answered by the next batch.
         if entry.record == write.record {
             for waiter in entry.waiters.drain(..) {
                 let _ = waiter.send(model::JobReply::Record { record: write.record.clone() });
@@ -126,37 +127,38 @@
         self.resume_logged_start(job);
         self.advance_gang(job);
         let entry = self.jobs.entries.get(&job);
-        let over = entry.is_some_and(|it| {
+        let is_settled = entry.is_some_and(|it| {
             it.gang.is_none() && it.is_over() && it.committed.as_ref() == Some(&it.record)
         });
-        if over {
+        if is_settled {
             self.jobs.entries.remove(&job);
             self.jobs.dirty.remove(&job);
         }
     }
 
-    /// A submitted job existed before: the submission is a repeat.
-    fn job_was_known(&mut self, record: model::JobRecord) {
+    /// Answers a submission of a job that exists already, with the existing record.
+    fn answer_repeated_submission(&mut self, record: model::JobRecord) {
         let Some(entry) = self.jobs.entries.remove(&record.job) else { return };
         for waiter in entry.waiters {
             let _ = waiter.send(model::JobReply::Record { record: record.clone() });
         }
     }
 
-    /// A group was certainly not written: its changes wait for the next one.
-    fn write_again(&mut self, plan: commit::CommitPlan, refuse: bool) {
-        for write in plan.writes {
+    /// Moves the changes of a batch that was certainly not written to the next batch. With
+    /// `refuse_new`, refuses the jobs that the batch was to create.
+    fn return_batch(&mut self, batch: commit::CommitBatch, refuse_new: bool) {
+        for write in batch.writes {
             let job = write.record.job;
             let Some(entry) = self.jobs.entries.get(&job) else { continue };
-            if write.create && refuse && entry.committed.is_none() {
-                // Proof for "not run": the table did not get the row, no later group of this
-                // tenure has it, and the policy has not heard of the job.
+            if write.create && refuse_new && entry.committed.is_none() {
+                // Proof of "not run": the row was not written, no later batch of this tenure
+                // contains it, and the policy does not have the job.
                 let text = "the job could not be made durable";
                 let entry = self.jobs.entries.remove(&job);
                 self.jobs.dirty.remove(&job);
                 for waiter in entry.into_iter().flat_map(|it| it.waiters) {
                     let code = model::WaitCode::StoreUnavailable;
-                    let _ = waiter.send(jobs::refused(code, text, Some(STORE_RETRY_AFTER)));
+                    let _ = waiter.send(jobs::refused_reply(code, text, Some(STORE_RETRY_AFTER)));
                 }
             } else {
                 self.jobs.dirty.insert(job);
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Drops jobs that ended long ago.
+    /// Deletes the rows of jobs that ended longer ago than the retention time.
     pub(crate) fn sweep_jobs(&mut self, now: Instant) {
         if self.jobs.next_sweep_at.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
@@ -184,17 +186,17 @@
     }
 }
 
-/// A group that got no certain answer is tried again after this.
+/// Pause after a commit that had no effect or is unconfirmed.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
 
-/// Jobs in one transaction.
-const COMMIT_GROUP: usize = 128;
+/// Largest number of jobs in one commit transaction.
+const JOBS_PER_COMMIT: usize = 128;
 
-/// Between two looks for ended jobs to drop.
+/// Interval between two sweeps of ended jobs.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Pages dropped at one look.
+/// Largest number of pages deleted in one sweep.
 const SWEEP_PAGES: usize = 8;
 
-/// Changes wait this long for others to go with.
+/// Time that a changed job waits for others to be committed with.
 pub(crate) const COMMIT_DELAY: Duration = Duration::from_millis(20);
--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs of a hall: what is durable, what is not yet, and the gangs that run.
+//! The jobs of a hall: their current and their durable records, and their gangs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,116 +11,115 @@
 use crate::commit;
 use crate::lease;
 
-/// One job.
+/// A job of the hall.
 #[derive(Debug)]
 pub(crate) struct JobEntry {
-    /// The job as it stands now.
+    /// Current state of the job, durable or not.
     pub(crate) record: model::JobRecord,
-    /// The job as its row has it; `None` while it is not accepted. Callers are told this one: a
-    /// state that is told before it is durable could be taken back by a takeover.
+    /// Content of the job row; `None` until the job is accepted. Callers get this record: a state
+    /// that is returned before it is durable could be undone by a takeover.
     pub(crate) committed: Option<model::JobRecord>,
-    /// Whether its class may run more than once.
+    /// Whether jobs of its class may run more than once.
     pub(crate) repeatable: bool,
-    /// Callers who submitted or cancelled it, answered by the next commit.
+    /// Callers that submitted or cancelled the job; answered once its row is committed.
     pub(crate) waiters: Vec<oneshot::Sender<model::JobReply>>,
-    /// Its gang, while one starts, runs or stops.
+    /// The gang of the job, while one starts, runs or stops.
     pub(crate) gang: Option<Gang>,
-    /// Starts tried under this tenure, rolled-back ones included; part of the lease names.
+    /// Starts under this tenure, including those that were rolled back; part of the lease names.
     pub(crate) n_starts: u32,
-    /// Runs before this one ended, from checkpoint to checkpoint.
+    /// Run time that the latest durable checkpoint saves, from the start of the gang that made it.
     pub(crate) saved_run: Duration,
-    /// When it arrived, for the histograms.
+    /// When this tenure received the job; start of the measured waiting time.
     pub(crate) arrived_at: Instant,
 }
 
 /// A gang that starts, runs or stops.
 #[derive(Debug)]
 pub(crate) struct Gang {
-    /// Which start of the job.
+    /// The start of the job that created the gang.
     pub(crate) start: lease::StartNumber,
-    /// Its members.
     pub(crate) members: Vec<GangMember>,
-    /// How far it has come.
     pub(crate) phase: GangPhase,
-    /// When it started.
+    /// When the start began. For a gang adopted at takeover: when the job began to run by its row,
+    /// or else the time of the adoption.
     pub(crate) started_at: Instant,
-    /// When a checkpoint was asked for, until it is told to the policy.
+    /// Whether a checkpoint was requested that the policy is not yet notified of as durable.
     pub(crate) checkpoint_requested: bool,
-    /// Whether it is to be stopped as soon as the task that starts it reports.
+    /// Whether the gang is to be stopped as soon as its start task reports.
     pub(crate) stop_requested: bool,
-    /// Whether that task may have sent a start to a worker.
+    /// Whether the start task may have sent a start to a worker.
     pub(crate) start_sent: bool,
-    /// Whether that task reported.
+    /// Whether the start task has reported.
     pub(crate) start_reported: bool,
 }
 
-/// One member of a gang.
+/// A member of a gang: one task of the job on one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct GangMember {
-    /// Where it is.
+    /// Rank, worker and accelerators of the task.
     pub(crate) assignment: work::TaskAssignment,
-    /// Its lease.
+    /// Lease that holds the worker's resources for the task.
     pub(crate) lease: ids::LeaseId,
-    /// How its task ended.
+    /// How the task ended; `None` while it has not.
     pub(crate) exit: Option<model::TaskExit>,
-    /// Its checkpoint when one was last asked for.
+    /// Latest checkpoint of the task when the gang was last requested to save one.
     pub(crate) previous_checkpoint: Option<ids::CheckpointId>,
-    /// Its latest checkpoint.
+    /// Latest checkpoint of the task.
     pub(crate) checkpoint: Option<ids::CheckpointId>,
 }
 
-/// How far a gang has come.
+/// Phase of a gang.
 #[derive(Debug)]
 pub(crate) enum GangPhase {
-    /// Its members are being reserved.
+    /// Leases for the members are being reserved.
     Reserving,
-    /// All are reserved; waits for the row that says that a start may have been sent.
+    /// All leases of a non-repeatable job are reserved. No start is sent until the job row that
+    /// records the start is durable; the sender then tells the start task whether to go ahead.
     PersistingStart(oneshot::Sender<bool>),
-    /// Starts were sent.
+    /// Starts may have been sent to workers.
     Starting,
-    /// All members run.
+    /// All members were started.
     Running,
-    /// Its leases are being released; then the policy learns the ending.
+    /// The leases are being released; the policy is notified of the ending after that.
     Stopping {
-        /// What the policy learns.
         ending: GangEnding,
-        /// Since when.
+        /// When the stop began.
         since: Instant,
     },
 }
 
-/// What the policy learns once nothing of a gang is held any more.
+/// Ending of a gang, reported to the policy once all its leases are released.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum GangEnding {
-    /// It never ran.
+    /// The gang did not run.
     NotStarted {
-        /// The worker in the way, if one was.
+        /// The worker at which the start failed, if it failed at one.
         worker: Option<ids::WorkerId>,
-        /// Why.
+        /// Reason for which the start failed.
         fault: event::StartFault,
     },
-    /// It ran.
+    /// The gang ran.
     Ended(event::WorkExit),
 }
 
-/// Jobs by id.
+/// The jobs of a hall, and the state of commits of their rows.
 #[derive(Debug, Default)]
 pub(crate) struct JobTable {
-    /// Jobs that are not over, or whose end is not durable.
+    /// Jobs that have not ended or whose end is not durable.
     pub(crate) entries: BTreeMap<ids::JobId, JobEntry>,
-    /// Jobs whose row differs from what is known.
+    /// Jobs with changes that are not in their row or in the pending batch.
     pub(crate) dirty: BTreeSet<ids::JobId>,
-    /// The commit on its way, or to be tried again.
-    pub(crate) commit: Option<commit::CommitPlan>,
-    /// Number of the last group of this tenure.
-    pub(crate) commit_number: u64,
-    /// Version of the commit row after the last group that is durable, once known.
-    pub(crate) commit_version: Option<ids::RowVersion>,
-    /// Whether a commit is on its way.
+    /// The batch that is in flight or to be retried.
+    pub(crate) pending_batch: Option<commit::CommitBatch>,
+    /// Number of the last batch of this tenure.
+    pub(crate) last_batch_number: u64,
+    /// Version of the commit row after the last durable batch; `None` until the first commit.
+    pub(crate) commit_row_version: Option<ids::RowVersion>,
+    /// Whether a commit is in flight.
     pub(crate) committing: bool,
-    /// When the next commit may go out.
+    /// When the next commit may start; `None` if nothing is to be written.
     pub(crate) next_commit_at: Option<Instant>,
-    /// When ended jobs are looked through again.
+    /// When ended jobs are next swept.
     pub(crate) next_sweep_at: Option<Instant>,
 }
 
@@ -137,7 +136,7 @@
         self.committing || !self.dirty.is_empty() || starting
     }
 
-    /// Jobs of an account that wait.
+    /// Number of queued jobs of an account.
     pub(crate) fn n_queued(&self, account: &str) -> usize {
         let jobs = self.entries.values().filter(|it| it.record.account == account);
         jobs.filter(|it| it.record.state == model::JobState::Queued).count()
@@ -145,18 +144,18 @@
 }
 
 impl JobEntry {
-    /// Whether the job is over.
+    /// Whether the job has ended.
     pub(crate) fn is_over(&self) -> bool {
         is_terminal(self.record.state)
     }
 
-    /// The gang, if it is of this start.
+    /// Returns the gang if it was created by this start.
     pub(crate) fn gang_for_start(&mut self, start: lease::StartNumber) -> Option<&mut Gang> {
         self.gang.as_mut().filter(|it| it.start == start)
     }
 }
 
-/// Whether a job in this state is over.
+/// Whether a job in this state has ended.
 pub(crate) fn is_terminal(state: model::JobState) -> bool {
     matches!(
         state,
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -1,4 +1,4 @@
-//! How the scheduler accepts jobs, answers about them and keeps their rows.
+//! How the hall actor accepts, queries, cancels, requeues and ends jobs.
 
 use std::time::Duration;
 
@@ -39,8 +39,8 @@
             }
             return;
         }
-        // Proof for "not run" of every refusal here: the job is in no row and in no queue.
-        if let Some(refusal) = self.refuse_job(&call) {
+        // Proof of "not run" for every refusal here: the job is in no row and in no queue.
+        if let Some(refusal) = self.refusal_for(&call) {
             let _ = reply.send(refusal);
             return;
         }
@@ -60,24 +60,32 @@
         self.mark_dirty(call.job);
     }
 
-    fn refuse_job(&self, call: &model::JobSubmit) -> Option<model::JobReply> {
+    fn refusal_for(&self, call: &model::JobSubmit) -> Option<model::JobReply> {
         let class = self.config.class(&call.submission.class);
         let Some(class) = class.filter(|it| it.kind == model::ClassKind::Job) else {
             let text = format!("expected a class for jobs, found {}", call.submission.class);
-            return Some(refused(model::WaitCode::UnknownClass, text, None));
+            return Some(refused_reply(model::WaitCode::UnknownClass, text, None));
         };
         let Some(account) = self.config.account(&call.account) else {
             let text = format!("expected a known client account, found {}", call.account);
-            return Some(refused(model::WaitCode::UnknownAccount, text, None));
+            return Some(refused_reply(model::WaitCode::UnknownAccount, text, None));
         };
         if !self.is_sole_holder() {
             let text = "a job is accepted only once it is durable, and the table does not answer";
-            return Some(refused(model::WaitCode::StoreUnavailable, text, Some(STORE_RETRY_AFTER)));
+            return Some(refused_reply(
+                model::WaitCode::StoreUnavailable,
+                text,
+                Some(STORE_RETRY_AFTER),
+            ));
         }
         let n_queued = self.jobs.n_queued(&call.account);
         if (account.limits.queued_jobs as usize) <= n_queued {
             let text = format!("{n_queued} jobs of the account wait already");
-            return Some(refused(model::WaitCode::AccountLimit, text, Some(STORE_RETRY_AFTER)));
+            return Some(refused_reply(
+                model::WaitCode::AccountLimit,
+                text,
+                Some(STORE_RETRY_AFTER),
+            ));
         }
         let record = self.new_record(call);
         let item = self.job_work_item(&record, class, Duration::ZERO);
@@ -104,7 +112,7 @@
         }
     }
 
-    /// The job as the policy sees it.
+    /// Builds the work item that represents a job in the policy.
     pub(crate) fn job_work_item(
         &self,
         record: &model::JobRecord,
@@ -141,15 +149,15 @@
         let entry = entry.filter(|it| it.record.account == call.account);
         match entry.and_then(|it| it.committed.clone()) {
             Some(record) => {
-                let record = self.with_reason(record);
+                let record = self.with_wait_reason(record);
                 let _ = reply.send(model::JobReply::Record { record });
             }
-            None => self.read_job(call.account, call.job, reply),
+            None => self.reply_from_row(call.account, call.job, reply),
         }
     }
 
-    /// Answers from the row of a job that is over, or of another hall.
-    fn read_job(
+    /// Answers from the table, for a job that has ended or belongs to another hall.
+    fn reply_from_row(
         &self,
         account: ids::AccountId,
         job: ids::JobId,
@@ -159,7 +167,7 @@
         let deadline = self.options.call_deadline();
         tokio::spawn(async move {
             let get = model::TableGet { keys: vec![keys::job(&account, &job)] };
-            // Without an answer the reply is dropped: "not found" would be a guess.
+            // If the table does not answer, the reply channel is dropped: "not found" could be wrong.
             let rows =
                 deadline::within(deadline, "read a job", deadline::TABLE_SERVICE, table.get(get));
             let Ok(rows) = rows.await else { return };
@@ -170,8 +178,8 @@
         });
     }
 
-    /// Adds why a job waits now.
-    fn with_reason(&self, mut record: model::JobRecord) -> model::JobRecord {
+    /// Sets the reason for which an unfinished job waits at present, if the policy has one.
+    fn with_wait_reason(&self, mut record: model::JobRecord) -> model::JobRecord {
         if !job_table::is_terminal(record.state)
             && let Some(reason) = self.policy.reason(&record.job, self.wall_time())
         {
@@ -188,7 +196,7 @@
         let request::PendingCall { call, reply } = pending;
         let entry = self.jobs.entries.get_mut(&call.job);
         let Some(entry) = entry.filter(|it| it.record.account == call.account) else {
-            self.read_job(call.account, call.job, reply);
+            self.reply_from_row(call.account, call.job, reply);
             return;
         };
         if entry.record.cancel_requested || entry.is_over() {
@@ -202,13 +210,13 @@
             return;
         }
         entry.record.cancel_requested = true;
-        // Answered once durable: a successor must know of it too.
+        // Answered once the request is durable, so that a successor also carries it out.
         entry.waiters.push(reply);
         self.mark_dirty(call.job);
         self.apply_event(event::HallEvent::Cancelled(call.job));
     }
 
-    /// The row of a job differs from what is known.
+    /// Queues a job whose record differs from its row for the next commit.
     pub(crate) fn mark_dirty(&mut self, job: ids::JobId) {
         self.jobs.dirty.insert(job);
         let due = Instant::now() + COMMIT_DELAY;
@@ -222,7 +230,7 @@
         }
     }
 
-    /// The policy queued a job again.
+    /// Returns a job that the policy requeued to the queued state, with the reason.
     pub(crate) fn requeue_job(&mut self, job: ids::JobId, reason: model::WaitReason) {
         self.set_wait_reason(job, reason);
         self.requeue_row(job);
@@ -242,7 +250,8 @@
         }
     }
 
-    /// Nobody can tell what became of work that may run only once. It is never started again.
+    /// Ends a non-repeatable job as `unknown` because no worker can tell whether it ran. It is never
+    /// started again.
     pub(crate) fn end_job_unknown(&mut self, job: ids::JobId) {
         self.apply_event(event::HallEvent::Cancelled(job));
         self.apply_event(event::HallEvent::Ended { work: job, exit: event::WorkExit::Stopped });
@@ -254,7 +263,7 @@
         self.end_job(job, model::JobState::Unknown, reason);
     }
 
-    /// The policy says that a job is over.
+    /// Ends a job that the policy reports as finished.
     pub(crate) fn finish_job(
         &mut self,
         job: ids::JobId,
@@ -267,8 +276,8 @@
             model::RequestOutcome::Done => model::JobState::Done,
             model::RequestOutcome::Unknown => model::JobState::Unknown,
             _ if record.cancel_requested => model::JobState::Cancelled,
-            // Proof for "not run": `attempt` counts the starts that may have been sent. A victim
-            // that ran before and is given up now did run.
+            // Proof of "not run": `attempt` counts the starts that may have been sent, and there was
+            // none. A victim that ran before its preemption and is not restarted did run.
             model::RequestOutcome::NotRun if record.attempt == 0 => model::JobState::NotRun,
             model::RequestOutcome::NotRun | model::RequestOutcome::Failed => {
                 model::JobState::Failed
@@ -290,13 +299,13 @@
         let (account, class) =
             (entry.record.account.clone(), entry.record.submission.class.clone());
         metric::completion(&account, &class, wall.since(entry.record.submitted_at));
-        metric::outcome(&account, &class, outcome_of(state));
-        tracing::info!(hall = self.hall, job = %job, state = %state, "a job is over");
+        metric::outcome(&account, &class, request_outcome(state));
+        tracing::info!(hall = self.hall, job = %job, state = %state, "job ended");
         self.mark_dirty(job);
     }
 }
 
-fn outcome_of(state: model::JobState) -> model::RequestOutcome {
+fn request_outcome(state: model::JobState) -> model::RequestOutcome {
     match state {
         model::JobState::Done => model::RequestOutcome::Done,
         model::JobState::Failed => model::RequestOutcome::Failed,
@@ -305,7 +314,7 @@
     }
 }
 
-pub(crate) fn refused(
+pub(crate) fn refused_reply(
     code: model::WaitCode,
     text: impl Into<String>,
     retry_after: Option<time::TimeSpan>,
