--- a/crates/hall/src/adoption.rs
+++ b/crates/hall/src/adoption.rs
@@ -16,7 +16,7 @@
 use crate::job_table::{Gang, GangMember, GangPhase, JobEntry};
 use crate::lease::{LeasePurpose, StartNumber};
 use crate::lease_table::{LeaseEntry, LeaseState};
-use crate::takeover::WorkerListings;
+use crate::takeover::LeaseListings;
 use crate::worker_node::NodeState;
 
 /// A lease that a worker listed.
@@ -34,7 +34,7 @@
 pub(crate) fn adopt<B: backend::HallBackend>(
     actor: &mut HallActor<B>,
     records: Vec<model::JobRecord>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let workers = actor.nodes.keys().cloned().collect::<Vec<_>>();
     // Workers that did not answer come back for a moment, so that the policy can place on them
@@ -65,7 +65,7 @@
 pub(crate) async fn release_stray_leases<B: backend::HallBackend>(actor: &mut HallActor<B>) {
     let mut tasks = JoinSet::new();
     for (worker, node) in &actor.nodes {
-        let leases = actor.leases.in_state(worker, LeaseState::Releasing);
+        let leases = actor.leases.names_in_state(worker, LeaseState::Releasing);
         let Some(address) = node.address().cloned().filter(|_| !leases.is_empty()) else {
             continue;
         };
@@ -86,7 +86,7 @@
     }
 }
 
-fn found_tasks(listings: &WorkerListings) -> FoundStarts {
+fn found_tasks(listings: &LeaseListings) -> FoundStarts {
     let mut found = FoundStarts::new();
     for (worker, listing) in listings {
         for status in &listing.leases {
@@ -105,7 +105,7 @@
     actor: &mut HallActor<B>,
     record: model::JobRecord,
     found: &FoundStarts,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let job = record.job;
     let class = actor.config.class(&record.submission.class).cloned();
@@ -150,7 +150,7 @@
 fn complete_gang(
     record: &model::JobRecord,
     found: Option<&BTreeMap<StartNumber, BTreeMap<u32, FoundTask>>>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) -> Option<(StartNumber, Vec<GangMember>)> {
     let placed = placed_start(record);
     let nothing = BTreeMap::new();
@@ -197,7 +197,7 @@
 fn missing_member(
     placement: &[model::TaskPlacement],
     rank: u32,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) -> Option<GangMember> {
     let placed = placement.iter().find(|it| it.rank == rank)?;
     if listings.contains_key(&placed.worker) {
@@ -221,7 +221,7 @@
     item: work::WorkItem,
     start: StartNumber,
     members: Vec<GangMember>,
-    listings: &WorkerListings,
+    listings: &LeaseListings,
 ) {
     let job = item.id;
     let now = Instant::now();
@@ -276,20 +276,20 @@
 }
 
 /// Serving leases of earlier tenures count as busy until entries tell, or their grants ran out.
-fn adopt_slots<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &WorkerListings) {
+fn adopt_slots<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
     let classes = &actor.config.document.classes;
     let requests = classes.iter().filter(|it| it.kind == model::ClassKind::Request);
     let longest = requests.map(|it| it.max_run.0).max().unwrap_or_default();
     let start_by = actor.options.timing.grant_start_by.0;
-    let until = Instant::now() + longest + start_by + actor.options.call_deadline();
-    actor.grants.unreported = actor.members.instances.keys().cloned().collect();
+    let expires_at = Instant::now() + longest + start_by + actor.options.call_deadline();
+    actor.grants.unreported_entries = actor.members.instances.keys().cloned().collect();
     for (worker, listing) in listings {
         for status in &listing.leases {
             let Some(purpose @ LeasePurpose::Serve { .. }) = LeasePurpose::parse(&status.lease)
             else {
                 continue;
             };
-            adopt_slot(actor, worker, status, purpose, until);
+            adopt_slot(actor, worker, status, purpose, expires_at);
         }
     }
 }
@@ -299,7 +299,7 @@
     worker: &ids::WorkerId,
     status: &model::LeaseStatus,
     purpose: LeasePurpose,
-    until: Instant,
+    expires_at: Instant,
 ) {
     let class = HallActor::<B>::class_for_serving_lease(&actor.config, status.accelerators.len());
     let (Some(class), Some(account)) = (class, actor.config.document.accounts.first()) else {
@@ -337,15 +337,15 @@
         valid_until: now + status.remaining.0,
         expired_by: now + actor.options.lease_term() + actor.options.lease_margin(),
     });
-    let slot = AdoptedSlot { work: item.id, grant: None, until };
-    actor.grants.adopted.insert(lease, slot);
+    let slot = AdoptedSlot { work: item.id, grant: None, expires_at };
+    actor.grants.adopted_slots.insert(lease, slot);
     let accelerators = status.accelerators.clone();
     let placement = vec![work::TaskAssignment { rank: 0, worker: worker.clone(), accelerators }];
     let started_at = actor.wall_time();
     apply(actor, event::HallEvent::Adopted { item, placement, started_at });
 }
 
-fn enter_strays<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &WorkerListings) {
+fn enter_strays<B: backend::HallBackend>(actor: &mut HallActor<B>, listings: &LeaseListings) {
     for (worker, listing) in listings {
         for status in &listing.leases {
             if actor.leases.get(&status.lease).is_some() {
