--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -1,4 +1,4 @@
-//! Requests that must run at most once.
+//! Tests of requests with idempotency keys, which must run at most once.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::support::{self, HALL, TestInstance, TestSite};
 
-/// Offers a key again and expects that it is not sent a second time.
+/// Repeats a request with a key and checks that the reply is the recorded outcome, not a grant.
 async fn check_recorded(
     site: &TestSite,
     instance: &TestInstance,
@@ -22,7 +22,7 @@
 }
 
 cases! {
-    a_key_gets_its_recorded_outcome(site) {
+    repeated_key_returns_the_recorded_outcome(site) {
         let instance = site.start_holder("a").await;
         let outcomes = [
             model::RequestOutcome::Done,
@@ -37,10 +37,9 @@
         }
     }
 
-    /// Symptom: a ticket is printed twice.
-    /// Sequence: a caller repeats a request through another entry while the first is in progress.
-    /// Cause: only finished requests on record. "Not run" would be a lie too.
-    a_key_in_progress_is_unknown(site) {
+    /// A repeated request must not be sent while the first one is in progress, as it was when only
+    /// finished requests were recorded. The outcome is "unknown"; "not run" would be wrong.
+    key_in_progress_is_reported_as_unknown(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
         let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
@@ -51,28 +50,28 @@
         check_recorded(&site, &instance, key, done, grant.request).await;
     }
 
-    /// Symptom: two requests under one key that wait together are both sent.
-    /// Sequence: both arrive while no slot is free.
-    /// Cause: a key looked up only in the log of what was sent.
-    of_two_waiting_requests_one_is_sent(site) {
+    /// Two requests with the same key that wait for a slot at the same time must not both be sent.
+    /// They were when the key was only looked up among the requests that had been sent.
+    only_one_of_two_waiting_requests_with_one_key_is_granted(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
-        let asks = [0, 1].map(|_| {
-            let (service, ask) = (instance.service.clone(), support::request_with_key(&site, key));
-            tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
+        let calls = [0, 1].map(|_| {
+            let (service, request) =
+                (instance.service.clone(), support::request_with_key(&site, key));
+            tokio::spawn(async move { service.ask(request).await.expect(support::ANSWER) })
         });
         let mut n_granted = 0;
-        for ask in asks {
-            let reply = ask.await.expect("a call that ends");
+        for call in calls {
+            let reply = call.await.expect("a call that ends");
             n_granted += usize::from(matches!(reply, model::GrantReply::Granted { .. }));
         }
         assert_eq!(n_granted, 1);
     }
 
-    /// Symptom: a key is blocked for good by a request that was never sent.
-    /// Sequence: an entry gets a grant, cannot connect, returns "not run"; the caller tries again.
-    /// Cause: an intent taken for a request that was sent. The entry's word is the proof.
-    a_request_that_was_not_sent_frees_its_key(site) {
+    /// A key must not stay blocked by a request that was never sent: an entry gets a grant, cannot
+    /// connect and returns "not run", and the caller retries. An intent alone does not mean that the
+    /// request was sent; the outcome returned by the entry proves that it was not.
+    request_that_was_not_sent_frees_its_key(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
         let first = instance.expect_grant(support::request_with_key(&site, key)).await;
@@ -83,10 +82,9 @@
         check_recorded(&site, &instance, key, unknown, second.request).await;
     }
 
-    /// Symptom: a certificate is made twice.
-    /// Sequence: an entry dies before, during or after sending; the caller repeats the request.
-    /// Cause: a grant that ran out taken for one that was not used.
-    a_dead_entry_leaves_unknown(site) {
+    /// A request must not be sent again after its entry crashed before, during or after sending it.
+    /// An expired grant may have been used.
+    outcome_stays_unknown_after_entry_crash(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
         let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
@@ -97,38 +95,58 @@
         }
     }
 
-    /// Symptom: a key is sent a second time after its scheduler died.
-    /// Sequence: intent logged and granted; the holder dies; the caller repeats the request.
-    /// Cause: the record of keys kept in memory only.
-    a_dead_scheduler_leaves_the_record(site) {
+    /// A request must not be sent again after the holder that granted it crashed. It was sent again
+    /// when the uses of keys were kept in memory only.
+    key_uses_survive_holder_crash(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
-        let (done, open) = (site.key(), site.key());
-        let first = holder.expect_grant(support::request_with_key(&site, done)).await;
+        let successor = site.start("b");
+        let (done_key, open_key) = (site.key(), site.key());
+        let first = holder.expect_grant(support::request_with_key(&site, done_key)).await;
         holder.return_grant(&first, model::RequestOutcome::Done).await;
         support::advance(support::secs(1)).await;
-        let second = holder.expect_grant(support::request_with_key(&site, open)).await;
+        let second = holder.expect_grant(support::request_with_key(&site, open_key)).await;
         holder.crash(&site);
-        support::wait_until("the other holds", async || other.holds()).await;
-        check_recorded(&site, &other, done, model::RequestOutcome::Done, first.request).await;
-        check_recorded(&site, &other, open, model::RequestOutcome::Unknown, second.request).await;
-        // The entry lives and tells the successor how it ended.
-        other.return_grant(&second, model::RequestOutcome::Done).await;
-        check_recorded(&site, &other, open, model::RequestOutcome::Done, second.request).await;
+        support::wait_until("the successor holds the hall", async || successor.holds()).await;
+        check_recorded(
+            &site,
+            &successor,
+            done_key,
+            model::RequestOutcome::Done,
+            first.request,
+        )
+        .await;
+        check_recorded(
+            &site,
+            &successor,
+            open_key,
+            model::RequestOutcome::Unknown,
+            second.request,
+        )
+        .await;
+        // The entry still runs and returns the outcome to the successor.
+        successor.return_grant(&second, model::RequestOutcome::Done).await;
+        check_recorded(
+            &site,
+            &successor,
+            open_key,
+            model::RequestOutcome::Done,
+            second.request,
+        )
+        .await;
     }
 
-    /// Symptom: a key that was used is free after its intent's answer was lost.
-    /// Sequence: the append takes effect, or takes it late; its answer is lost.
-    /// Cause: a lost answer taken for a failure, or another batch written in its place.
-    lost_answers_of_appends_are_settled(site) {
+    /// A used key must not become free when the answer to the append of its intent is lost, while
+    /// the append takes effect at once or late. It became free when a lost answer was treated as a
+    /// failure, or when a different batch was written under the same number.
+    lost_append_answers_keep_keys_recorded(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
+        let successor = site.start("b");
         let faults =
             [Fault::AnswerLost, Fault::DelayedEffect(support::secs(1)), Fault::Unavailable];
         let mut used = Vec::new();
         for fault in faults {
-            // The first write after the ask is the append, unless a renewal is first: then the
-            // renewal is struck, which must not matter either.
+            // The first write after the grant request is the append, unless a renewal of the tenure
+            // comes first: then the fault is injected into the renewal, which must be harmless too.
             holder.table_faults.next(model::TableTransaction::PATH, fault);
             let key = site.key();
             let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
@@ -137,91 +155,92 @@
             support::advance(support::secs(3)).await;
         }
         holder.crash(&site);
-        support::wait_until("the other holds", async || other.holds()).await;
+        support::wait_until("the successor holds the hall", async || successor.holds()).await;
         for (key, request) in used {
-            check_recorded(&site, &other, key, model::RequestOutcome::Done, request).await;
+            check_recorded(&site, &successor, key, model::RequestOutcome::Done, request).await;
         }
     }
 
-    /// Symptom: a key is sent by two holders.
-    /// Sequence: the old holder loses the table and logs in the object store; a new one takes
-    /// over and seals; the old one offers its next intent there.
-    /// Cause: the object store knows no tenures. The seal takes the number that it would write.
-    a_cut_off_holder_is_fenced_in_the_object_store(site) {
-        let old = site.start_holder("a").await;
-        let new = site.start("b");
-        let before = site.key();
-        old.cut_off_from_table();
+    /// Two holders must not both grant a key: the old holder loses the table and logs to the object
+    /// store, a new holder takes over and seals the log, and the old one appends its next intent.
+    /// The object store cannot check tenures; the seal occupies the number that the old holder
+    /// would write.
+    old_holder_is_fenced_in_the_object_store(site) {
+        let old_holder = site.start_holder("a").await;
+        let new_holder = site.start("b");
+        let earlier_key = site.key();
+        old_holder.cut_off_from_table();
         support::advance(support::secs(5)).await;
-        let first = old.expect_grant(support::request_with_key(&site, before)).await;
-        support::wait_until("the new one holds", async || new.holds()).await;
+        let first = old_holder.expect_grant(support::request_with_key(&site, earlier_key)).await;
+        support::wait_until("the new holder holds the hall", async || new_holder.holds()).await;
         let unknown = model::RequestOutcome::Unknown;
-        check_recorded(&site, &new, before, unknown, first.request).await;
+        check_recorded(&site, &new_holder, earlier_key, unknown, first.request).await;
         let key = site.key();
-        let reply = old.grant(support::request_with_key(&site, key)).await;
+        let reply = old_holder.grant(support::request_with_key(&site, key)).await;
         assert!(!matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
-        new.expect_grant(support::request_with_key(&site, key)).await;
+        new_holder.expect_grant(support::request_with_key(&site, key)).await;
     }
 
-    /// Symptom: the same, with the old holder waking in the middle of an append.
-    /// Sequence: its append to the object store is under way while the new one seals; it lands.
-    /// Cause: an append that is counted before its answer. It meets the seal instead.
-    an_append_that_lands_after_the_seal_counts_for_nothing(site) {
-        let old = site.start_holder("a").await;
-        let new = site.start("b");
-        old.cut_off_from_table();
+    /// Two holders must not both grant a key when the old holder's append to the object store is in
+    /// flight while the new holder seals the log, and arrives after the seal. An append only counts
+    /// once it is answered, and this one finds its number taken by the seal.
+    append_that_arrives_after_the_seal_has_no_effect(site) {
+        let old_holder = site.start_holder("a").await;
+        let new_holder = site.start("b");
+        old_holder.cut_off_from_table();
         support::advance(support::secs(5)).await;
-        old.object_faults.set(Condition::Held);
+        old_holder.object_faults.set(Condition::Held);
         let key = site.key();
-        let (service, ask) = (old.service.clone(), support::request_with_key(&site, key));
-        let waiting = tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) });
-        support::wait_until("the new one holds", async || new.holds()).await;
-        old.object_faults.set(Condition::Up);
-        let grant = new.expect_grant(support::request_with_key(&site, key)).await;
+        let (service, request) =
+            (old_holder.service.clone(), support::request_with_key(&site, key));
+        let waiting =
+            tokio::spawn(async move { service.ask(request).await.expect(support::ANSWER) });
+        support::wait_until("the new holder holds the hall", async || new_holder.holds()).await;
+        old_holder.object_faults.set(Condition::Up);
+        let grant = new_holder.expect_grant(support::request_with_key(&site, key)).await;
         let reply = waiting.await.expect("a call that ends");
         assert!(!matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
         let unknown = model::RequestOutcome::Unknown;
-        check_recorded(&site, &new, key, unknown, grant.request).await;
+        check_recorded(&site, &new_holder, key, unknown, grant.request).await;
     }
 
-    /// Symptom: a key is sent twice because its intent was in a store that was down.
-    /// Sequence: a holder logs in the object store; it dies; the object store goes down; a
-    /// successor takes over by the table alone.
-    /// Cause: accepting before both stores are sealed and read.
-    a_successor_accepts_no_key_before_both_stores_are_sealed(site) {
+    /// A key must not be granted twice because its intent is in a store that is down: a holder logs
+    /// to the object store and crashes, the object store goes down, and a successor takes over with
+    /// the table alone. It may grant no key until both stores are sealed and read.
+    successor_grants_no_key_before_both_stores_are_sealed(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
+        let successor = site.start("b");
         holder.cut_off_from_table();
         support::advance(support::secs(5)).await;
         let key = site.key();
         let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
         site.objects.faults().set(Condition::Refusing);
         holder.crash(&site);
-        support::wait_until("the other holds", async || other.holds()).await;
-        let reply = other.grant(support::request_with_key(&site, key)).await;
+        support::wait_until("the successor holds the hall", async || successor.holds()).await;
+        let reply = successor.grant(support::request_with_key(&site, key)).await;
         assert!(matches!(reply, model::GrantReply::Busy { .. }), "found {reply:?}");
-        other.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+        successor.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         site.objects.faults().set(Condition::Up);
         support::advance(support::secs(3)).await;
-        check_recorded(&site, &other, key, model::RequestOutcome::Unknown, grant.request).await;
+        check_recorded(&site, &successor, key, model::RequestOutcome::Unknown, grant.request).await;
     }
 
-    keys_without_an_age_or_too_old_are_refused(site) {
+    keys_without_a_timestamp_or_too_old_are_refused(site) {
         let instance = site.start_holder("a").await;
-        let old = support::key_made_at(site.now() - support::secs(3601));
+        let old_key = support::key_made_at(site.now() - support::secs(3601));
         let code = async |key| match instance.grant(support::request_with_key(&site, key)).await {
             model::GrantReply::Refused { reason, .. } => reason.code,
             other => panic!("expected a refusal, found {other:?}"),
         };
-        assert_eq!(code(old).await, model::WaitCode::KeyTooOld);
+        assert_eq!(code(old_key).await, model::WaitCode::KeyTooOld);
         assert_eq!(code(uuid::Uuid::nil()).await, model::WaitCode::KeyRequired);
         let reply = instance.grant(support::request(&site, support::SINGLE_RUN_REQUEST)).await;
         assert!(matches!(reply, model::GrantReply::Refused { .. }));
     }
 
-    /// Symptom: the log grows for ever, or a record is dropped while its key is accepted.
-    /// Sequence: keys are used; their window passes.
-    records_are_dropped_after_the_window(site) {
+    /// The log must not grow without bound, and the use of a key must not be deleted while the key
+    /// is still accepted.
+    key_uses_are_deleted_after_the_window(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
         let grant = instance.expect_grant(support::request_with_key(&site, key)).await;
@@ -236,21 +255,22 @@
         instance.return_grant(&next, model::RequestOutcome::Done).await;
     }
 
-    many_keys_at_once_take_few_writes(site) {
+    concurrent_intents_share_transactions(site) {
         let instance = site.start_holder("a").await;
-        // Held back for a moment, so that the others gather behind the first.
+        // The first write is delayed, so that the other intents queue up during it.
         instance.table_faults.nth(
             model::TableTransaction::PATH,
             1,
             Fault::Slow(Duration::from_millis(200)),
         );
         let before = site.table.committed();
-        let asks = (0..12).map(|_| {
-            let (service, ask) = (instance.service.clone(), support::request_with_key(&site, site.key()));
-            tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
+        let calls = (0..12).map(|_| {
+            let (service, request) =
+                (instance.service.clone(), support::request_with_key(&site, site.key()));
+            tokio::spawn(async move { service.ask(request).await.expect(support::ANSWER) })
         });
-        for ask in asks.collect::<Vec<_>>() {
-            let reply = ask.await.expect("a call that ends");
+        for call in calls.collect::<Vec<_>>() {
+            let reply = call.await.expect("a call that ends");
             assert!(matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
         }
         let n_writes = site.table.committed() - before;
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs and their rows.
+//! Tests of submitting, committing, cancelling and ending jobs.
 
 use almondpass_peer::call::PeerCall;
 use almondpass_ports::keys;
@@ -8,7 +8,7 @@
 use crate::support::{self, HALL};
 
 cases! {
-    runs_a_gang_whole(site) {
+    gang_runs_as_a_whole(site) {
         let instance = site.start_holder("a").await;
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         assert_eq!(site.n_running_tasks(job), 3);
@@ -16,10 +16,10 @@
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
-    /// Symptom: a job that runs is shown as saving its run, for hours.
-    /// Sequence: the policy has a long run saved and does not stop it.
-    /// Cause: the state was set when a checkpoint was asked for and stayed after it was durable.
-    a_run_that_was_saved_runs_on(site) {
+    /// A running job must not be shown as checkpointing for hours after the policy had a long run
+    /// saved without stopping it. The state was set when the checkpoint was requested and was not
+    /// reset once the checkpoint was durable.
+    job_continues_after_a_checkpoint(site) {
         let instance = site.start_holder("a").await;
         site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
@@ -30,36 +30,43 @@
         assert_eq!(site.n_running_tasks(job), 2);
     }
 
-    a_job_that_never_fits_is_refused(site) {
+    job_that_never_fits_is_refused(site) {
         let instance = site.start_holder("a").await;
-        let reply = instance.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 99)).await;
+        let reply =
+            instance.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 99)).await;
         let model::JobReply::Refused { reason, .. } = reply else {
             panic!("expected a refusal, found {reply:?}");
         };
         assert_eq!(reason.code, model::WaitCode::NeverFits);
     }
 
-    /// Symptom: a job runs twice, or its caller is told "not run" while it runs.
-    /// Sequence: the answer to the commit of its row is lost; the entry submits it again.
-    /// Cause: an error taken for a failure, or a new job made of a repeat.
-    a_lost_answer_to_the_commit_is_settled(site) {
+    /// A job must not run twice, or be reported as "not run" while it runs, when the answer to the
+    /// commit of its row is lost and the entry submits it again. A lost answer is not a failed
+    /// commit, and a repeated submission is not a new job.
+    job_runs_once_after_a_lost_commit_answer(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
         instance.table_faults.next(model::TableTransaction::PATH, Fault::AnswerLost);
-        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
-        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
+        support::expect_record(
+            instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await,
+        );
+        support::expect_record(
+            instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await,
+        );
         site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 2);
-        support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
+        support::expect_record(
+            instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await,
+        );
         support::advance(support::secs(30)).await;
         assert_eq!(site.fleet.runs().len(), 2);
     }
 
-    /// Symptom: a job that ended is shown as running for ever, and a takeover runs it again.
-    /// Sequence: a commit is lost on its way; its repetition and the next commit, with the end of
-    /// the job, are durable; then the lost one arrives.
-    /// Cause: nothing but the tenure was a condition of it, and that had not changed.
-    a_commit_that_arrives_late_undoes_nothing(_site) {
+    /// A job that ended must not be shown as running for ever and be run again by a takeover. This
+    /// happened when a commit was delayed, its repetition and the next commit with the end of the
+    /// job became durable, and then the delayed commit arrived: it was conditional on the tenure
+    /// only, and the tenure had not changed.
+    late_commit_does_not_overwrite_newer_rows(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
             site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
@@ -74,23 +81,23 @@
         }
     }
 
-    /// Symptom: "not run" for a job that runs later.
-    /// Sequence: the table refuses the row; the caller is refused; the table returns.
-    /// Cause: a refused submission that stays in the queue.
-    a_refused_job_does_not_run_later(site) {
+    /// A job must not run after its caller was refused because the table rejected its row, when the
+    /// table is available again. A refused submission must not stay in the queue.
+    refused_job_does_not_run_later(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
         instance.table_faults.next(model::TableTransaction::PATH, Fault::Unavailable);
-        let reply = instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
+        let reply =
+            instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
         support::advance(support::secs(60)).await;
         assert_eq!(site.job(job), None);
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
-    /// Symptom: a caller is told that a job was cancelled, and it runs on.
-    /// Sequence: the job is cancelled while it runs, twice.
-    cancelling_a_running_gang_stops_it_whole(site) {
+    /// A job must not continue after its caller was told that it was cancelled. Here the job is
+    /// cancelled twice while it runs.
+    cancellation_stops_all_tasks_of_a_running_gang(site) {
         let instance = site.start_holder("a").await;
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         support::expect_record(instance.cancel(job).await);
@@ -100,10 +107,9 @@
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
-    /// Symptom: a wave of cancellations takes the table's writes for itself.
-    /// Sequence: 500 waiting jobs are cancelled at once, each twice.
-    /// Cause: a write for each.
-    cancellations_are_written_in_groups(site) {
+    /// A burst of cancellations must not use up the write capacity of the table, as it did with one
+    /// write for each cancellation. Here 500 waiting jobs are cancelled at once, each of them twice.
+    cancellations_are_written_in_batches(site) {
         let instance = site.start_holder("a").await;
         site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
@@ -138,7 +144,7 @@
         assert!(n_writes < 40, "{n_writes} transactions for 500 cancellations");
     }
 
-    ended_jobs_are_kept_for_a_while(site) {
+    ended_jobs_are_deleted_after_the_retention_time(site) {
         let instance = site.start_holder("a").await;
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
@@ -151,12 +157,11 @@
         assert_eq!(instance.query(job).await, model::JobReply::NotFound);
     }
 
-    /// Symptom: a job that may run only once runs twice after its holder died.
-    /// Sequence: its start was sent; holder and workers die; the successor finds no leases.
-    /// Cause: the successor takes "no leases" for "did not start".
-    work_that_may_run_only_once_is_never_started_again(site) {
+    /// A non-repeatable job must not run twice when the holder and the workers crash after its start
+    /// was sent. That the successor finds no leases does not prove that the job did not start.
+    non_repeatable_job_is_never_started_again(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
+        let successor = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
         let job = holder.run_gang(&site, support::SINGLE_RUN_JOB, 2).await;
         for (_, worker) in site.fleet.workers() {
@@ -166,20 +171,22 @@
         for (_, worker) in site.fleet.workers() {
             worker.restart();
         }
-        support::wait_until("the other holds", async || other.holds()).await;
+        support::wait_until("the successor holds the hall", async || successor.holds()).await;
         site.wait_for_job_state(job, model::JobState::Unknown).await;
         support::advance(support::secs(120)).await;
         assert_eq!(site.fleet.runs().len(), 2);
     }
 
-    /// Symptom: a job that may run only once starts before its row says so.
-    /// Sequence: the table goes down while it waits for room; the room opens.
-    /// Cause: a start before the row is durable. It waits for the table instead.
-    work_that_may_run_only_once_waits_for_the_table(site) {
+    /// A non-repeatable job must not start before the row that records the start is durable. Here
+    /// the table goes down while the job waits for free accelerators, and then some become free: the
+    /// job has to wait for the table.
+    non_repeatable_job_waits_for_the_table(site) {
         let instance = site.start_holder("a").await;
         let first = instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let job = site.key();
-        support::expect_record(instance.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await);
+        support::expect_record(
+            instance.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await,
+        );
         site.table.faults().set(Condition::Refusing);
         support::wait_until("the first job ended", async || site.n_running_tasks(first) == 0).await;
         support::advance(support::secs(60)).await;
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -1,4 +1,4 @@
-//! What goes on, and what is refused, while the stores are down.
+//! Tests of scheduling while the table or the object store is down.
 
 use almondpass_schema::model;
 use almondpass_standin::fault::Condition;
@@ -6,24 +6,26 @@
 use crate::support;
 
 cases! {
-    /// Symptom: work stops, or a hall changes hands, because the table is away for an hour.
-    /// Sequence: the table refuses for an hour; gangs run, requests come; it returns.
-    /// Cause: a holder that gives up with its term, or watchers that count the outage against it.
-    an_hour_without_the_table(site) {
+    /// Work must not stop, and the hall must not change its holder, when the table rejects all calls
+    /// for an hour while gangs run and requests arrive. The holder must not resign when its term
+    /// ends during the outage, and standby instances must not treat the outage as its failure.
+    hall_keeps_its_holder_during_an_hour_of_table_outage(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
+        let standby = site.start("b");
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         site.fleet.scripts().set_usual(support::task_script(support::secs(7200)));
-        let long = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
+        let long_job = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.table.faults().set(Condition::Refusing);
         for _ in 0..60 {
             support::advance(support::secs(60)).await;
-            let grant = holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+            let grant =
+                holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
             holder.return_grant(&grant, model::RequestOutcome::Done).await;
         }
-        assert!(!other.holds());
-        assert_eq!(site.n_running_tasks(long), 1);
-        let refused = holder.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 1)).await;
+        assert!(!standby.holds());
+        assert_eq!(site.n_running_tasks(long_job), 1);
+        let refused =
+            holder.submit(site.key(), support::gang_submission(support::REPEATABLE_JOB, 1)).await;
         let model::JobReply::Refused { reason, retry_after } = refused else {
             panic!("expected a refusal, found {refused:?}");
         };
@@ -31,20 +33,20 @@
         assert!(retry_after.is_some());
         site.table.faults().set(Condition::Up);
         support::advance(support::secs(20)).await;
-        assert!(holder.holds() && !other.holds());
+        assert!(holder.holds() && !standby.holds());
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
         assert_eq!(site.job(job).map(|it| it.state), Some(model::JobState::Done));
-        assert_eq!(site.n_running_tasks(long), 1);
+        assert_eq!(site.n_running_tasks(long_job), 1);
         holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
     }
 
-    /// Symptom: keyed requests are refused for as long as the table is down, or run twice.
-    /// Sequence: the table is down; a key is used, its outcome told; the holder dies after the
-    /// table came back; the key is offered again.
-    /// Cause: an intent that only the table may hold, or a successor that reads only the table.
-    keyed_requests_go_on_by_the_object_store(site) {
+    /// Requests with keys must neither be refused while the table is down nor run twice. Here a key
+    /// is used and its outcome returned during an outage, the holder crashes after the table is
+    /// available again, and the request is repeated. Intents may be logged to the object store, and
+    /// the successor has to read both stores.
+    keyed_requests_are_logged_to_the_object_store_during_a_table_outage(site) {
         let holder = site.start_holder("a").await;
-        let other = site.start("b");
+        let successor = site.start("b");
         site.table.faults().set(Condition::Silent);
         support::advance(support::secs(60)).await;
         let key = site.key();
@@ -54,16 +56,16 @@
         site.table.faults().set(Condition::Up);
         support::advance(support::secs(10)).await;
         holder.crash(&site);
-        support::wait_until("the other holds", async || other.holds()).await;
-        let again = other.grant(support::request_with_key(&site, key)).await;
+        support::wait_until("the successor holds the hall", async || successor.holds()).await;
+        let again = successor.grant(support::request_with_key(&site, key)).await;
         let outcome = model::RequestOutcome::Done;
         assert_eq!(again, model::GrantReply::Recorded { outcome, request: grant.request });
     }
 
-    /// Symptom: a keyed request is told "not run" and ran, or can never run.
-    /// Sequence: both stores are down; a key is offered; both return; it is offered again.
-    /// Cause: a grant before the intent is durable, or a withdrawn intent that blocks its key.
-    without_both_stores_keyed_requests_wait(site) {
+    /// A request with a key that arrives while both stores are down must neither run although it is
+    /// reported as "not run" nor be blocked after both stores are available again. The grant must
+    /// wait until the intent is durable, and a withdrawn intent must free its key.
+    keyed_requests_are_busy_while_both_stores_are_down(site) {
         let holder = site.start_holder("a").await;
         site.table.faults().set(Condition::Silent);
         site.objects.faults().set(Condition::Refusing);
@@ -81,10 +83,9 @@
         holder.expect_grant(support::request_with_key(&site, key)).await;
     }
 
-    /// Symptom: a storm of retries when the table returns, or while it is away.
-    /// Sequence: the table is silent for ten minutes under load.
-    /// Cause: retries without a pause.
-    an_outage_makes_no_retry_storm(site) {
+    /// Retries must pause between attempts, so that the number of calls stays bounded while the table
+    /// is down for ten minutes under load and when it is available again.
+    retries_are_limited_during_a_table_outage(site) {
         let holder = site.start_holder("a").await;
         let _job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         let before = site.table.faults().calls("/v1/table/transact");
