--- a/crates/hall/src/intent_index.rs
+++ b/crates/hall/src/intent_index.rs
@@ -63,7 +63,7 @@
 
     /// Records that the holder of a grant may send a request with the key from now on. Has no
     /// effect if the grant is recorded already.
-    pub fn begin(
+    pub fn record_intent(
         &mut self,
         account: &ids::AccountId,
         key: ids::IdempotencyKey,
@@ -81,7 +81,7 @@
 
     /// Records the outcome of a grant and returns the entry for the log. Returns `None` if the grant
     /// is unknown or has an outcome already: the first outcome counts.
-    pub fn settle(
+    pub fn record_outcome(
         &mut self,
         grant: ids::GrantId,
         outcome: model::RequestOutcome,
@@ -108,7 +108,7 @@
     pub fn replay_intents(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Intent { key, account, request, grant, .. } = entry {
-                self.begin(account, *key, *grant, *request);
+                self.record_intent(account, *key, *grant, *request);
             }
         }
     }
@@ -117,7 +117,7 @@
     pub fn replay_outcomes(&mut self, entries: &[model::IntentEntry]) {
         for entry in entries {
             if let model::IntentEntry::Outcome { grant, outcome, .. } = entry {
-                self.settle(*grant, *outcome);
+                self.record_outcome(*grant, *outcome);
             }
         }
     }
