--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -145,7 +145,7 @@
 
 impl JobEntry {
     /// Whether the job has ended.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         is_terminal(self.record.state)
     }
 
