--- a/crates/hall/src/commit.rs
+++ b/crates/hall/src/commit.rs
@@ -124,9 +124,9 @@
     let commit_key = keys::commit(&batch.hall);
     if let Some(row) = rows.iter().find(|it| it.key == commit_key) {
         // Only this batch writes this epoch and number, so an earlier attempt committed all of it.
-        let ours = row.value.as_ref() == Some(&codec::encode(commit_row));
+        let is_own = row.value.as_ref() == Some(&codec::encode(commit_row));
         let version = row.version;
-        return if ours { CommitOutcome::Committed { version } } else { CommitOutcome::Fenced };
+        return if is_own { CommitOutcome::Committed { version } } else { CommitOutcome::Fenced };
     }
     let found = rows.iter().filter_map(|it| Some((it.key.as_str(), it.value.as_ref()?)));
     let found = found.collect::<BTreeMap<_, _>>();
--- a/crates/hall/src/intent_index.rs
+++ b/crates/hall/src/intent_index.rs
@@ -21,7 +21,7 @@
     },
 }
 
-/// A grant for a request with the key.
+/// A grant for a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct KeyUse {
     grant: ids::GrantId,
@@ -33,23 +33,23 @@
 /// An idempotency key within its account. The same key in two accounts counts as two keys, so that
 /// no account learns about the requests of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct KeyOwner {
+struct AccountKey {
     account: ids::AccountId,
     key: ids::IdempotencyKey,
 }
 
-/// Uses of the idempotency keys of one hall.
+/// Uses of the idempotency keys of one hall, by account and key.
 #[derive(Debug, Default)]
 pub struct IntentIndex {
-    uses: HashMap<KeyOwner, Vec<KeyUse>>,
-    owner_by_grant: HashMap<ids::GrantId, KeyOwner>,
+    uses: HashMap<AccountKey, Vec<KeyUse>>,
+    key_by_grant: HashMap<ids::GrantId, AccountKey>,
 }
 
 impl IntentIndex {
     /// Returns whether a request with the key may be sent, or what became of an earlier one.
     pub fn status(&self, account: &str, key: ids::IdempotencyKey) -> KeyStatus {
-        let owner = KeyOwner { account: account.to_owned(), key };
-        let uses = self.uses.get(&owner).map_or(&[][..], Vec::as_slice);
+        let account_key = AccountKey { account: account.to_owned(), key };
+        let uses = self.uses.get(&account_key).map_or(&[][..], Vec::as_slice);
         let used = uses.iter().filter(|it| it.outcome != Some(model::RequestOutcome::NotRun));
         // A use with a known outcome takes precedence over one in progress.
         let Some(found) = used.max_by_key(|it| it.outcome.is_some()) else {
@@ -70,13 +70,13 @@
         grant: ids::GrantId,
         request: ids::RequestId,
     ) {
-        let owner = KeyOwner { account: account.clone(), key };
-        let uses = self.uses.entry(owner.clone()).or_default();
+        let account_key = AccountKey { account: account.clone(), key };
+        let uses = self.uses.entry(account_key.clone()).or_default();
         if uses.iter().any(|it| it.grant == grant) {
             return;
         }
         uses.push(KeyUse { grant, request, outcome: None });
-        self.owner_by_grant.insert(grant, owner);
+        self.key_by_grant.insert(grant, account_key);
     }
 
     /// Records the outcome of a grant and returns the entry for the log. Returns `None` if the grant
@@ -86,13 +86,13 @@
         grant: ids::GrantId,
         outcome: model::RequestOutcome,
     ) -> Option<model::IntentEntry> {
-        let owner = self.owner_by_grant.get(&grant)?;
-        let uses = self.uses.get_mut(owner)?;
+        let account_key = self.key_by_grant.get(&grant)?;
+        let uses = self.uses.get_mut(account_key)?;
         let open = uses.iter_mut().find(|it| it.grant == grant && it.outcome.is_none())?;
         open.outcome = Some(outcome);
         let entry = model::IntentEntry::Outcome {
-            key: owner.key,
-            account: owner.account.clone(),
+            key: account_key.key,
+            account: account_key.account.clone(),
             grant,
             outcome,
         };
@@ -130,10 +130,11 @@
 
     /// Removes the keys made before `oldest`. Requests with such keys are refused for their age.
     pub fn trim(&mut self, oldest: time::WallTime) {
-        self.uses
-            .retain(|owner, _| home::key_time(&owner.key).is_some_and(|made_at| oldest <= made_at));
+        self.uses.retain(|account_key, _| {
+            home::key_time(&account_key.key).is_some_and(|made_at| oldest <= made_at)
+        });
         let uses = &self.uses;
-        self.owner_by_grant.retain(|_, owner| uses.contains_key(owner));
+        self.key_by_grant.retain(|_, account_key| uses.contains_key(account_key));
     }
 
     /// Number of keys in the index, counted per account.
@@ -142,11 +143,11 @@
     }
 
     fn remove_unused(&mut self, grant: ids::GrantId) {
-        let Some(owner) = self.owner_by_grant.remove(&grant) else { return };
-        if let Some(uses) = self.uses.get_mut(&owner) {
+        let Some(account_key) = self.key_by_grant.remove(&grant) else { return };
+        if let Some(uses) = self.uses.get_mut(&account_key) {
             uses.retain(|it| it.grant != grant);
             if uses.is_empty() {
-                self.uses.remove(&owner);
+                self.uses.remove(&account_key);
             }
         }
     }
--- a/crates/hall/src/intent_log.rs
+++ b/crates/hall/src/intent_log.rs
@@ -28,9 +28,9 @@
 /// Write positions of a hall's log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogCursors {
-    /// Write position in the table.
+    /// Position in the table, where expired batches are deleted.
     pub table: LogCursor,
-    /// Write position in the object store.
+    /// Position in the object store, where batches are never deleted.
     pub objects: LogCursor,
 }
 
@@ -50,7 +50,7 @@
 /// A batch as read from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredBatch {
-    /// Number of the batch in its store.
+    /// Number of the batch; each store numbers its batches independently.
     pub number: u64,
     /// Content, with the epoch of the tenure that wrote it.
     pub batch: model::IntentBatch,
@@ -60,7 +60,7 @@
 pub struct IntentLog<B: backend::HallBackend> {
     /// Table and object store.
     pub ports: backend::HallPorts<B>,
-    /// Hall whose log this is.
+    /// Hall that owns the log; part of the keys of its batches.
     pub hall: ids::HallName,
     /// Tenure under which batches are written.
     pub tenure: tenure::TenureWatch,
@@ -230,12 +230,12 @@
                     error::HallError::from,
                 ));
             };
-            let ours = batch == seal;
+            let is_own = batch == seal;
             if self.tenure.epoch() < batch.epoch {
                 return Err(self.fenced("seal the intent log in the object store"));
             }
             batches.push(StoredBatch { number, batch });
-            if ours {
+            if is_own {
                 return Ok((LogCursor { next: number + 1, unconfirmed: None }, batches));
             }
         }
--- a/crates/hall/src/intent_task.rs
+++ b/crates/hall/src/intent_task.rs
@@ -29,7 +29,7 @@
     /// Batches in the object store that are still needed, oldest first.
     pub(crate) object_batches: VecDeque<BatchExpiry>,
     /// When the log is next trimmed; `None` if it has not been trimmed under this tenure.
-    pub(crate) next_trim: Option<Instant>,
+    pub(crate) next_trim_at: Option<Instant>,
 }
 
 /// A batch of the log and the time from which it is no longer needed.
@@ -53,7 +53,7 @@
     /// Write positions after the append.
     pub(crate) cursors: intent_log::LogCursors,
     /// Write positions before the append.
-    pub(crate) before: intent_log::LogCursors,
+    pub(crate) previous_cursors: intent_log::LogCursors,
     /// The entries of the append, durable or not.
     pub(crate) entries: Vec<model::IntentEntry>,
     pub(crate) outcome: intent_log::AppendOutcome,
@@ -85,15 +85,15 @@
     pub(crate) done: bool,
 }
 
-/// Appends entries to the log, starting at the write positions `before`.
+/// Appends entries to the log, starting at the write positions `previous_cursors`.
 pub(crate) async fn append<B: backend::HallBackend>(
     log: intent_log::IntentLog<B>,
-    before: intent_log::LogCursors,
+    previous_cursors: intent_log::LogCursors,
     entries: Vec<model::IntentEntry>,
 ) -> AppendReport {
-    let mut cursors = before.clone();
+    let mut cursors = previous_cursors.clone();
     let outcome = log.append(&mut cursors, entries.clone()).await;
-    AppendReport { cursors, before, entries, outcome }
+    AppendReport { cursors, previous_cursors, entries, outcome }
 }
 
 /// Seals and reads the log in both stores.
--- a/crates/hall/src/intents.rs
+++ b/crates/hall/src/intents.rs
@@ -37,14 +37,14 @@
         if !due || !self.tenure.may_act() || self.fenced {
             return;
         }
-        let Some(before) = self.intents.cursors.take() else { return };
+        let Some(previous_cursors) = self.intents.cursors.take() else { return };
         let mut entries = std::mem::take(&mut self.intents.pending_outcomes);
         entries.append(&mut self.intents.pending_intents);
         self.intents.flush_at = None;
         let log = self.intent_log();
         let reports = self.own_address();
         tokio::spawn(async move {
-            let report = intent_task::append(log, before, entries).await;
+            let report = intent_task::append(log, previous_cursors, entries).await;
             let _ = reports.send(report).await;
         });
     }
@@ -91,10 +91,10 @@
         // expiry is that of the newest key that any entry can have.
         let window = self.config.document.bounds.idempotency_window.0;
         let expires_at = self.wall_time() + window + intent_index::CLOCK_SLACK * 2;
-        for number in report.before.table.next..report.cursors.table.next {
+        for number in report.previous_cursors.table.next..report.cursors.table.next {
             self.intents.table_batches.push_back(intent_task::BatchExpiry { number, expires_at });
         }
-        for number in report.before.objects.next..report.cursors.objects.next {
+        for number in report.previous_cursors.objects.next..report.cursors.objects.next {
             self.intents.object_batches.push_back(intent_task::BatchExpiry { number, expires_at });
         }
     }
@@ -158,10 +158,10 @@
 
     /// Removes expired keys from the index and expired batches from the stores.
     pub(crate) fn trim_intents(&mut self, now: Instant) {
-        if self.intents.next_trim.is_some_and(|it| now < it) || !self.is_sole_holder() {
+        if self.intents.next_trim_at.is_some_and(|it| now < it) || !self.is_sole_holder() {
             return;
         }
-        self.intents.next_trim = Some(now + TRIM_INTERVAL);
+        self.intents.next_trim_at = Some(now + TRIM_INTERVAL);
         let wall = self.wall_time();
         let window = self.config.document.bounds.idempotency_window.0;
         self.intents.index.trim(wall - (window + intent_index::CLOCK_SLACK));
--- a/crates/hall/src/job_rows.rs
+++ b/crates/hall/src/job_rows.rs
@@ -1,4 +1,5 @@
-//! The hall actor's part in committing job rows: forms batches, handles their outcomes, sweeps.
+//! The hall actor's part in committing job rows: forms batches, handles their outcomes and sweeps
+//! ended jobs.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::jobs;
 
 impl<B: backend::HallBackend> HallActor<B> {
-    /// Starts the commit of the next batch, or again of the batch whose outcome is not known.
+    /// Starts the commit of the next batch, or retries the pending batch if its outcome is not known.
     pub(crate) fn commit_jobs(&mut self, now: Instant) {
         if self.jobs.committing || self.fenced || !self.tenure.may_act() {
             return;
--- a/crates/hall/src/job_table.rs
+++ b/crates/hall/src/job_table.rs
@@ -11,7 +11,7 @@
 use crate::commit;
 use crate::lease;
 
-/// A job of the hall.
+/// A job as the hall actor keeps it until its end is durable.
 #[derive(Debug)]
 pub(crate) struct JobEntry {
     /// Current state of the job, durable or not.
@@ -68,7 +68,7 @@
     pub(crate) checkpoint: Option<ids::CheckpointId>,
 }
 
-/// Phase of a gang.
+/// Phase of a gang, from reserving its leases to releasing them.
 #[derive(Debug)]
 pub(crate) enum GangPhase {
     /// Leases for the members are being reserved.
@@ -119,7 +119,7 @@
     pub(crate) committing: bool,
     /// When the next commit may start; `None` if nothing is to be written.
     pub(crate) next_commit_at: Option<Instant>,
-    /// When ended jobs are next swept.
+    /// When ended jobs are next swept; `None` before the first sweep of this tenure.
     pub(crate) next_sweep_at: Option<Instant>,
 }
 
@@ -144,7 +144,6 @@
 }
 
 impl JobEntry {
-    /// Whether the job has ended.
     pub(crate) fn has_ended(&self) -> bool {
         is_terminal(self.record.state)
     }
--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// A repeated request must not be sent while the first one is in progress, as it was when only
-    /// finished requests were recorded. The outcome is "unknown"; "not run" would be wrong.
+    /// A repeated request must not be sent while the first one is in progress, so recording finished
+    /// requests only is not enough. The reported outcome is "unknown"; "not run" would be wrong too.
     key_in_progress_is_reported_as_unknown(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
@@ -51,7 +51,7 @@
     }
 
     /// Two requests with the same key that wait for a slot at the same time must not both be sent.
-    /// They were when the key was only looked up among the requests that had been sent.
+    /// Looking up a key only in the log of the requests that were sent would miss this.
     only_one_of_two_waiting_requests_with_one_key_is_granted(site) {
         let instance = site.start_holder("a").await;
         let key = site.key();
@@ -95,8 +95,8 @@
         }
     }
 
-    /// A request must not be sent again after the holder that granted it crashed. It was sent again
-    /// when the uses of keys were kept in memory only.
+    /// A request must not be sent again after the holder that granted it crashed, so keeping the uses
+    /// of keys in memory only is not enough.
     key_uses_survive_holder_crash(site) {
         let holder = site.start_holder("a").await;
         let successor = site.start("b");
@@ -136,8 +136,8 @@
     }
 
     /// A used key must not become free when the answer to the append of its intent is lost, while
-    /// the append takes effect at once or late. It became free when a lost answer was treated as a
-    /// failure, or when a different batch was written under the same number.
+    /// the append takes effect at once or late. A lost answer must not be treated as a failure, and
+    /// no different batch may be written under the same number.
     lost_append_answers_keep_keys_recorded(site) {
         let holder = site.start_holder("a").await;
         let successor = site.start("b");
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -62,10 +62,10 @@
         assert_eq!(site.fleet.runs().len(), 2);
     }
 
-    /// A job that ended must not be shown as running for ever and be run again by a takeover. This
-    /// happened when a commit was delayed, its repetition and the next commit with the end of the
-    /// job became durable, and then the delayed commit arrived: it was conditional on the tenure
-    /// only, and the tenure had not changed.
+    /// A job that ended must not be shown as running for ever and be run again by a takeover. It
+    /// would be if a commit is delayed, its repetition and the next commit with the end of the job
+    /// become durable, and then the delayed commit arrives and is conditional on the tenure only,
+    /// which has not changed.
     late_commit_does_not_overwrite_newer_rows(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
@@ -107,8 +107,8 @@
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
-    /// A burst of cancellations must not use up the write capacity of the table, as it did with one
-    /// write for each cancellation. Here 500 waiting jobs are cancelled at once, each of them twice.
+    /// A burst of cancellations must not use up the write capacity of the table, as one write for
+    /// each cancellation would. Here 500 waiting jobs are cancelled at once, each of them twice.
     cancellations_are_written_in_batches(site) {
         let instance = site.start_holder("a").await;
         site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
