--- a/crates/hall/src/acquisition.rs
+++ b/crates/hall/src/acquisition.rs
@@ -1,4 +1,4 @@
-//! How a seat watches a hall that another instance schedules, and takes it once it is free.
+//! Watching a hall that another instance schedules, and acquiring it once it is free.
 
 use std::time::Duration;
 
@@ -10,65 +10,67 @@
 use crate::contender;
 use crate::ownership;
 
-/// What a watcher saw, by its own monotonic clock.
-struct Sighting {
+/// Rows that the contender last read.
+struct ObservedRows {
     rows: ownership::OwnerRows,
-    since: Instant,
+    /// When the contender first read the current scheduler row, by the monotonic clock of this instance.
+    unchanged_since: Instant,
 }
 
-/// Watches the hall until this instance took it; `None` once it is to leave.
+/// Watches the hall until this instance has acquired it; `None` once this instance has to leave.
 pub(crate) async fn wait_and_acquire<B: backend::HallBackend>(
     parts: &mut contender::ContenderParts<B>,
 ) -> Option<ownership::OwnedTenure> {
-    let mut sighting: Option<Sighting> = None;
+    let mut observed: Option<ObservedRows> = None;
     let mut invited = false;
-    let mut due = Instant::now();
+    let mut next_read_at = Instant::now();
     loop {
-        let look = tokio::select! {
+        let read_result = tokio::select! {
             biased;
             () = contender::leave_requested(&mut parts.leaving) => return None,
-            // What is being read may be from before the hall was given up.
+            // The read in progress may return rows from before the holder released the hall, so a new read
+            // starts.
             () = parts.hand_over_requested.notified() => {
                 invited = true;
-                due = Instant::now();
+                next_read_at = Instant::now();
                 continue;
             }
-            look = parts.reader.read(&parts.hall, due) => look,
+            read_result = parts.reader.read(&parts.hall, next_read_at) => read_result,
         };
-        let mut pause_from = look.read_at;
-        match look.rows {
+        let mut interval_start = read_result.read_at;
+        match read_result.rows {
             Some(rows) => {
-                let seen_since = match sighting.take() {
-                    Some(it) if it.rows.scheduler == rows.scheduler => it.since,
-                    _ => look.read_at,
+                let unchanged_since = match observed.take() {
+                    Some(it) if it.rows.scheduler == rows.scheduler => it.unchanged_since,
+                    _ => read_result.read_at,
                 };
                 publish_holder(parts, &rows);
-                if may_take(parts, &rows, look.read_at - seen_since, invited) {
-                    if let Some(owned) = take(parts, &rows).await {
+                if may_acquire(parts, &rows, read_result.read_at - unchanged_since, invited) {
+                    if let Some(owned) = acquire(parts, &rows).await {
                         return Some(owned);
                     }
-                    pause_from = Instant::now();
+                    interval_start = Instant::now();
                 }
-                sighting = Some(Sighting { rows, since: seen_since });
+                observed = Some(ObservedRows { rows, unchanged_since });
             }
-            // While the table does not answer, the holder cannot renew either. Counting that
-            // time against it would depose a live holder in the moment the table comes back.
-            None => sighting = None,
+            // While the table does not answer, the holder cannot renew its tenure either. Counting that time
+            // against the holder would depose a live holder as soon as the table is available again.
+            None => observed = None,
         }
         invited = false;
-        due = pause_from + watch_interval(parts, sighting.as_ref());
+        next_read_at = interval_start + watch_interval(parts, observed.as_ref());
     }
 }
 
-async fn take<B: backend::HallBackend>(
+async fn acquire<B: backend::HallBackend>(
     parts: &contender::ContenderParts<B>,
     rows: &ownership::OwnerRows,
 ) -> Option<ownership::OwnedTenure> {
-    let take = ownership::acquire(&parts.ports.table, &parts.options, &parts.hall, rows);
-    match time::timeout(parts.options.call_deadline() * 2, take).await {
+    let acquisition = ownership::acquire(&parts.ports.table, &parts.options, &parts.hall, rows);
+    match time::timeout(parts.options.call_deadline() * 2, acquisition).await {
         Ok(Ok(owned)) => owned,
         Ok(Err(fault)) => {
-            tracing::warn!(hall = parts.hall, %fault, "cannot take the hall");
+            tracing::warn!(hall = parts.hall, %fault, "cannot acquire the hall");
             None
         }
         Err(_) => None,
@@ -80,80 +82,84 @@
     rows: &ownership::OwnerRows,
 ) {
     let row = rows.scheduler.as_ref().filter(|it| !it.released);
-    let found = row.map(|it| it.address.clone());
+    let holder_address = row.map(|it| it.address.clone());
     parts.state.send_if_modified(|state| match state {
-        contender::ContenderState::Watching { holder } if *holder == found => false,
+        contender::ContenderState::Watching { holder } if *holder == holder_address => false,
         _ => {
-            *state = contender::ContenderState::Watching { holder: found };
+            *state = contender::ContenderState::Watching { holder: holder_address };
             true
         }
     });
 }
 
-/// Whether the hall is free for this instance after it saw the same for `seen`. Who was invited by
-/// the holder that gave it up leaves it to nobody: others may be preferred by rank alone, but they
-/// were not chosen, and the hall would be handed on again.
-fn may_take<B: backend::HallBackend>(
+/// Whether this instance may acquire the hall after the scheduler row has been unchanged for
+/// `unchanged_for`. An instance that the releasing holder has `invited` does not wait for instances with a
+/// better preference rank: the hall is not assigned to those, so they would hand it over again.
+fn may_acquire<B: backend::HallBackend>(
     parts: &contender::ContenderParts<B>,
     rows: &ownership::OwnerRows,
-    seen: Duration,
+    unchanged_for: Duration,
     invited: bool,
 ) -> bool {
     match &rows.scheduler {
-        // An earlier try of this very process took effect without its knowledge.
+        // An earlier write of this process took effect, but its answer was lost.
         Some(row) if row.holder == parts.options.instance => true,
         Some(row) if row.released && invited => true,
-        Some(row) if !row.released => row.term.0 + preference_delay(parts, Some(row)) <= seen,
-        other => preference_delay(parts, other.as_ref()) <= seen,
+        Some(row) if !row.released => {
+            row.term.0 + preference_delay(parts, Some(row)) <= unchanged_for
+        }
+        other => preference_delay(parts, other.as_ref()) <= unchanged_for,
     }
 }
 
-/// How long this instance leaves the hall to more preferred ones. Without it all would write at
-/// once, and the halls would not spread.
+/// How long this instance leaves a free hall to instances with a better preference rank. Without the delay
+/// all instances would write at once, and the halls would not spread over the instances.
 fn preference_delay<B: backend::HallBackend>(
     parts: &contender::ContenderParts<B>,
     row: Option<&model::SchedulerRow>,
 ) -> Duration {
     let rank = preference_rank(parts, row);
-    (PREFERENCE_STEP * rank).min(PREFERENCE_LIMIT)
+    (PREFERENCE_STEP * rank).min(MAX_PREFERENCE_DELAY)
 }
 
 fn preference_rank<B: backend::HallBackend>(
     parts: &contender::ContenderParts<B>,
     row: Option<&model::SchedulerRow>,
 ) -> u32 {
-    let former = row.map(|it| it.holder.as_str());
+    let previous_holder = row.map(|it| it.holder.as_str());
     let members = parts.members.borrow();
-    let live = members.instances.iter().filter(|(_, it)| !it.leaving);
-    let candidates = live.map(|(id, _)| id.as_str()).filter(|it| Some(*it) != former);
+    let live_instances = members.instances.iter().filter(|(_, it)| !it.leaving);
+    let candidates =
+        live_instances.map(|(id, _)| id.as_str()).filter(|it| Some(*it) != previous_holder);
     let ranked = rendezvous::ranked(&parts.hall, candidates);
     let rank = ranked.iter().position(|it| *it == parts.options.instance);
     u32::try_from(rank.unwrap_or(ranked.len())).unwrap_or(u32::MAX)
 }
 
-/// The most preferred look often, the others seldom: reads are limited.
+/// Time between two reads of the rows. The instances with the best ranks read often and the others seldom,
+/// because the number of table reads is limited.
 fn watch_interval<B: backend::HallBackend>(
     parts: &contender::ContenderParts<B>,
-    sighting: Option<&Sighting>,
+    observed: Option<&ObservedRows>,
 ) -> Duration {
-    let row = sighting.and_then(|it| it.rows.scheduler.as_ref());
-    let free = sighting.is_some() && row.is_none_or(|it| it.released);
+    let row = observed.and_then(|it| it.rows.scheduler.as_ref());
+    let is_free = observed.is_some() && row.is_none_or(|it| it.released);
     let rank = preference_rank(parts, row);
     let term = parts.options.tenure_term();
     match rank {
-        _ if free => term / FREE_LOOKS,
-        0 | 1 => term / PREFERRED_LOOKS,
-        _ => term / OTHER_LOOKS,
+        _ if is_free => term / FREE_READS,
+        0 | 1 => term / PREFERRED_READS,
+        _ => term / OTHER_READS,
     }
 }
 
-/// What each less preferred candidate waits longer.
+/// Each preference rank adds this to the delay before an instance acquires a free hall.
 const PREFERENCE_STEP: Duration = Duration::from_millis(250);
-/// What the least preferred waits at most.
-const PREFERENCE_LIMIT: Duration = Duration::from_millis(1000);
-/// Looks per term of the two most preferred candidates.
-const PREFERRED_LOOKS: u32 = 8;
-/// Looks per term of the others.
-const OTHER_LOOKS: u32 = 3;
-/// Looks per term while the hall is free.
-const FREE_LOOKS: u32 = 24;
+/// Upper bound of the delay by preference rank.
+const MAX_PREFERENCE_DELAY: Duration = Duration::from_millis(1000);
+/// Reads per term by the two instances with the best preference ranks.
+const PREFERRED_READS: u32 = 8;
+/// Reads per term by the instances with lower preference ranks.
+const OTHER_READS: u32 = 3;
+/// Reads per term by every instance while the hall is free.
+const FREE_READS: u32 = 24;
--- a/crates/hall/src/contender.rs
+++ b/crates/hall/src/contender.rs
@@ -1,4 +1,5 @@
-//! One candidate for one hall on one instance: watches, takes, renews, hands over.
+//! The contender for one hall on one instance: it watches the tenure of the hall, acquires the tenure when
+//! it is free, renews it, and hands the hall over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,49 +21,49 @@
 use crate::takeover;
 use crate::tenure;
 
-/// What a seat is built upon.
+/// Dependencies of a contender.
 pub struct ContenderParts<B: backend::HallBackend> {
-    /// Clients.
+    /// Clients of the table, the object store, the workers and the other instances.
     pub ports: backend::HallPorts<B>,
-    /// This instance.
+    /// Identity and timing of this instance.
     pub options: options::HallOptions,
-    /// The hall.
+    /// Hall that the contender competes for.
     pub hall: ids::HallName,
-    /// Configuration in force.
+    /// Active configuration; its list of halls decides which instance a hall is assigned to.
     pub config: watch::Receiver<Arc<active::ActiveConfig>>,
-    /// Instances and workers.
+    /// Known instances and workers; instances that are leaving are not assigned any hall.
     pub members: watch::Receiver<Arc<snapshot::MemberSnapshot>>,
-    /// Turns true when the hall is to be given up for good.
+    /// Turns true when this instance has to give the hall up and must not acquire it again.
     pub leaving: watch::Receiver<bool>,
-    /// Highest tenure of the hall that anybody was heard to hold.
+    /// Highest epoch of the hall that any instance has reported.
     pub highest_epoch: watch::Receiver<ids::Epoch>,
-    /// Reads the rows of all halls that this instance watches.
+    /// Reads the scheduler rows for all contenders of this instance.
     pub reader: owner_reader::OwnerReader,
-    /// Rung when a leaving holder asks this instance to take the hall.
+    /// Notified when the holder asks this instance to acquire the hall that it hands over.
     pub hand_over_requested: Arc<Notify>,
-    /// Where the seat says how it stands.
+    /// Receives each new state of the contender.
     pub state: watch::Sender<ContenderState<B>>,
 }
 
-/// How a seat stands.
+/// State of a contender, as [`crate::service::HallService`] sees it.
 pub enum ContenderState<B: backend::HallBackend> {
     /// Another instance schedules the hall, if any does.
     Watching {
-        /// Its address, if known.
+        /// Address of the instance that schedules the hall, if known.
         holder: Option<ids::PeerAddress>,
     },
-    /// This instance took the hall and learns how it stands.
+    /// This instance acquired the hall and reads its jobs, intents and worker leases.
     TakingOver,
     /// This instance schedules the hall.
     Holding {
-        /// Its scheduler.
+        /// Actor that schedules the hall.
         address: xtra::Address<actor::HallActor<B>>,
-        /// What it last said of the hall.
+        /// Last summary of the hall that the actor published.
         summary: watch::Receiver<Option<model::HallBeat>>,
     },
 }
 
-/// Runs the seat until it is to leave.
+/// Runs the contender until `parts.leaving` turns true.
 pub async fn run<B: backend::HallBackend>(mut parts: ContenderParts<B>) {
     loop {
         let Some(owned) = acquisition::wait_and_acquire(&mut parts).await else { return };
@@ -74,15 +75,15 @@
     parts: &mut ContenderParts<B>,
     mut owned: ownership::OwnedTenure,
 ) {
-    let taken_at = Instant::now();
+    let acquired_at = Instant::now();
     let hall = parts.hall.clone();
     let epoch = owned.row.epoch;
-    tracing::info!(hall, epoch, "took the hall");
+    tracing::info!(hall, epoch, "acquired the tenure of the hall");
     metric::ownership(&hall, true);
     let (tenure_sender, watch) = tenure::TenureWatch::new(tenure_state(parts, &owned));
     parts.state.send_replace(ContenderState::TakingOver);
 
-    let mut launch = tokio::spawn(takeover::run(takeover::TakeoverParts {
+    let mut takeover_task = tokio::spawn(takeover::run(takeover::TakeoverParts {
         ports: parts.ports.clone(),
         options: parts.options.clone(),
         hall: hall.clone(),
@@ -92,14 +93,14 @@
     }));
     let mut scheduler: Option<xtra::Address<actor::HallActor<B>>> = None;
     let mut next_renewal = owned.term_started_at + parts.options.renewal_interval();
-    let mut leave_by: Option<Instant> = None;
-    let mut fences: Option<watch::Receiver<bool>> = None;
+    let mut leave_deadline: Option<Instant> = None;
+    let mut fence_receiver: Option<watch::Receiver<bool>> = None;
     let mut misplaced_since: Option<Instant> = None;
     let successor = loop {
         tokio::select! {
-            started = &mut launch, if scheduler.is_none() => {
+            started = &mut takeover_task, if scheduler.is_none() => {
                 let Ok(Some(takeover::StartedScheduler { address, summary, fenced })) = started else {
-                    tracing::error!(hall, epoch, "the hall could not be taken over");
+                    tracing::error!(hall, epoch, "takeover of the hall failed; releasing its tenure");
                     let _ = ownership::release(&parts.ports.table, &mut owned).await;
                     tokio::select! {
                         () = time::sleep(FAILED_TAKEOVER_PAUSE) => {}
@@ -107,76 +108,77 @@
                     }
                     break None;
                 };
-                let took = taken_at.elapsed();
-                metric::takeover(&hall, took);
-                tracing::info!(hall, epoch, seconds = took.as_secs_f64(), "took the hall over");
+                let takeover_time = acquired_at.elapsed();
+                metric::takeover(&hall, takeover_time);
+                tracing::info!(hall, epoch, seconds = takeover_time.as_secs_f64(), "took over the hall");
                 parts.state.send_replace(ContenderState::Holding { address: address.clone(), summary });
                 scheduler = Some(address);
-                fences = Some(fenced);
+                fence_receiver = Some(fenced);
             }
             () = time::sleep_until(next_renewal) => {
                 match renew(parts, &tenure_sender, &mut owned).await {
                     RenewalStep::Next(at) => next_renewal = at,
                     RenewalStep::Lost(holder) => break holder,
                 }
-                let firm = Instant::now() < valid_until(parts, &owned);
-                if leave_by.is_some_and(|it| firm || it <= Instant::now()) {
+                let is_firm = Instant::now() < valid_until(parts, &owned);
+                if leave_deadline.is_some_and(|it| is_firm || it <= Instant::now()) {
                     break hand_over(parts, &mut owned, scheduler.as_ref()).await;
                 }
-                misplaced_since = misplaced(parts).then(|| misplaced_since.unwrap_or_else(Instant::now));
-                let settled = misplaced_since.is_some_and(|it| SPREAD_AFTER <= it.elapsed());
-                if settled && firm && scheduler.is_some() {
-                    tracing::info!(hall, epoch, "hands the hall on, so that halls spread");
+                misplaced_since = is_misplaced(parts).then(|| misplaced_since.unwrap_or_else(Instant::now));
+                let spread_due = misplaced_since.is_some_and(|it| SPREAD_DELAY <= it.elapsed());
+                if spread_due && is_firm && scheduler.is_some() {
+                    tracing::info!(hall, epoch, "handing the hall over to its assigned instance");
                     break hand_over(parts, &mut owned, scheduler.as_ref()).await;
                 }
             }
-            // A higher tenure is proof that this one is over, also where the table cannot be
-            // reached from here: tenures only grow by conditional writes.
-            () = heard_newer(&mut parts.highest_epoch, epoch) => {
+            // A higher epoch proves that this tenure is over, even if this instance cannot reach the table:
+            // an epoch increases only by a conditional write.
+            () = newer_epoch_reported(&mut parts.highest_epoch, epoch) => {
                 tracing::warn!(hall, epoch, "another instance holds a newer tenure");
                 break None;
             }
-            () = fenced(fences.as_mut()) => {
-                // Where the row still names this tenure, the sign was wrong: somebody else, or
-                // this instance, takes the hall afresh.
+            () = scheduler_fenced(fence_receiver.as_mut()) => {
+                // If the row still names this tenure, no newer tenure exists and the scheduler was fenced by
+                // mistake. Releasing the tenure lets another instance, or this one, acquire the hall again.
                 let _ = ownership::release(&parts.ports.table, &mut owned).await;
                 break None;
             }
-            () = leave_requested(&mut parts.leaving), if leave_by.is_none() => {
+            () = leave_requested(&mut parts.leaving), if leave_deadline.is_none() => {
                 if Instant::now() < valid_until(parts, &owned) {
                     break hand_over(parts, &mut owned, scheduler.as_ref()).await;
                 }
-                // Nobody can take the hall while the table is down. Leaving it now would let the
-                // leases of its gangs lapse: hours of work lost to a restart in an outage.
-                tracing::warn!(hall, epoch, "stays until the hall can be handed over");
-                leave_by = Some(Instant::now() + LEAVE_TIMEOUT);
+                // No instance can acquire the hall while the table is unavailable. Leaving the hall now
+                // would let the leases of its gangs expire: a restart during an outage would lose hours of
+                // work.
+                tracing::warn!(hall, epoch, "cannot hand the hall over during a table outage; keeping it");
+                leave_deadline = Some(Instant::now() + LEAVE_TIMEOUT);
             }
         }
     };
     tenure_sender.send_modify(|it| it.ended = true);
-    launch.abort();
+    takeover_task.abort();
     parts.state.send_replace(ContenderState::Watching { holder: successor });
     metric::ownership(&hall, false);
     if let Some(address) = scheduler {
         let _ = address.send(actor::Resign).await;
     }
-    tracing::info!(hall, epoch, "gave the hall up");
+    tracing::info!(hall, epoch, "stopped scheduling the hall");
 }
 
-async fn heard_newer(highest_epoch: &mut watch::Receiver<ids::Epoch>, epoch: ids::Epoch) {
+async fn newer_epoch_reported(highest_epoch: &mut watch::Receiver<ids::Epoch>, epoch: ids::Epoch) {
     if highest_epoch.wait_for(|it| epoch < *it).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn fenced(fences: Option<&mut watch::Receiver<bool>>) {
-    let Some(fences) = fences else { return std::future::pending().await };
-    if fences.wait_for(|it| *it).await.is_err() {
+async fn scheduler_fenced(fence_receiver: Option<&mut watch::Receiver<bool>>) {
+    let Some(fence_receiver) = fence_receiver else { return std::future::pending().await };
+    if fence_receiver.wait_for(|it| *it).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Also when nobody is left who could tell.
+/// Waits until `leaving` turns true, or until its sender is dropped.
 pub(crate) async fn leave_requested(leaving: &mut watch::Receiver<bool>) {
     let _ = leaving.wait_for(|it| *it).await;
 }
@@ -197,85 +199,93 @@
     let renewal = ownership::renew(&parts.ports.table, owned);
     match time::timeout(deadline, renewal).await {
         Ok(Ok(ownership::RenewalOutcome::Renewed(renewed))) => {
-            // What was found is an earlier try that landed unheard: it only tells the version.
-            let at_once = renewed.term_started_at == owned.term_started_at;
+            // An unchanged start of the term means that the row shows an earlier renewal, of which
+            // this instance got no answer. It yields the version of the row but does not extend the term, so the
+            // next renewal follows at once.
+            let renew_at_once = renewed.term_started_at == owned.term_started_at;
             *owned = renewed;
             tenure_sender.send_modify(|it| {
                 it.valid_until = valid_until(parts, owned);
                 it.outage_seen_at = None;
             });
             metric::tenure_margin(&parts.hall, valid_until(parts, owned));
-            RenewalStep::Next(if at_once { Instant::now() } else { sent_at + interval })
+            RenewalStep::Next(if renew_at_once { Instant::now() } else { sent_at + interval })
         }
         Ok(Ok(ownership::RenewalOutcome::Lost(row))) => {
             tracing::warn!(hall = parts.hall, "another instance took the hall");
             RenewalStep::Lost(row.filter(|it| !it.released).map(|it| it.address))
         }
         Ok(Err(_)) | Err(_) => {
-            // Seen from before the try: a process paused during the call must not take the
-            // table for down at the moment it wakes.
+            // The outage is dated from before the call: a process that was paused during the call must not
+            // assume at the moment it wakes that the table is unavailable.
             tenure_sender.send_modify(|it| it.outage_seen_at = Some(sent_at));
             metric::renewal_failed(&parts.hall);
-            RenewalStep::Next(Instant::now() + interval / FAILED_RENEWAL_SHARE)
+            RenewalStep::Next(Instant::now() + interval / FAILED_RENEWAL_DIVISOR)
         }
     }
 }
 
-/// Gives the hall to the preferred live instance; returns its address.
+/// Releases the tenure and asks the successor to acquire it. Returns the address of the successor.
 async fn hand_over<B: backend::HallBackend>(
     parts: &ContenderParts<B>,
     owned: &mut ownership::OwnedTenure,
     scheduler: Option<&xtra::Address<actor::HallActor<B>>>,
 ) -> Option<ids::PeerAddress> {
-    let started = Instant::now();
+    let hand_over_started = Instant::now();
     if let Some(address) = scheduler {
-        let settled = address.send(actor::Freeze);
-        let settled = async { settled.await.ok()?.await.ok() };
-        let _ = time::timeout(FREEZE_LIMIT, settled).await;
+        let writes_settled = address.send(actor::Freeze);
+        let writes_settled = async { writes_settled.await.ok()?.await.ok() };
+        let _ = time::timeout(FREEZE_TIMEOUT, writes_settled).await;
     }
     let released = ownership::release(&parts.ports.table, owned);
     let released = time::timeout(parts.options.call_deadline(), released).await;
     if !matches!(released, Ok(Ok(_))) {
-        // The table is down: the hall lapses instead, and nobody can take it before it is back.
-        tracing::warn!(hall = parts.hall, "cannot give the hall up in the table");
+        // The table is unavailable. The tenure expires instead, and no instance can acquire the hall before
+        // the table answers again.
+        tracing::warn!(
+            hall = parts.hall,
+            "cannot release the tenure in the table; it expires instead"
+        );
         return None;
     }
     let successor = successor(parts)?;
     let call = model::HandOver { hall: parts.hall.clone(), epoch: owned.row.epoch };
-    let told = parts.ports.link.call(&successor, call, HAND_OVER_DEADLINE).await;
-    if let Err(fault) = told {
-        // The successor sees the released row at its next look.
-        tracing::warn!(hall = parts.hall, %fault, "cannot tell the successor of the hall");
+    let notified = parts.ports.link.call(&successor, call, HAND_OVER_DEADLINE).await;
+    if let Err(fault) = notified {
+        // The successor finds the released row when it next reads the table.
+        tracing::warn!(hall = parts.hall, %fault, "cannot notify the successor of the hall");
     }
-    metric::hand_over(&parts.hall, started.elapsed());
+    metric::hand_over(&parts.hall, hand_over_started.elapsed());
     Some(successor)
 }
 
-/// The instance whose share the hall is in, or who else should have it.
+/// Address of the instance that the hall is assigned to; a leaving instance leaves itself out of the choice.
+/// `None` if that is this instance or if no other instance is live.
 fn successor<B: backend::HallBackend>(parts: &ContenderParts<B>) -> Option<ids::PeerAddress> {
     let members = parts.members.borrow();
     let leaving = *parts.leaving.borrow();
-    let others = live(&members).filter(|it| !leaving || *it != parts.options.instance);
-    let chosen = chosen(parts, &others.collect::<Vec<_>>())?;
-    if chosen == parts.options.instance {
+    let others = live_instances(&members).filter(|it| !leaving || *it != parts.options.instance);
+    let assigned = assigned_instance(parts, &others.collect::<Vec<_>>())?;
+    if assigned == parts.options.instance {
         return None;
     }
-    members.instances.get(&chosen).map(|it| it.address.clone())
+    members.instances.get(&assigned).map(|it| it.address.clone())
 }
 
-/// Whether the hall is in another instance's share. Whoever starts first takes every hall, and
-/// would keep them all: its load, and the halls lost with it, would be the whole site's.
-fn misplaced<B: backend::HallBackend>(parts: &ContenderParts<B>) -> bool {
+/// Whether the hall is assigned to another instance. The instance that starts first acquires every hall and
+/// would otherwise keep them all: it would carry the load of the whole site, and its loss would affect
+/// every hall.
+fn is_misplaced<B: backend::HallBackend>(parts: &ContenderParts<B>) -> bool {
     let members = parts.members.borrow();
-    let chosen = chosen(parts, &live(&members).collect::<Vec<_>>());
-    chosen.is_some_and(|it| it != parts.options.instance)
+    let assigned = assigned_instance(parts, &live_instances(&members).collect::<Vec<_>>());
+    assigned.is_some_and(|it| it != parts.options.instance)
 }
 
-fn live(members: &snapshot::MemberSnapshot) -> impl Iterator<Item = &str> {
+fn live_instances(members: &snapshot::MemberSnapshot) -> impl Iterator<Item = &str> {
     members.instances.iter().filter(|(_, it)| !it.leaving).map(|(id, _)| id.as_str())
 }
 
-fn chosen<B: backend::HallBackend>(
+fn assigned_instance<B: backend::HallBackend>(
     parts: &ContenderParts<B>,
     candidates: &[&str],
 ) -> Option<ids::InstanceId> {
@@ -306,16 +316,16 @@
     owned.term_started_at + owned.row.term.0.saturating_sub(parts.options.tenure_margin())
 }
 
-/// A failed renewal is tried again after this part of the interval.
-const FAILED_RENEWAL_SHARE: u32 = 4;
-/// How long an instance that leaves keeps a hall that nobody can take over.
+/// A failed renewal is retried after the renewal interval divided by this.
+const FAILED_RENEWAL_DIVISOR: u32 = 4;
+/// How long a leaving instance keeps a hall that no other instance can acquire.
 pub(crate) const LEAVE_TIMEOUT: Duration = Duration::from_secs(120);
-/// A hall is handed on after it was in another's share for this long: longer than a restart, so
-/// that a rolling upgrade does not send halls to and fro.
-const SPREAD_AFTER: Duration = Duration::from_secs(120);
-/// How long a hand-over waits for writes in flight.
-const FREEZE_LIMIT: Duration = Duration::from_millis(400);
-/// A hall that could not be taken over is left to others for this long.
+/// A hall is handed over after it has been assigned to another instance for this long. The delay is longer
+/// than a restart, so that a rolling upgrade does not move halls back and forth.
+const SPREAD_DELAY: Duration = Duration::from_secs(120);
+/// How long a hand-over waits for the scheduler to finish its writes in flight.
+const FREEZE_TIMEOUT: Duration = Duration::from_millis(400);
+/// After a failed takeover this instance leaves the hall to other instances for this long.
 const FAILED_TAKEOVER_PAUSE: Duration = Duration::from_secs(3);
-/// For telling the successor.
+/// Deadline of the call that asks the successor to acquire the hall.
 const HAND_OVER_DEADLINE: Duration = Duration::from_millis(400);
--- a/crates/hall/src/ownership.rs
+++ b/crates/hall/src/ownership.rs
@@ -1,4 +1,5 @@
-//! Writes to the rows that say who schedules a hall, each settled before it counts.
+//! Reads and writes the table rows that record which instance schedules a hall. If the answer to a write is
+//! lost, the rows are read back to find out whether the write took effect.
 
 use std::collections::BTreeMap;
 
@@ -10,67 +11,70 @@
 use crate::error;
 use crate::options;
 
-/// The rows of a hall's scheduler at one moment.
+/// The scheduler row and the tenure row of a hall, read in one call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerRows {
-    /// Version of the scheduler row; 0 where there is none.
+    /// Version of the scheduler row; 0 if the row does not exist.
     pub version: ids::RowVersion,
-    /// The scheduler row.
+    /// Names the holder of the hall; every renewal changes it.
     pub scheduler: Option<model::SchedulerRow>,
-    /// Version of the row that changes only with the tenure.
+    /// Version of the tenure row; 0 if the row does not exist.
     pub tenure_version: ids::RowVersion,
-    /// That row.
+    /// Names the holder and its epoch; a renewal does not change it.
     pub tenure: Option<model::TenureRow>,
 }
 
 /// A tenure that this instance holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnedTenure {
-    /// The scheduler row as written.
+    /// The scheduler row as this instance last wrote it.
     pub row: model::SchedulerRow,
-    /// Its version.
+    /// Version of the scheduler row, the condition of the next renewal.
     pub version: ids::RowVersion,
-    /// Version of the row that changes only with the tenure.
+    /// Version of the tenure row, the condition of the other writes of the tenure.
     pub tenure_version: ids::RowVersion,
-    /// From when the term counts: before the write was sent.
+    /// Start of the term: the time just before the write was sent.
     pub term_started_at: Instant,
-    /// Number of the last renewal that was tried, so that no two tries write the same row.
+    /// Number of the last renewal that was attempted. It makes the row of each attempt different.
     pub renewal_number: u64,
 }
 
-/// What became of a renewal.
+/// Result of renewing or releasing a tenure.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RenewalOutcome {
-    /// The tenure goes on.
+    /// The scheduler row still names this tenure.
     Renewed(OwnedTenure),
-    /// Somebody else holds the hall.
+    /// The scheduler row, if any, names another tenure.
     Lost(Option<model::SchedulerRow>),
 }
 
-/// Reads the rows of a hall's scheduler.
+/// Reads the scheduler row and the tenure row of a hall. Fails if the table does not answer or a row is
+/// malformed.
 pub async fn read<T: TableService>(table: &T, hall: &str) -> Result<OwnerRows, error::HallError> {
     let get = model::TableGet { keys: row_keys(hall).into() };
     owner_rows(hall, &table.get(get).await?.rows)
 }
 
-/// Reads the rows of several halls' schedulers at one moment. A hall whose rows cannot be read is
-/// left out, so that it keeps nobody from looking at the others.
+/// Reads the scheduler rows and tenure rows of several halls in one call. A hall with a malformed row is
+/// left out, so that it does not block reading the others.
 pub async fn read_all<T: TableService>(
     table: &T,
     halls: &[&str],
 ) -> Result<BTreeMap<ids::HallName, OwnerRows>, error::HallError> {
     let get = model::TableGet { keys: halls.iter().flat_map(|it| row_keys(it)).collect() };
     let rows = table.get(get).await?.rows;
-    let mut found = BTreeMap::new();
+    let mut rows_by_hall = BTreeMap::new();
     for &hall in halls {
         match owner_rows(hall, &rows) {
             Ok(owner) => {
-                found.insert(hall.to_owned(), owner);
+                rows_by_hall.insert(hall.to_owned(), owner);
+            }
+            Err(fault) => {
+                tracing::debug!(hall, %fault, "cannot decode the scheduler rows of the hall")
             }
-            Err(fault) => tracing::debug!(hall, %fault, "cannot read who schedules the hall"),
         }
     }
-    Ok(found)
+    Ok(rows_by_hall)
 }
 
 fn row_keys(hall: &str) -> [ids::RowKey; 2] {
@@ -87,14 +91,15 @@
     })
 }
 
-/// Takes a hall that `seen` shows as free or lapsed; `None` where another was faster.
+/// Acquires a hall that is free or expired according to `observed`; `None` if another instance changed the
+/// rows since.
 pub async fn acquire<T: TableService>(
     table: &T,
     options: &options::HallOptions,
     hall: &ids::HallName,
-    seen: &OwnerRows,
+    observed: &OwnerRows,
 ) -> Result<Option<OwnedTenure>, error::HallError> {
-    let epoch = next_epoch(seen);
+    let epoch = next_epoch(observed);
     let row = model::SchedulerRow {
         hall: hall.clone(),
         holder: options.instance.clone(),
@@ -107,8 +112,8 @@
     let tenure = model::TenureRow { epoch, holder: options.instance.clone() };
     let transaction = model::TableTransaction {
         conditions: vec![
-            condition(keys::scheduler(hall), seen.version),
-            condition(keys::tenure(hall), seen.tenure_version),
+            condition(keys::scheduler(hall), observed.version),
+            condition(keys::tenure(hall), observed.tenure_version),
         ],
         writes: vec![write(keys::scheduler(hall), &row), write(keys::tenure(hall), &tenure)],
     };
@@ -126,17 +131,17 @@
         }
         Ok(model::TableOutcome::Conflict { .. }) => Ok(None),
         Err(fault) if fault.fault.had_no_effect() => Err(fault.into()),
-        // The answer is lost and the write may have taken effect. Left alone, the hall would
-        // wait a whole term for a holder that does not know that it holds. The row names its
-        // writer, so reading it back tells.
+        // The answer is lost and the write may have taken effect. Without a check the hall would wait a whole
+        // term for a holder that does not know that it holds the hall. The row names its writer, so reading
+        // the row back settles it.
         Err(_) => {
             let rows = read(table, hall).await?;
-            Ok(owned(rows, &options.instance, epoch, term_started_at))
+            Ok(owned_tenure(rows, &options.instance, epoch, term_started_at))
         }
     }
 }
 
-/// Renews a tenure.
+/// Renews a tenure, whether or not its term has expired.
 pub async fn renew<T: TableService>(
     table: &T,
     tenure: &mut OwnedTenure,
@@ -146,7 +151,7 @@
     write_owned(table, tenure, row).await
 }
 
-/// Gives a tenure up, so that the next holder need not wait for the term.
+/// Marks a tenure as released, so that the next holder need not wait for the term to expire.
 pub async fn release<T: TableService>(
     table: &T,
     tenure: &mut OwnedTenure,
@@ -175,17 +180,17 @@
             Ok(RenewalOutcome::Renewed(written))
         }
         Err(fault) if fault.fault.had_no_effect() => Err(fault.into()),
-        // Either the answer of this write is lost, or that of an earlier one which landed late
-        // and moved the version. A holder that took the conflict for a defeat would leave its
-        // hall without a scheduler for a term. The row names its writer.
+        // Either the answer to this write is lost, or an earlier write took effect late and changed the
+        // version. A holder that treated the conflict as the loss of its tenure would leave the hall
+        // without a scheduler for a term. The row names its writer, so it is read back.
         Ok(model::TableOutcome::Conflict { .. }) | Err(_) => {
             let rows = read(table, hall).await?;
             let found = match rows.scheduler {
-                Some(found) if same_tenure(&found, &row) => found,
+                Some(found) if is_same_tenure(&found, &row) => found,
                 other => return Ok(RenewalOutcome::Lost(other)),
             };
-            // An earlier try that landed: watchers count from that one, so the term must not
-            // count from this one. The next renewal goes out from the version found.
+            // If an earlier renewal took effect instead of this one, watchers count the term from the earlier
+            // one, so the start of the term must not move. The next renewal uses the version found.
             let term_started_at =
                 if found.renewal == row.renewal { term_started_at } else { tenure.term_started_at };
             Ok(RenewalOutcome::Renewed(OwnedTenure {
@@ -198,20 +203,20 @@
     }
 }
 
-fn same_tenure(found: &model::SchedulerRow, ours: &model::SchedulerRow) -> bool {
+fn is_same_tenure(found: &model::SchedulerRow, ours: &model::SchedulerRow) -> bool {
     found.holder == ours.holder && found.epoch == ours.epoch
 }
 
-/// The tenure of `holder` and `epoch` if `rows` show it.
-fn owned(
+/// The tenure that `rows` show, if `holder` has it with `epoch`.
+fn owned_tenure(
     rows: OwnerRows,
     holder: &str,
     epoch: ids::Epoch,
     term_started_at: Instant,
 ) -> Option<OwnedTenure> {
     let row = rows.scheduler?;
-    let ours = row.holder == holder && row.epoch == epoch;
-    ours.then_some(OwnedTenure {
+    let is_ours = row.holder == holder && row.epoch == epoch;
+    is_ours.then_some(OwnedTenure {
         row,
         version: rows.version,
         tenure_version: rows.tenure_version,
@@ -220,9 +225,9 @@
     })
 }
 
-fn next_epoch(seen: &OwnerRows) -> ids::Epoch {
-    let scheduler = seen.scheduler.as_ref().map_or(0, |it| it.epoch);
-    let tenure = seen.tenure.as_ref().map_or(0, |it| it.epoch);
+fn next_epoch(observed: &OwnerRows) -> ids::Epoch {
+    let scheduler = observed.scheduler.as_ref().map_or(0, |it| it.epoch);
+    let tenure = observed.tenure.as_ref().map_or(0, |it| it.epoch);
     scheduler.max(tenure) + 1
 }
 
--- a/crates/hall/src/takeover.rs
+++ b/crates/hall/src/takeover.rs
@@ -1,5 +1,5 @@
-//! Learns how a hall stands after taking it: rows and intents from the stores, leases from the
-//! workers, which are the ground truth of what runs.
+//! Takeover of a hall by a new holder: reads jobs from the table, intents from the stores and leases from the
+//! workers, and starts the scheduler. The leases on the workers are the ground truth of what runs.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -30,36 +30,37 @@
 use crate::tenure;
 use crate::worker_updates;
 
-/// What a takeover is built upon.
+/// Dependencies of a takeover.
 pub(crate) struct TakeoverParts<B: backend::HallBackend> {
-    /// Clients.
+    /// Clients of the table, the object store, the workers and the other instances.
     pub(crate) ports: backend::HallPorts<B>,
-    /// This instance.
+    /// Identity and timing of this instance.
     pub(crate) options: options::HallOptions,
-    /// The hall.
+    /// Hall that is taken over.
     pub(crate) hall: ids::HallName,
-    /// Configuration in force.
+    /// Active configuration; changes are forwarded to the scheduler.
     pub(crate) config: watch::Receiver<Arc<active::ActiveConfig>>,
-    /// Instances and workers.
+    /// Known instances and workers; changes are forwarded to the scheduler.
     pub(crate) members: watch::Receiver<Arc<snapshot::MemberSnapshot>>,
-    /// The new tenure.
+    /// Tenure under which this instance takes the hall over.
     pub(crate) tenure: tenure::TenureWatch,
 }
 
 /// Leases of the workers that answered.
 pub(crate) type LeaseListings = BTreeMap<ids::WorkerId, model::LeaseListing>;
 
-/// A scheduler that was started.
+/// A running scheduler of a hall.
 pub(crate) struct StartedScheduler<B: backend::HallBackend> {
-    /// Where it takes messages.
+    /// Address of the scheduler's actor.
     pub(crate) address: xtra::Address<HallActor<B>>,
-    /// What it last said of the hall.
+    /// Last summary of the hall that the scheduler published.
     pub(crate) summary: watch::Receiver<Option<model::HallBeat>>,
-    /// Turns true once it saw a newer tenure.
+    /// Turns true once the scheduler has found evidence of a newer tenure.
     pub(crate) fenced: watch::Receiver<bool>,
 }
 
-/// Takes the hall over and starts its scheduler; `None` where that cannot be.
+/// Takes the hall over and starts its scheduler; `None` if the policy rejects the configuration or the
+/// tenure ends before the jobs could be read.
 pub(crate) async fn run<B: backend::HallBackend>(
     mut parts: TakeoverParts<B>,
 ) -> Option<StartedScheduler<B>> {
@@ -69,7 +70,7 @@
     let policy = match B::Policy::new(&parts.hall, Arc::clone(&config.document), now) {
         Ok(policy) => policy,
         Err(fault) => {
-            tracing::error!(hall = parts.hall, %fault, "the hall cannot be scheduled");
+            tracing::error!(hall = parts.hall, %fault, "cannot create the scheduling policy of the hall");
             return None;
         }
     };
@@ -115,7 +116,7 @@
     }
     adoption::adopt(&mut actor, records, &listings);
     adoption::release_stray_leases(&mut actor).await;
-    let (address, mailbox) = xtra::Mailbox::bounded(MAILBOX);
+    let (address, mailbox) = xtra::Mailbox::bounded(MAILBOX_CAPACITY);
     actor.address = Some(mailbox.address());
     if !log_sealed && !actor.fenced {
         actor.seal_intents(intents::SEAL_RETRY);
@@ -125,7 +126,7 @@
     Some(StartedScheduler { address, summary, fenced })
 }
 
-/// Passes changes of the configuration and of the members on.
+/// Forwards changes of the configuration and of the members to the scheduler until it stops.
 fn forward_changes<B: backend::HallBackend>(
     address: &xtra::Address<HallActor<B>>,
     mut config: watch::Receiver<Arc<active::ActiveConfig>>,
@@ -152,7 +153,7 @@
     });
 }
 
-/// Reads the rows of the hall's jobs, again and again while the tenure lasts.
+/// Reads the rows of the hall's jobs, with retries until the tenure ends.
 async fn read_jobs<B: backend::HallBackend>(
     parts: &TakeoverParts<B>,
 ) -> Option<Vec<model::JobRecord>> {
@@ -166,7 +167,7 @@
         if parts.tenure.status() == tenure::TenureStatus::Ended {
             return None;
         }
-        tokio::time::sleep(READ_RETRY).await;
+        tokio::time::sleep(READ_RETRY_DELAY).await;
     }
 }
 
@@ -178,13 +179,15 @@
     loop {
         let (table, deadline) = (&parts.ports.table, parts.options.call_deadline());
         let prefix = keys::hall_jobs(&parts.hall);
-        let scan = model::TableScan { prefix, after: after.take(), limit: READ_PAGE };
-        let page = deadline::within(deadline, READ_STEP, deadline::TABLE_SERVICE, table.scan(scan))
-            .await?;
+        let scan = model::TableScan { prefix, after: after.take(), limit: READ_PAGE_ROWS };
+        let page =
+            deadline::within(deadline, READ_JOBS_STEP, deadline::TABLE_SERVICE, table.scan(scan))
+                .await?;
         let rows = page.rows.iter().filter_map(job_row_key).collect::<Vec<_>>();
         if !rows.is_empty() {
             let rows = table.get(model::TableGet { keys: rows });
-            let rows = deadline::within(deadline, READ_STEP, deadline::TABLE_SERVICE, rows).await?;
+            let rows =
+                deadline::within(deadline, READ_JOBS_STEP, deadline::TABLE_SERVICE, rows).await?;
             for row in rows.rows {
                 records.extend(codec::decode_row::<model::JobRecord>("read a job", &row)?);
             }
@@ -202,19 +205,19 @@
     Some(keys::job(account, &job))
 }
 
-/// Lists the leases of every worker at once; those that do not answer soon are left out.
+/// Lists the leases of all workers concurrently. Workers that do not answer in time are left out.
 async fn list_workers<B: backend::HallBackend>(
     parts: &TakeoverParts<B>,
     nodes: &BTreeMap<ids::WorkerId, crate::worker_node::WorkerNode>,
 ) -> LeaseListings {
-    let permits = Arc::new(Semaphore::new(LIST_CONCURRENCY));
+    let semaphore = Arc::new(Semaphore::new(LIST_CONCURRENCY));
     let mut tasks = JoinSet::new();
     for (worker, node) in nodes {
         let Some(address) = node.address().cloned() else { continue };
-        let (workers, permits) = (parts.ports.workers.clone(), Arc::clone(&permits));
+        let (workers, semaphore) = (parts.ports.workers.clone(), Arc::clone(&semaphore));
         let worker = worker.clone();
         tasks.spawn(async move {
-            let _permit = permits.acquire().await;
+            let _permit = semaphore.acquire().await;
             (worker, list_worker(&workers, &address).await)
         });
     }
@@ -231,7 +234,7 @@
     workers: &W,
     address: &ids::PeerAddress,
 ) -> Option<model::LeaseListing> {
-    for _ in 0..LIST_TRIES {
+    for _ in 0..MAX_LIST_CALLS {
         let listing = tokio::time::timeout(LIST_DEADLINE, workers.leases(address)).await;
         if let Ok(Ok(listing)) = listing {
             return Some(listing);
@@ -240,11 +243,11 @@
     None
 }
 
-const MAILBOX: usize = 8192;
-const READ_STEP: &str = "read the jobs of the hall";
-const READ_PAGE: u32 = 256;
-const READ_RETRY: Duration = Duration::from_millis(300);
+const MAILBOX_CAPACITY: usize = 8192;
+const READ_JOBS_STEP: &str = "read the jobs of the hall";
+const READ_PAGE_ROWS: u32 = 256;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(300);
 const LIST_CONCURRENCY: usize = 64;
-const LIST_TRIES: usize = 2;
-/// A worker that answers later counts as lost until the next call.
+const MAX_LIST_CALLS: usize = 2;
+/// A worker that answers later counts as lost until the next call to it.
 const LIST_DEADLINE: Duration = Duration::from_millis(500);
--- a/crates/hall/src/tenure.rs
+++ b/crates/hall/src/tenure.rs
@@ -1,4 +1,4 @@
-//! How long this instance may act as the scheduler of a hall.
+//! The tenure of a hall as its holder sees it: whether this instance may still act as the scheduler.
 
 use std::time::Duration;
 
@@ -7,43 +7,44 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What a holder may do at one moment.
+/// What the holder of a tenure may do at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TenureStatus {
-    /// The term has not run out: nobody else can hold the hall.
+    /// The term has not expired: no other instance can hold the hall.
     Firm,
-    /// The term ran out while the table did not answer, so that nobody could take over there.
-    /// Only what the exclusivity of workers and of put-if-absent makes harmless goes on.
+    /// The term expired while the table did not answer, so no other instance could acquire the hall. The
+    /// holder continues only with actions that are safe even if another holder exists, because workers
+    /// lease each accelerator exclusively and a put-if-absent succeeds only once.
     Detached,
-    /// The term ran out and it is not known why: this process may have been paused through it.
-    /// Nothing goes on until a renewal has been tried.
+    /// The term expired for an unknown reason: this process may have been paused past its end. The holder
+    /// does nothing until it has attempted a renewal.
     Stale,
-    /// Somebody else holds the hall, or it was given up.
+    /// Another instance holds the hall, or this instance gave it up.
     Ended,
 }
 
-/// A tenure as the seat last saw it.
+/// State of a tenure, as of the last renewal that its contender attempted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenureState {
-    /// The hall.
+    /// Hall that the tenure is for.
     pub hall: ids::HallName,
-    /// Number of the tenure.
+    /// Increases with each tenure of the hall.
     pub epoch: ids::Epoch,
-    /// Version of the row that changes only with the tenure.
+    /// Version of the tenure row, which renewals do not change.
     pub row_version: ids::RowVersion,
-    /// End of the term less the margin, counted from before the renewal was sent: a watcher
-    /// counts from when it saw the renewal, which is later.
+    /// End of the term less the margin. The term starts before the renewal was sent; a watcher counts it from
+    /// when it read the renewal, which is later.
     pub valid_until: Instant,
-    /// When a renewal last went without an answer.
+    /// When the last unanswered renewal was sent; `None` once a renewal succeeds.
     pub outage_seen_at: Option<Instant>,
-    /// For how long an outage that was seen is believed to last.
+    /// How long after `outage_seen_at` the table is assumed to be still unavailable.
     pub outage_assumed_for: Duration,
-    /// Whether it is over.
+    /// Set when this instance stops scheduling the hall; never reset.
     pub ended: bool,
 }
 
 impl TenureState {
-    /// What may be done at `now`.
+    /// What the holder may do at `now`.
     pub fn status(&self, now: Instant) -> TenureStatus {
         if self.ended {
             return TenureStatus::Ended;
@@ -51,9 +52,9 @@
         if now < self.valid_until {
             return TenureStatus::Firm;
         }
-        // A process that was paused through its term wakes up here with an old sighting of an
-        // outage or none. It must not act on it: the table may have come back and another
-        // instance may have taken over meanwhile.
+        // A process that was paused past the end of its term resumes here with an outage recorded long ago or
+        // with none. It must not act on that record: the table may be available again and another instance
+        // may have acquired the hall in the meantime.
         match self.outage_seen_at {
             Some(seen) if now < seen + self.outage_assumed_for => TenureStatus::Detached,
             _ => TenureStatus::Stale,
@@ -61,25 +62,25 @@
     }
 }
 
-/// Lets tasks see the tenure under which they act.
+/// Gives the actor and its tasks the current state of the tenure under which they act.
 #[derive(Clone, Debug)]
 pub struct TenureWatch {
     receiver: watch::Receiver<TenureState>,
 }
 
 impl TenureWatch {
-    /// A tenure and the seat's end of it.
+    /// Creates a watch with the sender that its contender updates. Dropping the sender ends the tenure.
     pub fn new(state: TenureState) -> (watch::Sender<TenureState>, TenureWatch) {
         let (sender, receiver) = watch::channel(state);
         (sender, TenureWatch { receiver })
     }
 
-    /// Number of the tenure.
+    /// Epoch of the tenure, which does not change.
     pub fn epoch(&self) -> ids::Epoch {
         self.receiver.borrow().epoch
     }
 
-    /// What may be done now. Asked before every act.
+    /// What the holder may do now. Callers check this before every action.
     pub fn status(&self) -> TenureStatus {
         if self.receiver.has_changed().is_err() {
             return TenureStatus::Ended;
@@ -87,7 +88,7 @@
         self.receiver.borrow().status(Instant::now())
     }
 
-    /// Whether acts that workers keep harmless may go on.
+    /// Whether the holder may take actions that are safe even if another holder exists.
     pub fn may_act(&self) -> bool {
         matches!(self.status(), TenureStatus::Firm | TenureStatus::Detached)
     }
@@ -97,18 +98,18 @@
         self.receiver.borrow().outage_seen_at.is_some()
     }
 
-    /// What is left of the firm term.
+    /// Time left until `valid_until`; zero after it.
     pub fn margin(&self) -> Duration {
         self.receiver.borrow().valid_until.saturating_duration_since(Instant::now())
     }
 
-    /// The condition that makes a write of a stale holder fail.
+    /// Condition that makes a write fail once another tenure has begun.
     pub fn condition(&self) -> model::TableCondition {
         let state = self.receiver.borrow();
         model::TableCondition { key: keys::tenure(&state.hall), version: state.row_version }
     }
 
-    /// Awaits a change, such as the end of the tenure.
+    /// Waits for the next change of the tenure's state. Never returns once the sender is dropped.
     pub async fn changed(&mut self) {
         if self.receiver.changed().await.is_err() {
             std::future::pending::<()>().await;
