--- a/crates/hall/examples/measure_hall.rs
+++ b/crates/hall/examples/measure_hall.rs
@@ -1,9 +1,9 @@
-//! Measures one hall's scheduler against the in-memory platform, on the paused clock:
+//! Measures the scheduler of one hall against the in-memory platform, on a paused clock:
 //! `cargo run --release -p almondpass-hall --example measure_hall [RACKS...]`.
 //!
-//! Every call to table and workers takes 1 ms (half a millisecond each way). Times of the hall are
-//! those of the paused clock and leave computation out; processor time is that of the whole
-//! process, fakes included.
+//! Every call to the table, the object store and the workers takes 1 ms (half a millisecond each way).
+//! Takeover and hand-over times are those of the paused clock and exclude computation. Processor time is
+//! that of the whole process, including the in-memory platform.
 
 #[path = "../tests/hall/support.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -24,9 +24,9 @@
 fn main() {
     println!("workers  tasks  takeover  hand-over  idle: reads/s writes/s renewals/s cpu/s");
     println!("                                     busy: reads/s writes/s renewals/s cpu/s");
-    let named = std::env::args().skip(1).filter_map(|it| it.parse().ok()).collect::<Vec<_>>();
-    let usual = vec![6, 20, 50, 162];
-    for n_racks in if named.is_empty() { usual } else { named } {
+    let given_sizes = std::env::args().skip(1).filter_map(|it| it.parse().ok()).collect::<Vec<_>>();
+    let default_sizes = vec![6, 20, 50, 162];
+    for n_racks in if given_sizes.is_empty() { default_sizes } else { given_sizes } {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .start_paused(true)
@@ -39,10 +39,10 @@
 async fn measure(n_racks: u32) {
     let site = TestSite::with_racks(n_racks);
     site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7_000)));
-    let holder = start(&site, "a");
+    let holder = start_with_latency(&site, "a");
     support::wait_until("the first holds", async || holder.holds()).await;
-    let other = start(&site, "b");
-    let idle = load(&site, Duration::from_secs(60)).await;
+    let other = start_with_latency(&site, "b");
+    let idle_load = measure_load(&site, Duration::from_secs(60)).await;
 
     let n_workers = n_racks * support::N_WORKERS;
     let n_jobs = n_workers * TASKS_PER_WORKER / TASKS_PER_JOB;
@@ -61,39 +61,39 @@
         site.wait_for_job_state(*job, model::JobState::Running).await;
     }
     support::advance(Duration::from_secs(300)).await;
-    let busy = load(&site, Duration::from_secs(60)).await;
+    let busy_load = measure_load(&site, Duration::from_secs(60)).await;
 
-    let exchange = exchange_bytes(&site).await;
-    let look = look_bytes(&site).await;
-    let grants = grants(&site, &holder).await;
+    let renewal_bytes = measure_renewal_bytes(&site).await;
+    let owner_read_bytes = measure_owner_read_bytes(&site).await;
+    let grant_cost = measure_grant_cost(&site, &holder).await;
 
-    let leaving = Instant::now();
+    let leave_started = Instant::now();
     site.change_members(|it| it.instances.get_mut("a").expect("a member").leaving = true);
     let service = holder.service.clone();
     tokio::spawn(async move { service.shutdown().await });
     while !other.holds() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let hand_over = leaving.elapsed();
+    let hand_over = leave_started.elapsed();
 
-    let third = start(&site, "c");
+    let third_instance = start_with_latency(&site, "c");
     support::advance(Duration::from_secs(5)).await;
     other.crash(&site);
-    while third.service.held_halls().is_empty() {
+    while third_instance.service.held_halls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let taken = Instant::now();
-    while !third.holds() {
+    let acquired_at = Instant::now();
+    while !third_instance.holds() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let takeover = taken.elapsed();
+    let takeover = acquired_at.elapsed();
     let n_tasks = n_jobs * TASKS_PER_JOB;
-    println!("{n_workers:7} {n_tasks:6} {takeover:9.0?} {hand_over:10.0?}  idle: {idle}");
-    println!("{:36} busy: {busy}", "");
-    println!("{:36} {exchange}; {grants}; {look}", "");
+    println!("{n_workers:7} {n_tasks:6} {takeover:9.0?} {hand_over:10.0?}  idle: {idle_load}");
+    println!("{:36} busy: {busy_load}", "");
+    println!("{:36} {renewal_bytes}; {grant_cost}; {owner_read_bytes}", "");
 }
 
-fn start(site: &TestSite, id: &str) -> TestInstance {
+fn start_with_latency(site: &TestSite, id: &str) -> TestInstance {
     let instance = site.start(id);
     let round_trip = Condition::Slow(Duration::from_millis(1));
     instance.table_faults.set(round_trip);
@@ -102,84 +102,85 @@
     instance
 }
 
-/// Calls and processor time over a while.
-async fn load(site: &TestSite, span: Duration) -> String {
-    let before = Counts::of(site);
+/// Rates of platform calls and of processor time over the next `span` on the paused clock.
+async fn measure_load(site: &TestSite, span: Duration) -> String {
+    let before = LoadCounters::of(site);
     support::advance(span).await;
-    let after = Counts::of(site);
+    let after = LoadCounters::of(site);
     let rate = |before: u64, after: u64| (after - before) as f64 / span.as_secs_f64();
     format!(
         "{:7.1} {:8.1} {:10.1} {:4.1}ms",
         rate(before.reads, after.reads),
         rate(before.writes, after.writes),
         rate(before.renewals, after.renewals),
-        rate(before.cpu_nanos, after.cpu_nanos) / 1e6,
+        rate(before.process_cpu_nanos, after.process_cpu_nanos) / 1e6,
     )
 }
 
-/// Bytes of one exchange with a worker, as encoded between processes.
-async fn exchange_bytes(site: &TestSite) -> String {
+/// Encoded size of one lease renewal and of its reply.
+async fn measure_renewal_bytes(site: &TestSite) -> String {
     let (address, worker) = &site.fleet.workers()[0];
-    let names = worker.peek().into_iter().map(|it| it.lease).collect::<Vec<_>>();
-    let n_leases = names.len();
-    let renew = model::LeaseRenew { leases: names, term: time::TimeSpan::from_secs(30) };
+    let lease_names = worker.peek().into_iter().map(|it| it.lease).collect::<Vec<_>>();
+    let n_leases = lease_names.len();
+    let renew = model::LeaseRenew { leases: lease_names, term: time::TimeSpan::from_secs(30) };
     let listing = site.fleet.renew(address, renew.clone()).await.expect("a worker that answers");
-    let encode = |bytes: Result<Vec<u8>, _>| bytes.expect("a message that encodes").len();
-    let asked = encode(rmp_serde::to_vec_named(&renew));
-    let told = encode(rmp_serde::to_vec_named(&listing));
-    format!("a renewal of {n_leases} leases: {asked} B asked, {told} B told")
+    let encoded_len = |bytes: Result<Vec<u8>, _>| bytes.expect("a message that encodes").len();
+    let n_request_bytes = encoded_len(rmp_serde::to_vec_named(&renew));
+    let n_reply_bytes = encoded_len(rmp_serde::to_vec_named(&listing));
+    format!("a renewal of {n_leases} leases: {n_request_bytes} B asked, {n_reply_bytes} B told")
 }
 
-/// Bytes of a look at who schedules a hall, as encoded between processes.
-async fn look_bytes(site: &TestSite) -> String {
+/// Encoded size of one read of a hall's scheduler rows and of its reply.
+async fn measure_owner_read_bytes(site: &TestSite) -> String {
     let keys = vec![keys::scheduler(support::HALL), keys::tenure(support::HALL)];
     let get = model::TableGet { keys };
     let rows = site.table.get(get.clone()).await.expect("a table that answers");
-    let encode = |bytes: Result<Vec<u8>, _>| bytes.expect("a message that encodes").len();
-    let asked = encode(rmp_serde::to_vec_named(&get));
-    let told = encode(rmp_serde::to_vec_named(&rows));
-    format!("a look at a hall: {asked} B asked, {told} B told")
+    let encoded_len = |bytes: Result<Vec<u8>, _>| bytes.expect("a message that encodes").len();
+    let n_request_bytes = encoded_len(rmp_serde::to_vec_named(&get));
+    let n_reply_bytes = encoded_len(rmp_serde::to_vec_named(&rows));
+    format!("a look at a hall: {n_request_bytes} B asked, {n_reply_bytes} B told")
 }
 
-/// Processor time of a grant with its return, where an idle serving lease is at hand.
-async fn grants(site: &TestSite, instance: &TestInstance) -> String {
-    let before = cpu_nanos();
-    for _ in 0..N_GRANTS {
+/// Processor time of a grant and its return, given that an idle serving lease exists.
+async fn measure_grant_cost(site: &TestSite, instance: &TestInstance) -> String {
+    let before = process_cpu_nanos();
+    for _ in 0..GRANTS_MEASURED {
         let grant =
             instance.expect_grant(support::request(site, support::REPEATABLE_REQUEST)).await;
         instance.return_grant(&grant, model::RequestOutcome::Done).await;
     }
-    let each = (cpu_nanos() - before) / N_GRANTS / 1000;
-    format!("a grant and its return: {each} us of processor time")
+    let micros_per_grant = (process_cpu_nanos() - before) / GRANTS_MEASURED / 1000;
+    format!("a grant and its return: {micros_per_grant} us of processor time")
 }
 
-struct Counts {
+/// Platform calls of the site and processor time of the process, since their start.
+struct LoadCounters {
     reads: u64,
     writes: u64,
     renewals: u64,
-    cpu_nanos: u64,
+    process_cpu_nanos: u64,
 }
 
-impl Counts {
-    fn of(site: &TestSite) -> Counts {
+impl LoadCounters {
+    fn of(site: &TestSite) -> LoadCounters {
         let table = site.table.faults();
         let workers = site.fleet.workers();
         let renewals = workers.iter().map(|(_, it)| it.faults().calls(model::LeaseRenew::PATH));
-        Counts {
+        LoadCounters {
             reads: table.calls(model::TableGet::PATH) + table.calls(model::TableScan::PATH),
             writes: table.calls(model::TableTransaction::PATH),
             renewals: renewals.sum(),
-            cpu_nanos: cpu_nanos(),
+            process_cpu_nanos: process_cpu_nanos(),
         }
     }
 }
 
-/// Processor time of this process; its first field is nanoseconds on a processor.
-fn cpu_nanos() -> u64 {
+/// Processor time of this process, the first field of `schedstat`; 0 if the file cannot be read.
+fn process_cpu_nanos() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     stat.split_whitespace().next().and_then(|it| it.parse().ok()).unwrap_or_default()
 }
 
-const N_GRANTS: u64 = 5_000;
+const GRANTS_MEASURED: u64 = 5_000;
 const TASKS_PER_WORKER: u32 = 15;
 const TASKS_PER_JOB: u32 = 8;
--- a/crates/hall/tests/fuzz/main.rs
+++ b/crates/hall/tests/fuzz/main.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of hall schedulers: random work and faults against a simple oracle of what
-//! callers were told and what workers really ran.
+//! Stateful fuzzing of hall schedulers with random work and faults. A simple oracle compares the replies to
+//! callers with the tasks that workers ran.
 //!
-//! The seed is fixed. A long run with fresh seeds:
+//! The seed is fixed. A long run with a fresh seed:
 //! `HALL_FUZZ_CASES=2000 HALL_FUZZ_SEED=$RANDOM cargo test --release -p almondpass-hall --test fuzz`.
 
 #[path = "../hall/support.rs"]
@@ -9,14 +9,14 @@
 mod support;
 
 mod oracle;
+mod simulated_site;
 mod step;
-mod world;
 
 use proptest::collection;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
 #[test]
-fn callers_are_told_the_truth_whatever_fails() {
+fn replies_match_what_workers_ran_despite_faults() {
     let config = Config {
         cases: setting("HALL_FUZZ_CASES", 32) as u32,
         rng_seed: RngSeed::Fixed(setting("HALL_FUZZ_SEED", 5)),
@@ -25,13 +25,13 @@
         ..Config::default()
     };
     let mut runner = TestRunner::new(config);
-    let steps = collection::vec(step::any(), 10..60);
-    if let Err(fault) = runner.run(&steps, |steps| world::check(&steps)) {
+    let steps = collection::vec(step::any_step(), 10..60);
+    if let Err(fault) = runner.run(&steps, |steps| simulated_site::check(&steps)) {
         panic!("{fault}");
     }
 }
 
-/// A setting of the long run.
+/// A number from an environment variable, by which a long run is configured.
 fn setting(name: &str, usual: u64) -> u64 {
     std::env::var(name).ok().and_then(|it| it.parse().ok()).unwrap_or(usual)
 }
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/simulated_site.rs
@@ -1,4 +1,5 @@
-//! Runs one case: a site, three instances, work, faults, and a quiet end.
+//! Runs one fuzz case on a site with three instances: applies the steps, removes all faults and checks the
+//! result.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -13,21 +14,22 @@
 use proptest::test_runner::TestCaseError;
 
 use crate::oracle::Oracle;
-use crate::step::{Step, Way};
+use crate::step::{PlatformService, Step};
 use crate::support::{self, TestBackend, TestInstance, TestSite};
 
-/// How entries find schedulers; without the random pauses of the real one.
+/// Finds the scheduler of the hall as an entry does, but without the random pauses of the real hall
+/// directory.
 struct EntryLink {
     service: service::HallService<TestBackend>,
     link: net::FakeLink,
 }
 
 impl EntryLink {
-    async fn ask<C: SchedulerCall>(&self, call: C, deadline: Duration) -> Option<C::Reply> {
-        tokio::time::timeout(deadline, self.search(call)).await.ok()
+    async fn call<C: SchedulerCall>(&self, call: C, deadline: Duration) -> Option<C::Reply> {
+        tokio::time::timeout(deadline, self.call_until_answered(call)).await.ok()
     }
 
-    async fn search<C: SchedulerCall>(&self, call: C) -> C::Reply {
+    async fn call_until_answered<C: SchedulerCall>(&self, call: C) -> C::Reply {
         loop {
             let Some(reply) = self.service.ask(call.clone()).await else {
                 std::future::pending().await
@@ -40,12 +42,12 @@
                     _ => {}
                 }
             }
-            tokio::time::sleep(SEARCH_PAUSE).await;
+            tokio::time::sleep(SEARCH_RETRY_DELAY).await;
         }
     }
 }
 
-struct World {
+struct SimulatedSite {
     site: TestSite,
     instances: Vec<TestInstance>,
     n_started: usize,
@@ -53,10 +55,10 @@
     keys: Vec<ids::IdempotencyKey>,
     jobs: Vec<(ids::JobId, bool, u32)>,
     calls: tokio::task::JoinSet<()>,
-    dead: BTreeSet<usize>,
+    crashed_workers: BTreeSet<usize>,
 }
 
-/// Runs the steps on a paused clock of their own.
+/// Runs the steps on a runtime with a paused clock. Fails with all violations that the oracle found.
 pub(crate) fn check(steps: &[Step]) -> Result<(), TestCaseError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,7 +77,7 @@
     site.change_config(|it| it.bounds.job_retention = time::TimeSpan::from_secs(1_000_000));
     site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7)));
     let keys = (0..5).map(|_| site.key()).collect();
-    let mut world = World {
+    let mut simulation = SimulatedSite {
         site,
         instances: Vec::new(),
         n_started: 0,
@@ -83,20 +85,20 @@
         keys,
         jobs: Vec::new(),
         calls: tokio::task::JoinSet::new(),
-        dead: BTreeSet::new(),
+        crashed_workers: BTreeSet::new(),
     };
     for _ in 0..N_INSTANCES {
-        world.start();
+        simulation.start_instance();
     }
     support::advance(Duration::from_secs(3)).await;
     for step in steps {
-        world.take(step).await;
+        simulation.apply_step(step).await;
     }
-    world.settle().await
+    simulation.finish_and_check().await
 }
 
-impl World {
-    fn start(&mut self) {
+impl SimulatedSite {
+    fn start_instance(&mut self) {
         self.n_started += 1;
         let instance = self.site.start(&format!("i{}", self.n_started));
         self.instances.push(instance);
@@ -106,65 +108,70 @@
         &self.instances[number % self.instances.len()]
     }
 
-    fn link(&self, number: usize) -> EntryLink {
+    fn entry_link(&self, number: usize) -> EntryLink {
         let instance = self.instance(number);
         let (service, link) = (instance.service.clone(), self.site.net.link(&instance.address));
         EntryLink { service, link }
     }
 
-    async fn take(&mut self, step: &Step) {
+    async fn apply_step(&mut self, step: &Step) {
         match step {
-            Step::Ask { via } => {
-                self.ask(*via, support::request(&self.site, support::REPEATABLE_REQUEST))
+            Step::RequestSlot { via } => {
+                self.request_slot(*via, support::request(&self.site, support::REPEATABLE_REQUEST))
             }
-            Step::AskKeyed { via, key } => {
+            Step::RequestSlotWithKey { via, key } => {
                 let key = self.keys[key % self.keys.len()];
-                self.ask(*via, support::request_with_key(&self.site, key));
+                self.request_slot(*via, support::request_with_key(&self.site, key));
             }
-            Step::Return { grant, via, outcome } => self.return_grant(*grant, *via, *outcome),
-            Step::Submit { via, repeatable, tasks } => {
+            Step::ReturnGrant { grant, via, outcome } => self.return_grant(*grant, *via, *outcome),
+            Step::SubmitJob { via, repeatable, tasks } => {
                 let job = self.site.key();
                 self.jobs.push((job, *repeatable, *tasks));
-                self.submit(*via, self.jobs.len() - 1);
+                self.submit_job(*via, self.jobs.len() - 1);
             }
-            Step::Resubmit { via, job } if !self.jobs.is_empty() => {
-                self.submit(*via, job % self.jobs.len());
+            Step::ResubmitJob { via, job } if !self.jobs.is_empty() => {
+                self.submit_job(*via, job % self.jobs.len());
             }
-            Step::Cancel { via, job } if !self.jobs.is_empty() => {
+            Step::CancelJob { via, job } if !self.jobs.is_empty() => {
                 let job = self.jobs[job % self.jobs.len()].0;
                 let account = support::ACCOUNT.to_owned();
                 let cancel = model::JobCancel { job, hall: support::HALL.to_owned(), account };
-                let link = self.link(*via);
+                let link = self.entry_link(*via);
                 self.calls.spawn(async move {
-                    let _ = link.ask(cancel, CALL_DEADLINE).await;
+                    let _ = link.call(cancel, CALL_DEADLINE).await;
                 });
             }
-            Step::Resubmit { .. } | Step::Cancel { .. } => {}
-            Step::Crash { instance } => self.crash(*instance),
-            Step::Replace { instance } => self.replace(*instance),
-            Step::CutOff { instance, way, condition } => {
-                self.way(*instance, *way).set(*condition);
+            Step::ResubmitJob { .. } | Step::CancelJob { .. } => {}
+            Step::CrashInstance { instance } => self.crash_instance(*instance),
+            Step::ReplaceInstance { instance } => self.replace_instance(*instance),
+            Step::SetLinkCondition { instance, service, condition } => {
+                self.link_faults(*instance, *service).set(*condition);
             }
-            Step::Faults { instance, seed, rate } => self.sample(*instance, *seed, *rate),
-            Step::Service { way, condition } => self.service(*way).set(*condition),
-            Step::KillWorker { worker } => {
+            Step::InjectLinkFaults { instance, seed, rate } => {
+                self.inject_link_faults(*instance, *seed, *rate)
+            }
+            Step::SetServiceCondition { service, condition } => {
+                self.service_faults(*service).set(*condition)
+            }
+            Step::CrashWorker { worker } => {
                 let workers = self.site.fleet.workers();
                 let worker = worker % workers.len();
                 workers[worker].1.crash();
-                self.dead.insert(worker);
+                self.crashed_workers.insert(worker);
             }
-            Step::ReviveWorkers => self.revive(),
-            Step::CutOffWorker { worker, condition } => {
+            Step::RestartWorkers => self.restart_workers(),
+            Step::SetWorkerCondition { worker, condition } => {
                 let workers = self.site.fleet.workers();
                 workers[worker % workers.len()].1.faults().set(*condition);
             }
-            Step::Heal => self.heal(),
-            Step::Pass { span } => self.pass(*span).await,
+            Step::HealAll => self.heal_all(),
+            Step::AdvanceTime { span } => self.advance(*span).await,
         }
     }
 
-    /// Lets time pass; beats tell of newer tenures.
-    async fn pass(&self, span: Duration) {
+    /// Advances the clock. After at least 3 s every instance also receives the beats of all, which report
+    /// newer tenures.
+    async fn advance(&self, span: Duration) {
         support::advance(span).await;
         let beats = self.instances.iter().flat_map(|it| it.service.summaries());
         let beats = beats.collect::<Vec<_>>();
@@ -176,16 +183,18 @@
         }
     }
 
-    fn ask(&mut self, via: usize, request: model::GrantRequest) {
-        let (link, oracle) = (self.link(via), Arc::clone(&self.oracle));
+    fn request_slot(&mut self, via: usize, request: model::GrantRequest) {
+        let (link, oracle) = (self.entry_link(via), Arc::clone(&self.oracle));
         self.calls.spawn(async move {
             let key = request.idempotency;
-            let reply = link.ask(request, CALL_DEADLINE).await;
+            let reply = link.call(request, CALL_DEADLINE).await;
             let mut oracle = oracle.lock().expect("an oracle");
             match (reply, key) {
-                (Some(model::GrantReply::Granted { grant }), key) => oracle.granted(grant, key),
+                (Some(model::GrantReply::Granted { grant }), key) => {
+                    oracle.record_grant(grant, key)
+                }
                 (Some(model::GrantReply::Recorded { outcome, .. }), Some(key)) => {
-                    oracle.recorded(key, outcome);
+                    oracle.check_recorded_outcome(key, outcome);
                 }
                 _ => {}
             }
@@ -199,17 +208,17 @@
             return;
         }
         let grant = &mut oracle.grants[grant % n_grants];
-        // What an entry says once it says for good; it may have to say it again.
+        // An entry never changes the outcome that it reports for a grant, but may report the outcome again.
         let outcome = *grant.returned.get_or_insert(outcome);
         let returns = support::grant_returns(&grant.slot, outcome);
         drop(oracle);
-        let link = self.link(via);
+        let link = self.entry_link(via);
         self.calls.spawn(async move {
-            let _ = link.ask(returns, CALL_DEADLINE).await;
+            let _ = link.call(returns, CALL_DEADLINE).await;
         });
     }
 
-    fn submit(&mut self, via: usize, index: usize) {
+    fn submit_job(&mut self, via: usize, index: usize) {
         let (job, repeatable, tasks) = self.jobs[index];
         let class = if repeatable { support::REPEATABLE_JOB } else { support::SINGLE_RUN_JOB };
         let submit = model::JobSubmit {
@@ -218,22 +227,22 @@
             account: support::ACCOUNT.to_owned(),
             submission: support::gang_submission(class, tasks),
         };
-        let (link, oracle) = (self.link(via), Arc::clone(&self.oracle));
+        let (link, oracle) = (self.entry_link(via), Arc::clone(&self.oracle));
         oracle.lock().expect("an oracle").submissions.entry(job).or_default().sent += 1;
         self.calls.spawn(async move {
-            if let Some(reply) = link.ask(submit, CALL_DEADLINE).await {
-                oracle.lock().expect("an oracle").submitted(job, repeatable, &reply);
+            if let Some(reply) = link.call(submit, CALL_DEADLINE).await {
+                oracle.lock().expect("an oracle").record_job_reply(job, repeatable, &reply);
             }
         });
     }
 
-    fn crash(&mut self, number: usize) {
+    fn crash_instance(&mut self, number: usize) {
         let instance = self.instances.remove(number % self.instances.len());
         instance.crash(&self.site);
-        self.start();
+        self.start_instance();
     }
 
-    fn replace(&mut self, number: usize) {
+    fn replace_instance(&mut self, number: usize) {
         let instance = self.instances.remove(number % self.instances.len());
         self.site.change_members(|it| {
             if let Some(entry) = it.instances.get_mut(&instance.id) {
@@ -241,26 +250,26 @@
             }
         });
         self.calls.spawn(async move { instance.service.shutdown().await });
-        self.start();
+        self.start_instance();
     }
 
-    fn way(&self, instance: usize, way: Way) -> &FaultPlan {
+    fn link_faults(&self, instance: usize, service: PlatformService) -> &FaultPlan {
         let instance = self.instance(instance);
-        match way {
-            Way::Table => &instance.table_faults,
-            Way::Objects => &instance.object_faults,
-            Way::Workers => &instance.worker_faults,
+        match service {
+            PlatformService::Table => &instance.table_faults,
+            PlatformService::Objects => &instance.object_faults,
+            PlatformService::Workers => &instance.worker_faults,
         }
     }
 
-    fn service(&self, way: Way) -> &FaultPlan {
-        match way {
-            Way::Objects => self.site.objects.faults(),
-            Way::Table | Way::Workers => self.site.table.faults(),
+    fn service_faults(&self, service: PlatformService) -> &FaultPlan {
+        match service {
+            PlatformService::Objects => self.site.objects.faults(),
+            PlatformService::Table | PlatformService::Workers => self.site.table.faults(),
         }
     }
 
-    fn sample(&self, instance: usize, seed: u64, rate: f64) {
+    fn inject_link_faults(&self, instance: usize, seed: u64, rate: f64) {
         let rate = rate / 6.0;
         let rates = FaultRates {
             refused: rate,
@@ -271,24 +280,27 @@
             slow: rate,
             longest: Duration::from_secs(4),
         };
-        for way in [Way::Table, Way::Objects, Way::Workers] {
-            self.way(instance, way).sample(seed, rates);
+        for service in [PlatformService::Table, PlatformService::Objects, PlatformService::Workers]
+        {
+            self.link_faults(instance, service).sample(seed, rates);
         }
     }
 
-    fn revive(&mut self) {
+    fn restart_workers(&mut self) {
         let workers = self.site.fleet.workers();
-        for worker in std::mem::take(&mut self.dead) {
+        for worker in std::mem::take(&mut self.crashed_workers) {
             workers[worker].1.restart();
         }
     }
 
-    fn heal(&mut self) {
-        self.revive();
+    fn heal_all(&mut self) {
+        self.restart_workers();
         for number in 0..self.instances.len() {
-            self.sample(number, 0, 0.0);
-            for way in [Way::Table, Way::Objects, Way::Workers] {
-                self.way(number, way).set(Condition::Up);
+            self.inject_link_faults(number, 0, 0.0);
+            for service in
+                [PlatformService::Table, PlatformService::Objects, PlatformService::Workers]
+            {
+                self.link_faults(number, service).set(Condition::Up);
             }
         }
         for plan in [self.site.table.faults(), self.site.objects.faults()] {
@@ -299,22 +311,23 @@
         }
     }
 
-    /// Heals everything and waits until nothing happens any more; then nothing may be left over.
-    async fn settle(mut self) -> Vec<String> {
-        self.heal();
+    /// Removes all faults, waits until all work has ended, and returns the violations. Accepted jobs must
+    /// have ended, one instance must hold the hall, and no lease or index row may be left over.
+    async fn finish_and_check(mut self) -> Vec<String> {
+        self.heal_all();
         for _ in 0..40 {
-            self.pass(Duration::from_secs(10)).await;
+            self.advance(Duration::from_secs(10)).await;
         }
         while self.calls.join_next().await.is_some() {}
         let oracle = Arc::clone(&self.oracle);
         let mut oracle = oracle.lock().expect("an oracle");
         let records = self.records();
         let runs = self.site.fleet.runs();
-        let once = self.jobs.iter().filter(|it| !it.1).map(|it| it.0).collect();
-        oracle.check_runs(&runs, &records, &once);
+        let single_run_jobs = self.jobs.iter().filter(|it| !it.1).map(|it| it.0).collect();
+        oracle.check_runs(&runs, &records, &single_run_jobs);
         for job in oracle.accepted.clone().keys() {
             let state = records.get(job).map(|it| it.state);
-            let over = state.is_some_and(|it| {
+            let is_ended = state.is_some_and(|it| {
                 !matches!(
                     it,
                     model::JobState::Queued
@@ -323,13 +336,17 @@
                         | model::JobState::Checkpointing
                 )
             });
-            if !over {
-                oracle.faults.push(format!("accepted job {job} is {state:?} after it all"));
+            if !is_ended {
+                oracle
+                    .faults
+                    .push(format!("accepted job {job} is {state:?} after all faults were removed"));
             }
         }
         let n_holders = self.instances.iter().filter(|it| it.holds()).count();
         if n_holders != 1 {
-            oracle.faults.push(format!("{n_holders} instances hold the hall after it all"));
+            oracle
+                .faults
+                .push(format!("{n_holders} instances hold the hall after all faults were removed"));
         }
         let workers = self.site.fleet.workers();
         let leases = workers.iter().flat_map(|(_, it)| it.peek());
@@ -350,5 +367,5 @@
 }
 
 const N_INSTANCES: usize = 3;
-const SEARCH_PAUSE: Duration = Duration::from_millis(100);
+const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 const CALL_DEADLINE: Duration = Duration::from_secs(8);
--- a/crates/hall/tests/fuzz/step.rs
+++ b/crates/hall/tests/fuzz/step.rs
@@ -1,81 +1,86 @@
-//! What can happen.
+//! Random steps of a fuzz case: work, faults and the passing of time.
 
 use std::time::Duration;
 
 use almondpass_schema::model::RequestOutcome;
 use almondpass_standin::fault::Condition;
-use proptest::prelude::{Just, Strategy, any as anything, prop_oneof};
+use proptest::prelude::{Just, Strategy, any as any_value, prop_oneof};
 
-/// One step of a case. Numbers choose among what there is, modulo how many there are.
+/// One step of a case. An index selects an element of the list that exists when the step runs, modulo the
+/// length of that list. Calls go through the instance with index `via`.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// A caller asks for a slot.
-    Ask { via: usize },
-    /// A caller asks under one of a few keys.
-    AskKeyed { via: usize, key: usize },
-    /// An entry returns a grant; the grants that it never returns are those of dead entries.
-    Return { grant: usize, via: usize, outcome: RequestOutcome },
+    /// A caller requests a slot without an idempotency key.
+    RequestSlot { via: usize },
+    /// A caller requests a slot with one of a few idempotency keys.
+    RequestSlotWithKey { via: usize, key: usize },
+    /// An entry returns a grant. Grants that no step returns stand for those of crashed entries.
+    ReturnGrant { grant: usize, via: usize, outcome: RequestOutcome },
     /// A caller submits a gang.
-    Submit { via: usize, repeatable: bool, tasks: u32 },
-    /// A caller submits a job a second time.
-    Resubmit { via: usize, job: usize },
+    SubmitJob { via: usize, repeatable: bool, tasks: u32 },
+    /// A caller submits an earlier job again.
+    ResubmitJob { via: usize, job: usize },
     /// A caller cancels a job.
-    Cancel { via: usize, job: usize },
-    /// An instance dies; another takes its place.
-    Crash { instance: usize },
-    /// An instance shuts down; another takes its place.
-    Replace { instance: usize },
-    /// An instance's ways to the platform change.
-    CutOff { instance: usize, way: Way, condition: Condition },
-    /// Calls of an instance go wrong at random.
-    Faults { instance: usize, seed: u64, rate: f64 },
-    /// A platform service changes its condition.
-    Service { way: Way, condition: Condition },
-    /// A worker dies.
-    KillWorker { worker: usize },
-    /// All dead workers come back.
-    ReviveWorkers,
-    /// A worker is cut off.
-    CutOffWorker { worker: usize, condition: Condition },
-    /// Everything works again.
-    Heal,
-    /// Time passes.
-    Pass { span: Duration },
+    CancelJob { via: usize, job: usize },
+    /// An instance crashes and a new one is started.
+    CrashInstance { instance: usize },
+    /// An instance shuts down in an orderly way and a new one is started.
+    ReplaceInstance { instance: usize },
+    /// The link of an instance to a platform service changes its condition.
+    SetLinkCondition { instance: usize, service: PlatformService, condition: Condition },
+    /// Random faults are injected into the platform calls of an instance at `rate`, the sum over six kinds
+    /// of fault.
+    InjectLinkFaults { instance: usize, seed: u64, rate: f64 },
+    /// A platform service changes its condition for all instances.
+    SetServiceCondition { service: PlatformService, condition: Condition },
+    /// A worker crashes.
+    CrashWorker { worker: usize },
+    /// All crashed workers restart.
+    RestartWorkers,
+    /// The connection to a worker changes its condition.
+    SetWorkerCondition { worker: usize, condition: Condition },
+    /// All faults are removed and crashed workers restart.
+    HealAll,
+    /// The paused clock advances.
+    AdvanceTime { span: Duration },
 }
 
-/// A way to the platform.
+/// Part of the platform that an instance calls.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Way {
+pub(crate) enum PlatformService {
     Table,
     Objects,
     Workers,
 }
 
-/// Any step, faults rarer than work and time.
-pub(crate) fn any() -> impl Strategy<Value = Step> {
+/// Generates any step. Faults are less frequent than work and the passing of time.
+pub(crate) fn any_step() -> impl Strategy<Value = Step> {
     let n = 0..64_usize;
     prop_oneof![
-        4 => n.clone().prop_map(|via| Step::Ask { via }),
-        8 => (n.clone(), 0..5_usize).prop_map(|(via, key)| Step::AskKeyed { via, key }),
+        4 => n.clone().prop_map(|via| Step::RequestSlot { via }),
+        8 => (n.clone(), 0..5_usize).prop_map(|(via, key)| Step::RequestSlotWithKey { via, key }),
         8 => (n.clone(), n.clone(), outcome())
-            .prop_map(|(grant, via, outcome)| Step::Return { grant, via, outcome }),
-        5 => (n.clone(), anything::<bool>(), 1..5_u32)
-            .prop_map(|(via, repeatable, tasks)| Step::Submit { via, repeatable, tasks }),
-        1 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::Resubmit { via, job }),
-        2 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::Cancel { via, job }),
-        2 => n.clone().prop_map(|instance| Step::Crash { instance }),
-        1 => n.clone().prop_map(|instance| Step::Replace { instance }),
-        4 => (n.clone(), way(), condition())
-            .prop_map(|(instance, way, condition)| Step::CutOff { instance, way, condition }),
-        3 => (n.clone(), anything::<u64>(), 0.0..0.4_f64)
-            .prop_map(|(instance, seed, rate)| Step::Faults { instance, seed, rate }),
-        2 => (way(), condition()).prop_map(|(way, condition)| Step::Service { way, condition }),
-        1 => n.clone().prop_map(|worker| Step::KillWorker { worker }),
-        1 => Just(Step::ReviveWorkers),
+            .prop_map(|(grant, via, outcome)| Step::ReturnGrant { grant, via, outcome }),
+        5 => (n.clone(), any_value::<bool>(), 1..5_u32)
+            .prop_map(|(via, repeatable, tasks)| Step::SubmitJob { via, repeatable, tasks }),
+        1 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::ResubmitJob { via, job }),
+        2 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::CancelJob { via, job }),
+        2 => n.clone().prop_map(|instance| Step::CrashInstance { instance }),
+        1 => n.clone().prop_map(|instance| Step::ReplaceInstance { instance }),
+        4 => (n.clone(), service(), condition())
+            .prop_map(|(instance, service, condition)| {
+                Step::SetLinkCondition { instance, service, condition }
+            }),
+        3 => (n.clone(), any_value::<u64>(), 0.0..0.4_f64)
+            .prop_map(|(instance, seed, rate)| Step::InjectLinkFaults { instance, seed, rate }),
+        2 => (service(), condition())
+            .prop_map(|(service, condition)| Step::SetServiceCondition { service, condition }),
+        1 => n.clone().prop_map(|worker| Step::CrashWorker { worker }),
+        1 => Just(Step::RestartWorkers),
         1 => (n, condition())
-            .prop_map(|(worker, condition)| Step::CutOffWorker { worker, condition }),
-        2 => Just(Step::Heal),
-        16 => span().prop_map(|span| Step::Pass { span }),
+            .prop_map(|(worker, condition)| Step::SetWorkerCondition { worker, condition }),
+        2 => Just(Step::HealAll),
+        16 => span().prop_map(|span| Step::AdvanceTime { span }),
     ]
 }
 
@@ -88,8 +93,12 @@
     ]
 }
 
-fn way() -> impl Strategy<Value = Way> {
-    prop_oneof![Just(Way::Table), Just(Way::Objects), Just(Way::Workers)]
+fn service() -> impl Strategy<Value = PlatformService> {
+    prop_oneof![
+        Just(PlatformService::Table),
+        Just(PlatformService::Objects),
+        Just(PlatformService::Workers)
+    ]
 }
 
 fn condition() -> impl Strategy<Value = Condition> {
--- a/crates/hall/tests/hall/handover.rs
+++ b/crates/hall/tests/hall/handover.rs
@@ -1,4 +1,4 @@
-//! Requests during a hand-over, by the way that entries take.
+//! Requests during a hand-over, sent through the hall directory as entries send them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 
 use crate::support::{self, HALL, TestInstance, TestSite};
 
-fn directory(site: &TestSite, instance: &TestInstance) -> impl HallLink {
+fn hall_directory(site: &TestSite, instance: &TestInstance) -> impl HallLink {
     directory::HallDirectory::new(directory::DirectoryParts {
         own: instance.address.clone(),
         link: site.net.link(&instance.address),
@@ -22,17 +22,21 @@
     })
 }
 
-/// Asks for slots every few milliseconds until `stop`; tells the longest wait and every answer
-/// that was no grant.
-async fn ask_on(site: &TestSite, link: &impl HallLink, span: Duration) -> (Duration, Vec<String>) {
+/// Requests slots every few milliseconds for `span`. Returns the longest wait and every reply that was not
+/// a grant.
+async fn request_repeatedly(
+    site: &TestSite,
+    link: &impl HallLink,
+    span: Duration,
+) -> (Duration, Vec<String>) {
     let started = Instant::now();
-    let mut longest = Duration::ZERO;
+    let mut longest_wait = Duration::ZERO;
     let mut refusals = Vec::new();
     while started.elapsed() < span {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let reply =
             link.ask(support::request(site, support::REPEATABLE_REQUEST), support::secs(5)).await;
-        longest = longest.max(asked.elapsed());
+        longest_wait = longest_wait.max(requested_at.elapsed());
         match reply {
             Ok(model::GrantReply::Granted { grant }) => {
                 let returned = support::grant_returns(&grant, model::RequestOutcome::Done);
@@ -42,36 +46,36 @@
         }
         support::advance(Duration::from_millis(10)).await;
     }
-    (longest, refusals)
+    (longest_wait, refusals)
 }
 
 cases! {
-    /// Symptom: one instance schedules every hall, for weeks.
-    /// Sequence: it starts before the others and takes what is free; nobody else ever may.
-    /// Cause: halls were spread only when their holder left.
-    a_hall_moves_to_the_instance_whose_share_it_is_in(site) {
-        let chosen = rendezvous::preferred(HALL, ["a", "b"]).expect("two candidates");
-        let first = if chosen == "a" { "b" } else { "a" };
-        let holder = site.start_holder(first).await;
+    /// Symptom: one instance schedules every hall for weeks.
+    /// Sequence: the instance starts before the others and acquires every hall, because all are free.
+    /// Cause: a hall moves to another instance only when its holder leaves.
+    a_hall_moves_to_its_assigned_instance(site) {
+        let assigned_id = rendezvous::preferred(HALL, ["a", "b"]).expect("two candidates");
+        let first_id = if assigned_id == "a" { "b" } else { "a" };
+        let holder = site.start_holder(first_id).await;
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
-        let other = site.start(chosen);
-        let link = directory(&site, &holder);
-        let (longest, refusals) = ask_on(&site, &link, support::secs(180)).await;
+        let other = site.start(assigned_id);
+        let link = hall_directory(&site, &holder);
+        let (longest_wait, refusals) = request_repeatedly(&site, &link, support::secs(180)).await;
         assert!(other.holds() && !holder.holds());
         assert_eq!(refusals, Vec::<String>::new());
-        assert!(longest < support::secs(2), "a request waited {longest:?}");
+        assert!(longest_wait < support::secs(2), "a request waited {longest_wait:?}");
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
     /// Symptom: requests are refused while an instance is replaced.
-    /// Sequence: requests come through two entries all the time; the holder shuts down.
-    /// Cause: between two holders nobody answers, and an entry takes that for an end.
+    /// Sequence: requests arrive continuously through two entries while the holder shuts down.
+    /// Cause: no instance answers between two holders, and an entry treats that as a final failure.
     no_request_is_refused_during_a_hand_over(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c"].map(|it| site.start(it));
         support::advance(support::secs(5)).await;
-        let by_holder = directory(&site, &holder);
-        let by_other = directory(&site, &others[0]);
+        let by_holder = hall_directory(&site, &holder);
+        let by_other = hall_directory(&site, &others[0]);
         site.change_members(|it| it.instances.get_mut("a").expect("a member").leaving = true);
         let service = holder.service.clone();
         let shutdown = tokio::spawn(async move {
@@ -79,38 +83,42 @@
             service.shutdown().await;
         });
         let span = support::secs(4);
-        let (first, second) =
-            tokio::join!(ask_on(&site, &by_holder, span), ask_on(&site, &by_other, span));
+        let (holder_result, other_result) = tokio::join!(
+            request_repeatedly(&site, &by_holder, span),
+            request_repeatedly(&site, &by_other, span),
+        );
         shutdown.await.expect("a shutdown that ends");
-        assert_eq!((first.1, second.1), (Vec::new(), Vec::new()));
-        assert!(first.0 < support::secs(1), "one waited {:?}", first.0);
-        assert!(second.0 < support::secs(1), "one waited {:?}", second.0);
+        assert_eq!((holder_result.1, other_result.1), (Vec::new(), Vec::new()));
+        assert!(holder_result.0 < support::secs(1), "one waited {:?}", holder_result.0);
+        assert!(other_result.0 < support::secs(1), "one waited {:?}", other_result.0);
         assert!(others.iter().any(|it| it.holds()));
     }
 
-    /// Symptom: a gang that was starting is torn down, or a hand-over waits for it for long.
-    /// Sequence: the holder leaves while a gang starts and jobs are being committed.
-    /// Cause: a successor that reads rows and leases in the middle of a start.
-    a_hand_over_in_the_middle_of_a_start(site) {
+    /// Symptom: a gang that is starting is stopped, or a hand-over waits long for the gang.
+    /// Sequence: the holder leaves while a gang starts and job rows are being committed.
+    /// Cause: the successor reads rows and leases in the middle of the start of a gang.
+    a_hand_over_during_a_gang_start_neither_stops_it_nor_waits_long(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         support::advance(support::secs(5)).await;
         let slow = almondpass_standin::fault::Condition::Slow(Duration::from_millis(100));
         holder.worker_faults.set(slow);
         let job = site.key();
-        support::expect_record(holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        support::expect_record(
+            holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await,
+        );
         support::advance(Duration::from_millis(50)).await;
-        let leaving = Instant::now();
+        let left_at = Instant::now();
         holder.service.shutdown().await;
         support::wait_until("the other holds", async || other.holds()).await;
-        assert!(leaving.elapsed() < support::secs(1), "took {:?}", leaving.elapsed());
+        assert!(left_at.elapsed() < support::secs(1), "took {:?}", left_at.elapsed());
         site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
-    /// Symptom: a restart in an outage costs hours of work.
-    /// Sequence: the table goes down; the holder is told to leave; the table returns.
-    /// Cause: a holder that leaves a hall that nobody can take lets its gangs' leases lapse.
+    /// Symptom: a restart during an outage loses hours of work.
+    /// Sequence: the table becomes unavailable; the holder is asked to leave; the table is available again.
+    /// Cause: a holder that leaves a hall no other instance can acquire lets the leases of its gangs expire.
     a_holder_that_leaves_in_an_outage_stays_until_it_can_hand_over(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -1,4 +1,4 @@
-//! Who schedules a hall.
+//! Acquiring, renewing, losing and handing over the tenure of a hall.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::support::{self, HALL};
 
 cases! {
-    one_of_three_schedules_the_hall(site) {
+    one_of_three_instances_schedules_the_hall(site) {
         let instances = ["a", "b", "c"].map(|it| site.start(it));
         support::wait_until("somebody holds", async || instances.iter().any(|it| it.holds())).await;
         support::advance(support::secs(30)).await;
@@ -19,44 +19,45 @@
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(1));
     }
 
-    /// Symptom: a hall without a scheduler for long after its holder died.
-    /// Sequence: the holder dies right after a renewal; the others see no change of its row.
-    /// Cause: watchers count the term from the last change that they saw, each by its own clock.
-    a_dead_holder_is_followed_within_the_term_and_two_seconds(site) {
+    /// Symptom: a hall stays without a scheduler for long after its holder died.
+    /// Sequence: the holder dies right after a renewal; the scheduler row no longer changes.
+    /// Cause: each watcher counts the term from the last change that it read, by its own clock.
+    a_dead_holder_is_replaced_within_the_term_and_two_seconds(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
         support::advance(support::secs(60)).await;
         holder.crash(&site);
-        let died = Instant::now();
+        let died_at = Instant::now();
         support::wait_until("another holds", async || others.iter().any(|it| it.holds())).await;
         let term = model::TimingSettings::default().scheduler_term.0;
-        assert!(died.elapsed() <= term + support::secs(2), "took {:?}", died.elapsed());
+        assert!(died_at.elapsed() <= term + support::secs(2), "took {:?}", died_at.elapsed());
         assert_eq!(site.scheduler().map(|it| it.epoch), Some(2));
     }
 
-    /// Symptom: requests refused while an instance is replaced.
-    /// Sequence: the holder shuts down; requests keep coming through both instances.
-    /// Cause: a hall given up by lapsing has no scheduler for a term.
+    /// Symptom: requests are refused while an instance is replaced.
+    /// Sequence: the holder shuts down while requests arrive through both instances.
+    /// Cause: a holder that lets its tenure expire leaves the hall without a scheduler for a term.
     a_leaving_holder_hands_over_within_a_second(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         support::advance(support::secs(5)).await;
-        let started = Instant::now();
+        let left_at = Instant::now();
         site.change_members(|it| it.instances.get_mut("a").expect("a member").leaving = true);
-        let (service, ask) = (holder.service.clone(), support::request(&site, support::REPEATABLE_REQUEST));
+        let (service, grant_request) =
+            (holder.service.clone(), support::request(&site, support::REPEATABLE_REQUEST));
         let shutdown = tokio::spawn(async move { service.shutdown().await });
         support::wait_until("the other holds", async || other.holds()).await;
-        let took = started.elapsed();
-        assert!(took < support::secs(1), "took {took:?}");
-        assert!(matches!(holder.grant(ask).await, model::GrantReply::NotHolder { .. }));
+        let hand_over_time = left_at.elapsed();
+        assert!(hand_over_time < support::secs(1), "took {hand_over_time:?}");
+        assert!(matches!(holder.grant(grant_request).await, model::GrantReply::NotHolder { .. }));
         other.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         shutdown.await.expect("a shutdown that ends");
     }
 
-    /// Symptom: a hall waits a whole term for a holder that does not know that it holds.
-    /// Sequence: the write that takes the hall takes effect; its answer is lost.
-    /// Cause: an error taken for a failure. The row names its writer.
-    a_lost_answer_of_the_taking_write_is_settled(site) {
+    /// Symptom: a hall waits a whole term for a holder that does not know that it holds the hall.
+    /// Sequence: the write that acquires the hall takes effect; its answer is lost.
+    /// Cause: a lost answer is treated as a failed write, although the row names its writer.
+    a_lost_answer_to_the_acquiring_write_keeps_the_tenure(site) {
         site.table.faults().next(model::TableTransaction::PATH, Fault::AnswerLost);
         let holder = site.start_holder("a").await;
         assert!(holder.holds());
@@ -64,8 +65,9 @@
     }
 
     /// Symptom: a live holder gives its hall up.
-    /// Sequence: a renewal's answer is lost, or the renewal lands late and moves the version.
-    /// Cause: the next renewal's conflict taken for a defeat.
+    /// Sequence: the answer to a renewal is lost, or a renewal takes effect late and changes the row's
+    /// version.
+    /// Cause: the conflict of the next renewal is treated as the loss of the tenure.
     lost_and_late_renewals_keep_the_tenure(site) {
         let holder = site.start_holder("a").await;
         let transact = model::TableTransaction::PATH;
@@ -81,25 +83,26 @@
         holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
-    /// Symptom: two instances decide for one hall.
-    /// Sequence: the holder loses the table, another takes over; the old one still reaches peers.
-    /// Cause: it takes the table for down. A beat with a higher tenure proves the opposite.
-    a_cut_off_holder_stops_when_it_hears_of_a_newer_tenure(site) {
-        let old = site.start_holder("a").await;
-        let new = site.start("b");
+    /// Symptom: two instances schedule one hall.
+    /// Sequence: the holder is cut off from the table but not from its peers; another instance takes over.
+    /// Cause: the old holder assumes that the table is unavailable to all, and does not compare its epoch
+    /// with the higher one in the other instance's beat.
+    a_cut_off_holder_stops_when_a_beat_reports_a_newer_tenure(site) {
+        let old_holder = site.start_holder("a").await;
+        let new_holder = site.start("b");
         support::advance(support::secs(5)).await;
-        old.cut_off_from_table();
-        support::wait_until("the other holds", async || new.holds()).await;
-        assert!(old.holds());
-        old.service.observe_epochs(&new.service.summaries());
-        support::wait_until("the old one stopped", async || !old.holds()).await;
-        let reply = old.grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
+        old_holder.cut_off_from_table();
+        support::wait_until("the other holds", async || new_holder.holds()).await;
+        assert!(old_holder.holds());
+        old_holder.service.observe_epochs(&new_holder.service.summaries());
+        support::wait_until("the old one stopped", async || !old_holder.holds()).await;
+        let reply = old_holder.grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         assert!(matches!(reply, model::GrantReply::NotHolder { .. }));
     }
 
-    /// Symptom: a holder that was paused through its term acts once more.
-    /// Sequence: it wakes after the end of its term, with or without an old sighting of an outage.
-    /// Cause: a flag instead of a look at the clock before every act.
+    /// Symptom: a holder whose process was paused past the end of its term still acts.
+    /// Sequence: the process resumes after the end of the term, with or without an outage recorded long ago.
+    /// Cause: the holder checks a flag instead of the clock before each action.
     a_paused_holder_is_stale_until_it_renewed(_site) {
         let now = Instant::now();
         let valid_until = now + support::secs(4);
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -1,4 +1,4 @@
-//! A new scheduler learns how its hall stands.
+//! Takeover of a hall: what a new scheduler does with the jobs, leases and grants of the previous one.
 
 use almondpass_ports::{keys, worker::WorkerControl};
 use almondpass_schema::{model, time};
@@ -7,8 +7,8 @@
 
 use crate::support::{self, HALL, N_ACCELERATORS, TestSite};
 
-/// A lease of an earlier tenure on a worker, started or not.
-async fn plant(site: &TestSite, worker: usize, lease: &str, job: uuid::Uuid, started: bool) {
+/// Creates a lease of an earlier tenure on a worker, and starts its task if `started`.
+async fn create_lease(site: &TestSite, worker: usize, lease: &str, job: uuid::Uuid, started: bool) {
     let (address, _) = &site.fleet.workers()[worker];
     let reserve = model::LeaseReserve {
         lease: lease.to_owned(),
@@ -34,7 +34,7 @@
 
 cases! {
     /// Symptom: hours of work are lost when a scheduler dies.
-    /// Sequence: the holder dies under a running gang.
+    /// Sequence: the holder dies while a gang runs; the gang has to go on under the next holder.
     a_complete_gang_is_adopted(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -47,27 +47,27 @@
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
-    /// Symptom: a gang that fits the hall waits for ever, though all of it is free.
-    /// Sequence: a task of it fails on one worker, the holder dies; the gang needs that worker.
-    /// Cause: after a takeover a worker on which it had failed was out of the question for good.
+    /// Symptom: a gang that fits the hall waits for ever although every worker is free.
+    /// Sequence: a task of the gang fails on one worker, then the holder dies; the gang needs all workers.
+    /// Cause: after a takeover the gang is never placed again on a worker on which one of its tasks failed.
     a_gang_that_failed_once_runs_again_after_a_takeover(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         let (_, worker) = &site.fleet.workers()[1];
         worker.set_health(worker::WorkerHealth::FailsTasks(support::secs(1)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
-        let failed = async || site.job(job).is_some_and(|it| !it.failed_on.is_empty());
-        support::wait_until("the gang has failed", failed).await;
+        let gang_failed = async || site.job(job).is_some_and(|it| !it.failed_on.is_empty());
+        support::wait_until("the gang has failed", gang_failed).await;
         worker.set_health(worker::WorkerHealth::Sound);
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
     }
 
-    /// Symptom: a job is shown as running for good.
-    /// Sequence: the holder dies; the gang ends before its successor lists the workers.
-    /// Cause: leases released in the takeover itself, past what notices the end of a gang.
-    a_gang_that_ends_while_nobody_watches(site) {
+    /// Symptom: an ended job stays in the running state.
+    /// Sequence: the holder dies; the gang ends before the successor lists the leases of the workers.
+    /// Cause: the takeover releases the leases itself and bypasses the code that handles the end of a gang.
+    a_gang_that_ends_without_a_holder_is_recorded_as_done(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(2)));
@@ -83,56 +83,65 @@
         assert_eq!(site.fleet.runs().len(), 6);
     }
 
-    /// Symptom: part of a gang runs on after its scheduler died in the middle of its start.
-    /// Sequence: two of three members were started; the successor finds them.
+    /// Symptom: part of a gang keeps running after its scheduler died during the start of the gang.
+    /// Sequence: the holder dies after it started two of three members; the successor finds their leases.
     a_partial_gang_is_released_and_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
         let filler = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let job = site.key();
-        support::expect_record(holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
+        support::expect_record(
+            holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await,
+        );
         holder.crash(&site);
         for (_, worker) in site.fleet.workers() {
             worker.crash();
             worker.restart();
         }
-        plant(&site, 0, &format!("job/{job}/1-1/0"), job, true).await;
-        plant(&site, 1, &format!("job/{job}/1-1/1"), job, true).await;
-        plant(&site, 2, &format!("job/{job}/1-1/2"), job, false).await;
+        create_lease(&site, 0, &format!("job/{job}/1-1/0"), job, true).await;
+        create_lease(&site, 1, &format!("job/{job}/1-1/1"), job, true).await;
+        create_lease(&site, 2, &format!("job/{job}/1-1/2"), job, false).await;
         support::wait_until("the other holds", async || other.holds()).await;
         site.wait_for_job_state(filler, model::JobState::Done).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
-        let whole = site.fleet.runs().iter().filter(|it| it.job == job && it.lease.contains("/2-")).count();
-        assert_eq!(whole, 3);
+        let n_restarted = site
+            .fleet
+            .runs()
+            .iter()
+            .filter(|it| it.job == job && it.lease.contains("/2-"))
+            .count();
+        assert_eq!(n_restarted, 3);
     }
 
-    /// Symptom: accelerators are held by nobody's leases.
-    /// Sequence: a job ended, its holder died before it released the leases.
+    /// Symptom: accelerators stay occupied by leases that belong to no job.
+    /// Sequence: a job ends, and the holder dies before it releases the job's leases.
     leases_of_unknown_jobs_are_released(site) {
         let job = site.key();
-        plant(&site, 0, &format!("job/{job}/0-1/0"), job, true).await;
+        create_lease(&site, 0, &format!("job/{job}/0-1/0"), job, true).await;
         let holder = site.start_holder("a").await;
         holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
-    /// Symptom: a hall has a scheduler that holds it and does nothing, for good.
-    /// Sequence: a worker shows a lease that looks like a newer tenure's; the rows know of none.
-    /// Cause: a scheduler that stops by itself while its seat goes on renewing.
-    a_false_sign_of_a_newer_tenure_is_survived(site) {
+    /// Symptom: a hall keeps a scheduler that does nothing.
+    /// Sequence: a worker lists a lease that seems to be from a newer tenure, but no newer tenure is in the
+    /// rows.
+    /// Cause: the scheduler stops while its contender keeps renewing the tenure.
+    a_lease_with_a_higher_epoch_does_not_stop_the_hall(site) {
         let holder = site.start_holder("a").await;
         let job = site.key();
-        plant(&site, 0, &format!("job/{job}/99-1/0"), job, true).await;
+        create_lease(&site, 0, &format!("job/{job}/99-1/0"), job, true).await;
         holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         assert!(site.scheduler().is_some_and(|it| 1 < it.epoch));
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
-    /// Symptom: a request's accelerators are given to a job while it runs.
-    /// Sequence: the holder dies; entries still use its grants; they report and return them.
-    /// Cause: serving leases of an earlier tenure taken for idle.
-    serving_leases_stay_busy_until_entries_settle_them(site) {
+    /// Symptom: the accelerators of a running request are given to a job.
+    /// Sequence: the holder dies while entries use its grants; the entries report and return the grants
+    /// later.
+    /// Cause: the successor treats serving leases of an earlier tenure as idle.
+    serving_leases_stay_busy_until_entries_return_their_grants(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         let grant = holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
@@ -154,7 +163,7 @@
         site.wait_for_job_state(job, model::JobState::Running).await;
     }
 
-    serving_leases_nobody_reports_are_released(site) {
+    serving_leases_that_no_entry_reports_are_released(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
@@ -170,18 +179,18 @@
         site.wait_for_job_state(job, model::JobState::Running).await;
     }
 
-    /// Symptom: a gang is started a second time while it runs on a worker that does not answer.
-    /// Sequence: the holder dies; one of the gang's workers is cut off for a while.
-    /// Cause: "no answer" taken for "no lease".
+    /// Symptom: a gang is started a second time while it still runs on a worker that does not answer.
+    /// Sequence: the holder dies while one of the gang's workers is cut off for a few seconds.
+    /// Cause: the successor treats a worker that does not answer as one without leases.
     a_gang_on_a_silent_worker_is_kept_for_a_term(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         support::advance(support::secs(1)).await;
-        let silent = site.fleet.runs()[0].worker.clone();
+        let silent_worker = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
-        let (_, worker) = workers.iter().find(|(_, it)| it.shape().id == silent).expect("one");
+        let (_, worker) = workers.iter().find(|(_, it)| it.shape().id == silent_worker).expect("one");
         worker.faults().set(Condition::Silent);
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
@@ -193,8 +202,8 @@
     }
 
     /// Symptom: a cancelled job runs again.
-    /// Sequence: it is cancelled; the holder dies before it stopped it.
-    a_cancellation_survives_its_scheduler(site) {
+    /// Sequence: a job is cancelled, and the holder dies before it has stopped the job's tasks.
+    a_cancellation_survives_the_loss_of_its_scheduler(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(600)));
@@ -207,13 +216,16 @@
         assert_eq!(site.n_running_tasks(job), 0);
         assert_eq!(site.table.peek(&keys::hall_jobs(HALL)).len(), 0);
     }
-    /// Symptom: a job is left waiting for good.
-    /// Sequence: it is submitted while no worker can be reached; they can again.
-    a_holder_without_workers(site) {
+
+    /// Symptom: a job is never started.
+    /// Sequence: a job is submitted while no worker can be reached; later the workers can be reached again.
+    a_job_submitted_without_reachable_workers_runs_later(site) {
         let holder = site.start_holder("a").await;
         holder.worker_faults.set(Condition::Refusing);
         let job = site.key();
-        support::expect_record(holder.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await);
+        support::expect_record(
+            holder.submit(job, support::gang_submission(support::SINGLE_RUN_JOB, 1)).await,
+        );
         support::advance(support::secs(3)).await;
         holder.worker_faults.set(Condition::Up);
         site.wait_for_job_state(job, model::JobState::Done).await;
--- a/crates/hall/tests/hall/watching.rs
+++ b/crates/hall/tests/hall/watching.rs
@@ -1,4 +1,4 @@
-//! What it costs to watch many halls.
+//! Number of table reads for watching many halls, and the time until their tenures are acquired.
 
 use almondpass_peer::call::PeerCall;
 use almondpass_ports::keys;
@@ -10,7 +10,7 @@
 
 const N_HALLS: usize = 8;
 
-/// Adds halls without workers, and starts an instance that takes all.
+/// Adds halls without workers and starts an instance that acquires all halls.
 async fn start_holder_of_all(site: &TestSite) -> TestInstance {
     site.change_config(|document| {
         let first = document.halls[0].clone();
@@ -27,7 +27,7 @@
     holder
 }
 
-/// Reads of the table by each instance in the same minute, before any hall is handed on.
+/// Number of table reads by each instance in the same minute, before any hall is handed over.
 async fn reads_in_a_minute(instances: &[TestInstance]) -> Vec<u64> {
     let reads = |it: &TestInstance| it.table_faults.calls(model::TableGet::PATH);
     let before = instances.iter().map(reads).collect::<Vec<_>>();
@@ -36,48 +36,48 @@
 }
 
 cases! {
-    /// Symptom: nearly all bytes of an idle instance are reads of who schedules which hall.
-    /// Sequence: it watches eight halls, and nothing happens.
-    /// Cause: each seat reads the rows of its hall by itself.
-    many_halls_cost_one_read_an_interval(site) {
+    /// Symptom: reads of scheduler rows are nearly all of the traffic of an idle instance.
+    /// Sequence: an instance watches eight halls while nothing happens.
+    /// Cause: each contender reads the rows of its hall in a call of its own.
+    many_halls_share_one_read_per_interval(site) {
         let _holder = start_holder_of_all(&site).await;
         let idle = [site.start("b")];
         support::advance(support::secs(5)).await;
         let n_reads = reads_in_a_minute(&idle).await;
-        // The most preferred look eight times a term of six seconds.
+        // Contenders with the best preference ranks read eight times in a term of six seconds.
         assert!((79..=81).contains(&n_reads[0]), "{n_reads:?} reads in a minute");
     }
 
-    /// Symptom: a read for each of the intervals at which halls are looked at.
-    /// Sequence: an instance is among the preferred of some halls and not of others.
-    /// Cause: looks that are due soon after a read wait for a read of their own.
+    /// Symptom: an instance sends separate reads for halls with different read intervals.
+    /// Sequence: an instance has a good preference rank for some halls and a low one for others.
+    /// Cause: requests that fall due soon after a read are not included in that read.
     halls_of_different_intervals_share_reads(site) {
         let _holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d", "e", "f"].map(|it| site.start(it));
         support::advance(support::secs(5)).await;
         let n_reads = reads_in_a_minute(&others).await;
-        // Eight looks a term at some and three at others are three reads in two seconds.
+        // Eight reads per term of some halls and three of others combine to three reads in two seconds.
         assert!(n_reads.iter().all(|it| *it <= 91), "{n_reads:?} reads in a minute");
     }
 
-    /// Symptom: some halls of a dead instance wait longer than others for the next scheduler.
-    /// Sequence: the holder of eight halls dies; the others read all halls together.
-    /// Cause: halls that are not due are left out of a read, or wait for one that failed.
-    all_halls_of_a_dead_holder_are_followed_in_time(site) {
+    /// Symptom: some halls of a dead instance wait longer than others for their next scheduler.
+    /// Sequence: the holder of eight halls dies; the other instances read the rows of all halls together.
+    /// Cause: a hall that is not due is left out of a read, or waits for a read that failed.
+    halls_of_a_dead_holder_are_acquired_in_time(site) {
         let holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
         support::advance(support::secs(60)).await;
         holder.crash(&site);
-        let died = Instant::now();
+        let died_at = Instant::now();
         let n_held = || others.iter().map(|it| it.service.summaries().len()).sum::<usize>();
         support::wait_until("the others hold all", async || n_held() == N_HALLS).await;
         let term = model::TimingSettings::default().scheduler_term.0;
-        assert!(died.elapsed() <= term + support::secs(2), "took {:?}", died.elapsed());
+        assert!(died_at.elapsed() <= term + support::secs(2), "took {:?}", died_at.elapsed());
     }
 
-    /// Symptom: live holders are deposed in the moment the table comes back.
-    /// Sequence: nobody can read or write for five terms.
-    /// Cause: a read that fails for all halls resets what was seen of only some.
+    /// Symptom: live holders are deposed as soon as the table is available again.
+    /// Sequence: the table refuses all calls for five terms.
+    /// Cause: a read that fails for all halls resets the observed rows of only some halls.
     an_outage_deposes_no_holder_of_many_halls(site) {
         let holder = start_holder_of_all(&site).await;
         let _others = ["b", "c", "d"].map(|it| site.start(it));
