--- a/crates/hall/src/contender.rs
+++ b/crates/hall/src/contender.rs
@@ -79,7 +79,7 @@
     let hall = parts.hall.clone();
     let epoch = owned.row.epoch;
     tracing::info!(hall, epoch, "acquired the tenure of the hall");
-    metric::ownership(&hall, true);
+    metric::hall_held(&hall, true);
     let (tenure_sender, watch) = tenure::TenureWatch::new(tenure_state(parts, &owned));
     parts.state.send_replace(ContenderState::TakingOver);
 
@@ -109,7 +109,7 @@
                     break None;
                 };
                 let takeover_time = acquired_at.elapsed();
-                metric::takeover(&hall, takeover_time);
+                metric::takeover_time(&hall, takeover_time);
                 tracing::info!(hall, epoch, seconds = takeover_time.as_secs_f64(), "took over the hall");
                 parts.state.send_replace(ContenderState::Holding { address: address.clone(), summary });
                 scheduler = Some(address);
@@ -158,7 +158,7 @@
     tenure_sender.send_modify(|it| it.ended = true);
     takeover_task.abort();
     parts.state.send_replace(ContenderState::Watching { holder: successor });
-    metric::ownership(&hall, false);
+    metric::hall_held(&hall, false);
     if let Some(address) = scheduler {
         let _ = address.send(actor::Resign).await;
     }
@@ -255,7 +255,7 @@
         // The successor finds the released row when it next reads the table.
         tracing::warn!(hall = parts.hall, %fault, "cannot notify the successor of the hall");
     }
-    metric::hand_over(&parts.hall, hand_over_started.elapsed());
+    metric::hand_over_time(&parts.hall, hand_over_started.elapsed());
     Some(successor)
 }
 
--- a/crates/hall/tests/fuzz/step.rs
+++ b/crates/hall/tests/fuzz/step.rs
@@ -31,7 +31,7 @@
     /// Random faults are injected into the platform calls of an instance at `rate`, the sum over six kinds
     /// of fault.
     InjectLinkFaults { instance: usize, seed: u64, rate: f64 },
-    /// A platform service changes its condition for all instances.
+    /// A platform service changes its condition for all instances; `Workers` stands for the table here.
     SetServiceCondition { service: PlatformService, condition: Condition },
     /// A worker crashes.
     CrashWorker { worker: usize },
