--- a/crates/hall/src/tenure.rs
+++ b/crates/hall/src/tenure.rs
@@ -56,7 +56,7 @@
         // with none. It must not act on that record: the table may be available again and another instance
         // may have acquired the hall in the meantime.
         match self.outage_seen_at {
-            Some(seen) if now < seen + self.outage_assumed_for => TenureStatus::Detached,
+            Some(seen_at) if now < seen_at + self.outage_assumed_for => TenureStatus::Detached,
             _ => TenureStatus::Stale,
         }
     }
@@ -99,7 +99,7 @@
     }
 
     /// Time left until `valid_until`; zero after it.
-    pub fn margin(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.receiver.borrow().valid_until.saturating_duration_since(Instant::now())
     }
 
--- a/crates/hall/tests/fuzz/oracle.rs
+++ b/crates/hall/tests/fuzz/oracle.rs
@@ -34,7 +34,7 @@
     /// refused, because a submission without an answer may still take effect later.
     pub(crate) submissions: BTreeMap<ids::JobId, SubmissionCount>,
     /// Violations of the invariants.
-    pub(crate) faults: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl Oracle {
@@ -55,14 +55,14 @@
         let mut earlier = self.grants.iter().filter(|it| key.is_some() && it.key == key);
         if let Some(earlier_grant) = earlier.find(may_have_run) {
             let (earlier_grant, later_grant) = (earlier_grant.slot.grant, slot.grant);
-            self.faults.push(format!("key granted twice: {earlier_grant} and {later_grant}"));
+            self.violations.push(format!("key granted twice: {earlier_grant} and {later_grant}"));
         }
         // A serving lease has at most one grant that is neither returned nor expired.
         let unreturned = self.grants.iter().filter(|it| it.slot.lease == slot.lease);
         let mut unreturned =
             unreturned.filter(|it| it.returned.is_none() && now < it.received_at + it.slot.term.0);
         if unreturned.next().is_some() {
-            self.faults.push(format!("lease {} granted twice at the same time", slot.lease));
+            self.violations.push(format!("lease {} granted twice at the same time", slot.lease));
         }
         self.grants.push(ReceivedGrant { slot, key, received_at: now, returned: None });
     }
@@ -79,7 +79,8 @@
         let is_known =
             outcome == model::RequestOutcome::Unknown || reported_outcomes.any(|it| it == outcome);
         if !is_known || outcome == model::RequestOutcome::NotRun {
-            self.faults.push(format!("key {key} recorded as {outcome}, which no entry reported"));
+            self.violations
+                .push(format!("key {key} recorded as {outcome}, which no entry reported"));
         }
     }
 
@@ -115,15 +116,15 @@
         for (job, runs) in &by_job {
             let submissions = self.submissions.get(job);
             if submissions.is_some_and(|it| it.sent == it.refused) {
-                self.faults.push(format!("job {job} was refused but ran"));
+                self.violations.push(format!("job {job} was refused but ran"));
             }
             let ranks = runs.iter().map(|it| it.rank).collect::<BTreeSet<_>>();
             if single_run_jobs.contains(job) && ranks.len() < runs.len() {
-                self.faults.push(format!("job {job} may run only once but a task ran again"));
+                self.violations.push(format!("job {job} may run only once but a task ran again"));
             }
             let Some(record) = records.get(job) else { continue };
             if record.state == model::JobState::NotRun {
-                self.faults.push(format!("job {job} is reported as not run but ran"));
+                self.violations.push(format!("job {job} is reported as not run but ran"));
             }
             self.check_partial_runs(record, runs);
         }
@@ -132,7 +133,7 @@
                 |runs: &Vec<&run::TaskRun>| has_complete_start(runs, record.submission.tasks);
             let done = record.state == model::JobState::Done;
             if done && !by_job.get(job).is_some_and(is_complete) {
-                self.faults.push(format!(
+                self.violations.push(format!(
                     "job {job} is reported as done but no start of it succeeded with all tasks"
                 ));
             }
@@ -159,7 +160,8 @@
                     if is_complete { Duration::ZERO } else { partial_span + (span[1] - span[0]) };
                 if MAX_PARTIAL_RUN < partial_span {
                     let job = record.job;
-                    self.faults.push(format!("part of {job} ran for {partial_span:?} in {start}"));
+                    self.violations
+                        .push(format!("part of {job} ran for {partial_span:?} in {start}"));
                     break;
                 }
             }
--- a/crates/hall/tests/fuzz/simulated_site.rs
+++ b/crates/hall/tests/fuzz/simulated_site.rs
@@ -65,10 +65,10 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    let faults = runtime.block_on(run(steps));
-    match faults.first() {
+    let violations = runtime.block_on(run(steps));
+    match violations.first() {
         None => Ok(()),
-        Some(_) => Err(TestCaseError::fail(faults.join("\n"))),
+        Some(_) => Err(TestCaseError::fail(violations.join("\n"))),
     }
 }
 
@@ -104,12 +104,12 @@
         self.instances.push(instance);
     }
 
-    fn instance(&self, number: usize) -> &TestInstance {
-        &self.instances[number % self.instances.len()]
+    fn instance(&self, instance_index: usize) -> &TestInstance {
+        &self.instances[instance_index % self.instances.len()]
     }
 
-    fn entry_link(&self, number: usize) -> EntryLink {
-        let instance = self.instance(number);
+    fn entry_link(&self, instance_index: usize) -> EntryLink {
+        let instance = self.instance(instance_index);
         let (service, link) = (instance.service.clone(), self.site.net.link(&instance.address));
         EntryLink { service, link }
     }
@@ -236,14 +236,14 @@
         });
     }
 
-    fn crash_instance(&mut self, number: usize) {
-        let instance = self.instances.remove(number % self.instances.len());
+    fn crash_instance(&mut self, instance_index: usize) {
+        let instance = self.instances.remove(instance_index % self.instances.len());
         instance.crash(&self.site);
         self.start_instance();
     }
 
-    fn replace_instance(&mut self, number: usize) {
-        let instance = self.instances.remove(number % self.instances.len());
+    fn replace_instance(&mut self, instance_index: usize) {
+        let instance = self.instances.remove(instance_index % self.instances.len());
         self.site.change_members(|it| {
             if let Some(entry) = it.instances.get_mut(&instance.id) {
                 entry.leaving = true;
@@ -295,12 +295,12 @@
 
     fn heal_all(&mut self) {
         self.restart_workers();
-        for number in 0..self.instances.len() {
-            self.inject_link_faults(number, 0, 0.0);
+        for instance_index in 0..self.instances.len() {
+            self.inject_link_faults(instance_index, 0, 0.0);
             for service in
                 [PlatformService::Table, PlatformService::Objects, PlatformService::Workers]
             {
-                self.link_faults(number, service).set(Condition::Up);
+                self.link_faults(instance_index, service).set(Condition::Up);
             }
         }
         for plan in [self.site.table.faults(), self.site.objects.faults()] {
@@ -338,26 +338,26 @@
             });
             if !is_ended {
                 oracle
-                    .faults
+                    .violations
                     .push(format!("accepted job {job} is {state:?} after all faults were removed"));
             }
         }
         let n_holders = self.instances.iter().filter(|it| it.holds()).count();
         if n_holders != 1 {
             oracle
-                .faults
+                .violations
                 .push(format!("{n_holders} instances hold the hall after all faults were removed"));
         }
         let workers = self.site.fleet.workers();
         let leases = workers.iter().flat_map(|(_, it)| it.peek());
         let leases = leases.map(|it| it.lease).collect::<Vec<_>>();
         if !leases.is_empty() {
-            oracle.faults.push(format!("leases left over: {leases:?}"));
+            oracle.violations.push(format!("leases left over: {leases:?}"));
         }
         if !self.site.table.peek(&keys::hall_jobs(support::HALL)).is_empty() {
-            oracle.faults.push("ended jobs are still in the index".to_owned());
+            oracle.violations.push("ended jobs are still in the index".to_owned());
         }
-        std::mem::take(&mut oracle.faults)
+        std::mem::take(&mut oracle.violations)
     }
 
     fn records(&self) -> BTreeMap<ids::JobId, model::JobRecord> {
--- a/crates/hall/tests/fuzz/step.rs
+++ b/crates/hall/tests/fuzz/step.rs
@@ -55,29 +55,29 @@
 
 /// Generates any step. Faults are less frequent than work and the passing of time.
 pub(crate) fn any_step() -> impl Strategy<Value = Step> {
-    let n = 0..64_usize;
+    let index = 0..64_usize;
     prop_oneof![
-        4 => n.clone().prop_map(|via| Step::RequestSlot { via }),
-        8 => (n.clone(), 0..5_usize).prop_map(|(via, key)| Step::RequestSlotWithKey { via, key }),
-        8 => (n.clone(), n.clone(), outcome())
+        4 => index.clone().prop_map(|via| Step::RequestSlot { via }),
+        8 => (index.clone(), 0..5_usize).prop_map(|(via, key)| Step::RequestSlotWithKey { via, key }),
+        8 => (index.clone(), index.clone(), outcome())
             .prop_map(|(grant, via, outcome)| Step::ReturnGrant { grant, via, outcome }),
-        5 => (n.clone(), any_value::<bool>(), 1..5_u32)
+        5 => (index.clone(), any_value::<bool>(), 1..5_u32)
             .prop_map(|(via, repeatable, tasks)| Step::SubmitJob { via, repeatable, tasks }),
-        1 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::ResubmitJob { via, job }),
-        2 => (n.clone(), n.clone()).prop_map(|(via, job)| Step::CancelJob { via, job }),
-        2 => n.clone().prop_map(|instance| Step::CrashInstance { instance }),
-        1 => n.clone().prop_map(|instance| Step::ReplaceInstance { instance }),
-        4 => (n.clone(), service(), condition())
+        1 => (index.clone(), index.clone()).prop_map(|(via, job)| Step::ResubmitJob { via, job }),
+        2 => (index.clone(), index.clone()).prop_map(|(via, job)| Step::CancelJob { via, job }),
+        2 => index.clone().prop_map(|instance| Step::CrashInstance { instance }),
+        1 => index.clone().prop_map(|instance| Step::ReplaceInstance { instance }),
+        4 => (index.clone(), service(), condition())
             .prop_map(|(instance, service, condition)| {
                 Step::SetLinkCondition { instance, service, condition }
             }),
-        3 => (n.clone(), any_value::<u64>(), 0.0..0.4_f64)
+        3 => (index.clone(), any_value::<u64>(), 0.0..0.4_f64)
             .prop_map(|(instance, seed, rate)| Step::InjectLinkFaults { instance, seed, rate }),
         2 => (service(), condition())
             .prop_map(|(service, condition)| Step::SetServiceCondition { service, condition }),
-        1 => n.clone().prop_map(|worker| Step::CrashWorker { worker }),
+        1 => index.clone().prop_map(|worker| Step::CrashWorker { worker }),
         1 => Just(Step::RestartWorkers),
-        1 => (n, condition())
+        1 => (index, condition())
             .prop_map(|(worker, condition)| Step::SetWorkerCondition { worker, condition }),
         2 => Just(Step::HealAll),
         16 => span().prop_map(|span| Step::AdvanceTime { span }),
