--- a/crates/hall/src/grant_ends.rs
+++ b/crates/hall/src/grant_ends.rs
@@ -45,13 +45,13 @@
             }
         }
         self.grants.unreported_entries.remove(&report.entry);
-        self.release_unused_adopted();
+        self.release_unused_adopted_slots();
         let _ = pending.reply.send(model::ReturnReply::Noted);
     }
 
     /// Once every entry has said which grants of earlier tenures it uses, the other serving
     /// leases of those are free.
-    pub(crate) fn release_unused_adopted(&mut self) {
+    pub(crate) fn release_unused_adopted_slots(&mut self) {
         if !self.grants.unreported_entries.is_empty() {
             return;
         }
@@ -81,9 +81,9 @@
         let Some(work) = self.grants.remove(&grant) else { return };
         self.log_outcome(grant, outcome);
         metric::outcome(&work.call.account, &work.call.class, outcome);
-        metric::completion(&work.call.account, &work.call.class, work.arrived_at.elapsed());
+        metric::completion_time(&work.call.account, &work.call.class, work.arrived_at.elapsed());
         let GrantStage::Granted { grant: slot, since } = &work.stage else { return };
-        metric::run(&work.call.account, &work.call.class, since.elapsed());
+        metric::run_time(&work.call.account, &work.call.class, since.elapsed());
         self.keep_idle_lease(&slot.lease);
         let exit = match outcome {
             _ if worker_fault => event::WorkExit::Failed { worker: slot.worker.clone() },
--- a/crates/hall/src/jobs.rs
+++ b/crates/hall/src/jobs.rs
@@ -191,7 +191,7 @@
             self.read_job(call.account, call.job, reply);
             return;
         };
-        if entry.record.cancel_requested || entry.is_over() {
+        if entry.record.cancel_requested || entry.has_ended() {
             match &entry.committed {
                 Some(record) if record.cancel_requested || job_table::is_terminal(record.state) => {
                     let record = record.clone();
@@ -225,13 +225,13 @@
     /// The policy queued a job again.
     pub(crate) fn requeue_job(&mut self, job: ids::JobId, reason: model::WaitReason) {
         self.set_wait_reason(job, reason);
-        self.requeue_row(job);
+        self.set_queued(job);
     }
 
-    pub(crate) fn requeue_row(&mut self, job: ids::JobId) {
+    pub(crate) fn set_queued(&mut self, job: ids::JobId) {
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        if entry.is_over() || entry.gang.is_some() {
+        if entry.has_ended() || entry.gang.is_some() {
             return;
         }
         entry.record.placement = Vec::new();
@@ -280,7 +280,7 @@
     fn end_job(&mut self, job: ids::JobId, state: model::JobState, reason: model::WaitReason) {
         let wall = self.wall_time();
         let Some(entry) = self.jobs.entries.get_mut(&job) else { return };
-        if entry.is_over() {
+        if entry.has_ended() {
             return;
         }
         entry.record.state = state;
@@ -289,7 +289,7 @@
         entry.record.placement = Vec::new();
         let (account, class) =
             (entry.record.account.clone(), entry.record.submission.class.clone());
-        metric::completion(&account, &class, wall.since(entry.record.submitted_at));
+        metric::completion_time(&account, &class, wall.since(entry.record.submitted_at));
         metric::outcome(&account, &class, outcome_of(state));
         tracing::info!(hall = self.hall, job = %job, state = %state, "a job is over");
         self.mark_dirty(job);
