--- a/crates/hall/src/lib.rs
+++ b/crates/hall/src/lib.rs
@@ -1,14 +1,17 @@
-//! The hall scheduler: ownership by epoch, worker leases, gangs, intents, takeover.
+//! The hall scheduler: exclusive ownership of halls by epoch, worker leases, gangs, intents and takeover.
 //!
-//! [`service::HallService`] runs one [`seat`] for every hall on every instance. The seat that holds
-//! a hall runs an [`actor::HallActor`] around the policy; the others tell who does.
+//! On every instance, [`service::HallService`] runs one [`contender`] per hall. The contender that holds the
+//! hall's tenure runs an [`actor::HallActor`], which schedules the hall by the policy. The other contenders
+//! redirect calls to the holder.
 
+mod acquisition;
 pub mod actor;
 mod admission;
 mod adoption;
 pub mod backend;
 mod codec;
 mod commit;
+pub mod contender;
 mod deadline;
 pub mod error;
 mod gang_ends;
@@ -30,16 +33,14 @@
 mod leases;
 mod metric;
 pub mod options;
+pub mod owner_reader;
 pub mod ownership;
 pub mod request;
+mod reserve_task;
 mod round;
-pub mod seat;
-mod serve_task;
 pub mod service;
 mod takeover;
 pub mod tenure;
-pub mod watch_reader;
-mod watching;
 mod worker_node;
 mod worker_poll;
 mod worker_poll_task;
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -1,4 +1,4 @@
-//! A small site with a few instances, and what tests ask of it.
+//! A small test site with a few instances, and helpers that call and observe it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Types of the tests.
+/// The real policy with in-memory fakes of all services.
 pub(crate) type TestBackend = backend::BackendOf<
     core::HallCore,
     table::TableFake,
@@ -29,20 +29,20 @@
 pub(crate) const HALL: &str = "vadodara";
 /// The account of most tests.
 pub(crate) const ACCOUNT: &str = "utility";
-/// Requests that may run more than once.
-pub(crate) const CHECK: &str = "check";
-/// Requests that may run only once.
-pub(crate) const TICKET: &str = "ticket";
-/// Jobs that may run more than once.
-pub(crate) const BATCH: &str = "batch";
-/// Jobs that may run only once.
-pub(crate) const PRINT: &str = "print";
-/// Workers of a rack; most tests have one.
+/// Class of requests that may run more than once.
+pub(crate) const REPEATABLE_REQUEST: &str = "check";
+/// Class of requests that may run only once.
+pub(crate) const SINGLE_RUN_REQUEST: &str = "ticket";
+/// Class of jobs that may run more than once.
+pub(crate) const REPEATABLE_JOB: &str = "batch";
+/// Class of jobs that may run only once.
+pub(crate) const SINGLE_RUN_JOB: &str = "print";
+/// Workers of a rack; the hall of most tests has one rack.
 pub(crate) const N_WORKERS: u32 = 8;
-/// Accelerators of each.
+/// Accelerators of each worker.
 pub(crate) const N_ACCELERATORS: u32 = 4;
 
-/// The platform and the network.
+/// The fake platform and network, and the configuration and instance list that all instances watch.
 pub(crate) struct TestSite {
     pub(crate) net: net::FakeNet,
     pub(crate) table: table::TableFake,
@@ -54,24 +54,24 @@
     n_keys: AtomicU64,
 }
 
-/// One instance, with the faults of its own ways to the platform.
+/// One instance, with fault plans for its own connections to the table, the objects and the workers.
 pub(crate) struct TestInstance {
     pub(crate) id: ids::InstanceId,
     pub(crate) address: ids::PeerAddress,
     pub(crate) service: service::HallService<TestBackend>,
-    pub(crate) to_table: fault::FaultPlan,
-    pub(crate) to_objects: fault::FaultPlan,
-    pub(crate) to_workers: fault::FaultPlan,
+    pub(crate) table_faults: fault::FaultPlan,
+    pub(crate) object_faults: fault::FaultPlan,
+    pub(crate) worker_faults: fault::FaultPlan,
 }
 
 impl TestSite {
-    /// A site without instances.
+    /// A site with one rack and no instances.
     pub(crate) fn new() -> TestSite {
-        TestSite::sized(1)
+        TestSite::with_racks(1)
     }
 
-    /// A site with a hall of this many racks.
-    pub(crate) fn sized(n_racks: u32) -> TestSite {
+    /// A site with a hall of `n_racks` racks and no instances.
+    pub(crate) fn with_racks(n_racks: u32) -> TestSite {
         let document = Arc::new(document(n_racks));
         let site = TestSite {
             net: net::FakeNet::new(),
@@ -80,7 +80,7 @@
             fleet: fleet::WorkerFleet::new(),
             config: watch::channel(active_config(1, Arc::clone(&document))).0,
             members: watch::channel(Arc::default()).0,
-            clock: clock::WallClock::starting_at(time::WallTime(EPOCH)),
+            clock: clock::WallClock::starting_at(time::WallTime(START_TIME)),
             n_keys: AtomicU64::new(0),
         };
         let workers = plan::workers_of(&document).into_iter().map(|it| {
@@ -100,7 +100,7 @@
         site
     }
 
-    /// Starts an instance.
+    /// Starts an instance and adds it to the instance list.
     pub(crate) fn start(&self, id: &str) -> TestInstance {
         let address = format!("{id}:peer");
         self.change_members(|members| {
@@ -112,13 +112,13 @@
             };
             members.instances.insert(id.to_owned(), entry);
         });
-        let to_table = fault::FaultPlan::new();
-        let to_objects = fault::FaultPlan::new();
-        let to_workers = fault::FaultPlan::new();
+        let table_faults = fault::FaultPlan::new();
+        let object_faults = fault::FaultPlan::new();
+        let worker_faults = fault::FaultPlan::new();
         let ports = backend::HallPorts {
-            table: self.table.seen_through(to_table.clone()),
-            objects: self.objects.seen_through(to_objects.clone()),
-            workers: self.fleet.seen_through(to_workers.clone()),
+            table: self.table.seen_through(table_faults.clone()),
+            objects: self.objects.seen_through(object_faults.clone()),
+            workers: self.fleet.seen_through(worker_faults.clone()),
             link: self.net.link(&address),
         };
         let service = service::HallService::start(service::ServiceDependencies {
@@ -133,24 +133,31 @@
             members: self.members.subscribe(),
         });
         self.net.register(&address, service.clone());
-        TestInstance { id: id.to_owned(), address, service, to_table, to_objects, to_workers }
+        TestInstance {
+            id: id.to_owned(),
+            address,
+            service,
+            table_faults,
+            object_faults,
+            worker_faults,
+        }
     }
 
     /// Starts an instance and waits until it schedules the hall.
     pub(crate) async fn start_holder(&self, id: &str) -> TestInstance {
         let instance = self.start(id);
-        until("the first instance schedules the hall", async || instance.holds()).await;
+        wait_until("the first instance schedules the hall", async || instance.holds()).await;
         instance
     }
 
-    /// Takes an instance off the list, as after its death.
+    /// Removes an instance from the instance list, as happens after a crash.
     pub(crate) fn remove_member(&self, id: &str) {
         self.change_members(|members| {
             members.instances.remove(id);
         });
     }
 
-    /// Changes what is known of instances and workers.
+    /// Changes the list of instances and workers that all instances watch.
     pub(crate) fn change_members(&self, change: impl FnOnce(&mut snapshot::MemberSnapshot)) {
         self.members.send_modify(|it| change(Arc::make_mut(it)));
     }
@@ -163,90 +170,94 @@
         self.config.send_replace(active_config(active.version + 1, Arc::new(document)));
     }
 
-    /// Time of day.
+    /// Time of day at the site.
     pub(crate) fn now(&self) -> time::WallTime {
         self.clock.now()
     }
 
-    /// A new key for a request that may run only once.
+    /// A new, unique idempotency key.
     pub(crate) fn key(&self) -> ids::IdempotencyKey {
         let number = self.n_keys.fetch_add(1, Ordering::Relaxed);
         numbered_key(self.now(), number)
     }
 
-    /// Reads a row past all faults.
+    /// Reads a row directly, unaffected by injected faults.
     pub(crate) fn row<R: DeserializeOwned>(&self, key: &str) -> Option<R> {
         let rows = self.table.peek(key);
         let row = rows.into_iter().find(|it| it.key == key)?;
         rmp_serde::from_slice(&row.value?).ok()
     }
 
-    /// Who schedules the hall, by its row.
-    pub(crate) fn scheduler(&self) -> Option<model::SchedulerRow> {
+    /// The row that names the hall's holder.
+    pub(crate) fn scheduler_row(&self) -> Option<model::SchedulerRow> {
         self.row(&keys::scheduler(HALL))
     }
 
-    /// The row of a job.
-    pub(crate) fn job(&self, job: ids::JobId) -> Option<model::JobRecord> {
+    /// The row of a job; `None` if there is none.
+    pub(crate) fn job_row(&self, job: ids::JobId) -> Option<model::JobRecord> {
         self.row(&keys::job(ACCOUNT, &job))
     }
 
     /// Waits until the row of a job shows a state.
-    pub(crate) async fn until_job(&self, job: ids::JobId, state: model::JobState) {
+    pub(crate) async fn wait_for_job_state(&self, job: ids::JobId, state: model::JobState) {
         let step = format!("job {job} is {state}");
-        until(&step, async || self.job(job).is_some_and(|it| it.state == state)).await;
+        wait_until(&step, async || self.job_row(job).is_some_and(|it| it.state == state)).await;
     }
 
-    /// Tasks of a job that run now.
-    pub(crate) fn n_running(&self, job: ids::JobId) -> usize {
+    /// Number of a job's tasks that run now.
+    pub(crate) fn n_running_tasks(&self, job: ids::JobId) -> usize {
         let runs = self.fleet.runs();
         runs.iter().filter(|it| it.job == job && it.ended.is_none()).count()
     }
 
-    /// Times at which part of a gang ran without the rest for longer than `slack`.
+    /// Number of intervals longer than `slack` in which only part of a gang ran.
     pub(crate) fn partial_runs(&self, job: ids::JobId, n_tasks: usize, slack: Duration) -> usize {
         let runs = self.fleet.runs();
         let runs = runs.iter().filter(|it| it.job == job).collect::<Vec<_>>();
         let ends = runs.iter().filter_map(|it| it.ended.as_ref().map(|it| it.at));
-        let mut edges = runs.iter().map(|it| it.started).chain(ends).collect::<Vec<_>>();
-        edges.push(Instant::now());
-        edges.sort();
-        let spans = edges.windows(2).filter(|it| slack < it[1] - it[0]);
+        let mut change_times = runs.iter().map(|it| it.started).chain(ends).collect::<Vec<_>>();
+        change_times.push(Instant::now());
+        change_times.sort();
+        let spans = change_times.windows(2).filter(|it| slack < it[1] - it[0]);
         let partial = spans.filter(|span| {
-            let n_up = runs.iter().filter(|it| it.overlaps(span[0], span[1])).count();
-            n_up != 0 && n_up != n_tasks
+            let n_running = runs.iter().filter(|it| it.overlaps(span[0], span[1])).count();
+            n_running != 0 && n_running != n_tasks
         });
         partial.count()
     }
 }
 
 impl TestInstance {
-    /// Whether it schedules the hall.
+    /// Whether this instance schedules the hall.
     pub(crate) fn holds(&self) -> bool {
         let beats = self.service.summaries();
         beats.iter().any(|it| it.hall == HALL)
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     pub(crate) async fn grant(&self, request: model::GrantRequest) -> model::GrantReply {
         self.service.ask(request).await.expect(ANSWER)
     }
 
-    /// Asks for a slot and expects it.
-    pub(crate) async fn granted(&self, request: model::GrantRequest) -> model::SlotGrant {
+    /// Requests a slot and expects that it is granted.
+    pub(crate) async fn expect_grant(&self, request: model::GrantRequest) -> model::SlotGrant {
         match self.grant(request).await {
             model::GrantReply::Granted { grant } => grant,
             other => panic!("expected a grant, found {other:?}"),
         }
     }
 
-    /// Gives a slot back.
-    pub(crate) async fn give_back(&self, grant: &model::SlotGrant, outcome: model::RequestOutcome) {
-        let returns = returned(grant, outcome);
+    /// Returns a granted slot with the outcome of its request.
+    pub(crate) async fn return_grant(
+        &self,
+        grant: &model::SlotGrant,
+        outcome: model::RequestOutcome,
+    ) {
+        let returns = grant_returns(grant, outcome);
         self.service.ask(returns).await.expect(ANSWER);
     }
 
-    /// Submits a job.
+    /// Submits a job to the hall.
     pub(crate) async fn submit(
         &self,
         job: ids::JobId,
@@ -261,42 +272,43 @@
         self.service.ask(submit).await.expect(ANSWER)
     }
 
-    /// Submits a gang and waits until its row says that it runs.
-    pub(crate) async fn run(&self, site: &TestSite, class: &str, n_tasks: u32) -> ids::JobId {
+    /// Submits a gang and waits until its row is in state running.
+    pub(crate) async fn run_gang(&self, site: &TestSite, class: &str, n_tasks: u32) -> ids::JobId {
         let job = site.key();
-        accepted(self.submit(job, gang(class, n_tasks)).await);
-        site.until_job(job, model::JobState::Running).await;
+        expect_record(self.submit(job, gang_submission(class, n_tasks)).await);
+        site.wait_for_job_state(job, model::JobState::Running).await;
         job
     }
 
-    /// Cancels a job.
+    /// Requests that a job be cancelled.
     pub(crate) async fn cancel(&self, job: ids::JobId) -> model::JobReply {
         let cancel = model::JobCancel { job, hall: HALL.to_owned(), account: ACCOUNT.to_owned() };
         self.service.ask(cancel).await.expect(ANSWER)
     }
 
-    /// Asks for a job.
+    /// Queries the state of a job.
     pub(crate) async fn query(&self, job: ids::JobId) -> model::JobReply {
         let query = model::JobQuery { job, hall: HALL.to_owned(), account: ACCOUNT.to_owned() };
         self.service.ask(query).await.expect(ANSWER)
     }
 
-    /// Cuts it off from the table, as by a failure of the network between them.
+    /// Makes the table stop answering this instance, as in a network partition between them.
     pub(crate) fn cut_off_from_table(&self) {
-        self.to_table.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Silent);
     }
 
-    /// Kills it, as far as anybody else can see: nothing it does has an effect any more.
+    /// Simulates a crash: no call of this instance has an effect any more, no call reaches it, and it is
+    /// removed from the instance list.
     pub(crate) fn crash(&self, site: &TestSite) {
-        self.to_table.set(fault::Condition::Silent);
-        self.to_objects.set(fault::Condition::Silent);
-        self.to_workers.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Silent);
+        self.object_faults.set(fault::Condition::Silent);
+        self.worker_faults.set(fault::Condition::Silent);
         site.net.crash(&self.address);
         site.remove_member(&self.id);
     }
 }
 
-/// A request for a slot.
+/// A request for a slot without an idempotency key; its deadline is 10 s from now.
 pub(crate) fn request(site: &TestSite, class: &str) -> model::GrantRequest {
     model::GrantRequest {
         request: site.key(),
@@ -311,8 +323,8 @@
     }
 }
 
-/// Gives a slot back.
-pub(crate) fn returned(
+/// The message that returns one granted slot.
+pub(crate) fn grant_returns(
     grant: &model::SlotGrant,
     outcome: model::RequestOutcome,
 ) -> model::GrantReturns {
@@ -331,13 +343,13 @@
     }
 }
 
-/// A request that may run only once.
-pub(crate) fn keyed(site: &TestSite, key: ids::IdempotencyKey) -> model::GrantRequest {
-    model::GrantRequest { idempotency: Some(key), ..request(site, TICKET) }
+/// A request with an idempotency key, which may run only once.
+pub(crate) fn request_with_key(site: &TestSite, key: ids::IdempotencyKey) -> model::GrantRequest {
+    model::GrantRequest { idempotency: Some(key), ..request(site, SINGLE_RUN_REQUEST) }
 }
 
-/// A gang of tasks with one worker's accelerators each.
-pub(crate) fn gang(class: &str, n_tasks: u32) -> model::JobSubmission {
+/// A submission of a gang whose tasks each need all accelerators of one worker.
+pub(crate) fn gang_submission(class: &str, n_tasks: u32) -> model::JobSubmission {
     let submission = json!({
         "class": class,
         "tasks": n_tasks,
@@ -347,48 +359,49 @@
     serde_json::from_value(submission).expect("a valid submission")
 }
 
-/// The record of an accepted job.
-pub(crate) fn accepted(reply: model::JobReply) -> model::JobRecord {
+/// The job record in a reply; panics on any other reply.
+pub(crate) fn expect_record(reply: model::JobReply) -> model::JobRecord {
     match reply {
         model::JobReply::Record { record } => record,
         other => panic!("expected the job's record, found {other:?}"),
     }
 }
 
-/// A key made at some time.
+/// An idempotency key with the given creation time.
 pub(crate) fn key_made_at(made_at: time::WallTime) -> ids::IdempotencyKey {
     numbered_key(made_at, 0)
 }
 
-/// A UUIDv7 without random bits, so that every run of a test is the same.
+/// A UUIDv7 without random bits, so that all runs of a test are identical.
 fn numbered_key(made_at: time::WallTime, number: u64) -> ids::IdempotencyKey {
-    let millis = u64::try_from(made_at.0.as_millis()).expect("a time of this age");
+    let millis =
+        u64::try_from(made_at.0.as_millis()).expect("milliseconds since 1970 fit into 64 bits");
     let mut bytes = [0; 10];
     bytes[2..].copy_from_slice(&number.to_be_bytes());
     uuid::Builder::from_unix_timestamp_millis(millis, &bytes).into_uuid()
 }
 
-/// Lets time pass until something holds; fails after a while that no test needs.
-pub(crate) async fn until(step: &str, mut check: impl AsyncFnMut() -> bool) {
+/// Lets time pass until `check` holds; panics after `WAIT_LIMIT`.
+pub(crate) async fn wait_until(step: &str, mut check: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !check().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain until {step}");
+        assert!(started.elapsed() < WAIT_LIMIT, "waited in vain until {step}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Lets time pass.
-pub(crate) async fn pass(span: Duration) {
+/// Lets the paused clock advance by `span`.
+pub(crate) async fn advance(span: Duration) {
     tokio::time::sleep(span).await;
 }
 
-/// Seconds.
+/// A duration of `n` seconds.
 pub(crate) const fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-/// Tasks that run for `run` and succeed.
-pub(crate) fn script(run: Duration) -> script::TaskScript {
+/// A script for tasks that run for `run` and succeed.
+pub(crate) fn task_script(run: Duration) -> script::TaskScript {
     script::TaskScript::lasting(run)
 }
 
@@ -436,10 +449,10 @@
         }],
         "upstreams": [{ "name": "oil-analysis", "halls": [HALL] }],
         "classes": [
-            class(CHECK, "request", true),
-            class(TICKET, "request", false),
-            class(BATCH, "job", true),
-            class(PRINT, "job", false),
+            class(REPEATABLE_REQUEST, "request", true),
+            class(SINGLE_RUN_REQUEST, "request", false),
+            class(REPEATABLE_JOB, "job", true),
+            class(SINGLE_RUN_JOB, "job", false),
         ],
         "accounts": [account(ACCOUNT), account("other")],
     });
@@ -447,8 +460,8 @@
 }
 
 /// The time of day at which tests begin.
-const EPOCH: Duration = Duration::from_secs(1_800_000_000);
+const START_TIME: Duration = Duration::from_secs(1_800_000_000);
 /// Longer than any step of a test takes.
-const PATIENCE: Duration = Duration::from_secs(300);
-/// Only a submission to a scheduler that stops goes without one.
+const WAIT_LIMIT: Duration = Duration::from_secs(300);
+/// Message of `expect` on replies. Only a submission to a scheduler that stops gets no reply.
 pub(crate) const ANSWER: &str = "an answer";
