--- a/crates/daemon/src/beats.rs
+++ b/crates/daemon/src/beats.rs
@@ -43,7 +43,7 @@
         self.halls.get().map(|it| it.summaries()).unwrap_or_default()
     }
 
-    fn heard(&self, beat: &model::PeerBeat) {
+    fn on_beat(&self, beat: &model::PeerBeat) {
         self.keeper.heard(beat.config_version, &beat.address);
         if let Some(halls) = self.halls.get() {
             halls.observe_epochs(&beat.halls);
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -22,7 +22,7 @@
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::PeerBeat::PATH => {
-                dispatch::answer(&body, async |beat| self.members.hear(&beat)).await
+                dispatch::answer(&body, async |beat| self.members.receive_beat(&beat)).await
             }
             model::ConfigFetch::PATH => {
                 dispatch::answer(&body, async |fetch| self.keeper.fetched(&fetch)).await
--- a/crates/fleet-tests/src/peers.rs
+++ b/crates/fleet-tests/src/peers.rs
@@ -76,7 +76,7 @@
         self.halls.get().map(|it| it.summaries()).unwrap_or_default()
     }
 
-    fn heard(&self, beat: &model::PeerBeat) {
+    fn on_beat(&self, beat: &model::PeerBeat) {
         self.keeper.heard(beat.config_version, &beat.address);
         if let Some(halls) = self.halls.get() {
             halls.observe_epochs(&beat.halls);
@@ -88,7 +88,7 @@
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::PeerBeat::PATH => {
-                dispatch::answer(&body, async |beat| self.members.hear(&beat)).await
+                dispatch::answer(&body, async |beat| self.members.receive_beat(&beat)).await
             }
             model::ConfigFetch::PATH => {
                 dispatch::answer(&body, async |fetch| self.keeper.fetched(&fetch)).await
--- a/crates/hall/src/contender.rs
+++ b/crates/hall/src/contender.rs
@@ -281,7 +281,7 @@
 ) -> Option<ids::InstanceId> {
     let config = parts.config.borrow();
     let halls = config.document.halls.iter().map(|it| it.name.as_str());
-    rendezvous::shared_out(&parts.hall, halls, candidates).map(str::to_owned)
+    rendezvous::balanced_candidate(&parts.hall, halls, candidates).map(str::to_owned)
 }
 
 fn tenure_state<B: backend::HallBackend>(
--- a/crates/membership/src/content.rs
+++ b/crates/membership/src/content.rs
@@ -11,5 +11,5 @@
     fn halls(&self) -> Vec<model::HallBeat>;
 
     /// A beat of another instance arrived; must not block.
-    fn heard(&self, beat: &model::PeerBeat);
+    fn on_beat(&self, beat: &model::PeerBeat);
 }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -161,7 +161,7 @@
         holder: Option<ids::PeerAddress>,
     ) {
         match holder {
-            Some(address) if address != *asked => self.holders.redirect(hall, &address),
+            Some(address) if address != *asked => self.holders.apply_redirect(hall, &address),
             _ => self.holders.forget(hall, asked),
         }
     }
@@ -181,7 +181,7 @@
         let rows = time::timeout(ROW_DEADLINE, self.table.get(get)).await.ok()?.ok()?;
         let value = rows.rows.into_iter().next()?.value?;
         let row = rmp_serde::from_slice::<model::SchedulerRow>(&value).ok()?;
-        self.holders.read(&row);
+        self.holders.apply_row(&row);
         (!row.released).then_some(row.address)
     }
 
--- a/crates/membership/src/holders.rs
+++ b/crates/membership/src/holders.rs
@@ -25,7 +25,7 @@
 impl HolderTable {
     /// Takes what an instance says of the halls it holds, and drops those it holds no more. A beat
     /// that was overtaken by a newer tenure changes nothing.
-    pub fn hear(&self, beat: &model::PeerBeat) {
+    pub fn apply_beat(&self, beat: &model::PeerBeat) {
         let mut holders = self.lock();
         holders.retain(|hall, it| {
             it.address != beat.address || beat.halls.iter().any(|held| held.hall == *hall)
@@ -44,7 +44,7 @@
     }
 
     /// Takes the table's row.
-    pub fn read(&self, row: &model::SchedulerRow) {
+    pub fn apply_row(&self, row: &model::SchedulerRow) {
         let mut holders = self.lock();
         let known = holders.get(&row.hall).filter(|it| row.epoch <= it.epoch);
         if known.is_some() || row.released {
@@ -55,7 +55,7 @@
     }
 
     /// Takes a redirect.
-    pub fn redirect(&self, hall: &ids::HallName, address: &ids::PeerAddress) {
+    pub fn apply_redirect(&self, hall: &ids::HallName, address: &ids::PeerAddress) {
         let mut holders = self.lock();
         if holders.get(hall).is_some_and(|it| it.address == *address) {
             return;
@@ -73,7 +73,7 @@
     }
 
     /// Forgets everything about an instance that is taken for dead.
-    pub fn lose(&self, address: &ids::PeerAddress) {
+    pub fn remove_instance(&self, address: &ids::PeerAddress) {
         self.lock().retain(|_, it| it.address != *address);
     }
 
--- a/crates/membership/src/known.rs
+++ b/crates/membership/src/known_member.rs
@@ -23,18 +23,18 @@
     /// Latest sign of life, or when it first stood on the list.
     pub alive_at: Instant,
     /// Calls in a row that did not reach it, since the latest sign of life.
-    pub strikes: u32,
+    pub failed_calls: u32,
     /// Whether it is taken for dead.
     pub lost: bool,
     /// Configuration in force there when it last said so; 0 where it never did.
     pub config_version: ids::ConfigVersion,
     /// Beats that told of its latest change.
-    pub told: u32,
+    pub change_reports: u32,
 }
 
 impl KnownMember {
     /// An instance of the list that was not heard yet.
-    pub fn listed(entry: &model::InstanceEntry, now: Instant) -> KnownMember {
+    pub fn from_listing(entry: &model::InstanceEntry, now: Instant) -> KnownMember {
         KnownMember {
             id: entry.id.clone(),
             data_center: entry.data_center.clone(),
@@ -43,15 +43,15 @@
             leaving: false,
             number: 0,
             alive_at: now,
-            strikes: 0,
+            failed_calls: 0,
             lost: false,
             config_version: 0,
-            told: 0,
+            change_reports: 0,
         }
     }
 
     /// An instance that a beat told of, by itself or through another.
-    pub fn rumoured(rumour: &model::PeerRumour, now: Instant) -> KnownMember {
+    pub fn from_rumour(rumour: &model::PeerRumour, now: Instant) -> KnownMember {
         KnownMember {
             id: rumour.from.clone(),
             data_center: rumour.data_center.clone(),
@@ -60,16 +60,16 @@
             leaving: rumour.leaving,
             number: rumour.number,
             alive_at: now,
-            strikes: 0,
+            failed_calls: 0,
             lost: false,
             config_version: 0,
-            told: 0,
+            change_reports: 0,
         }
     }
 
     /// It said itself that it lives. A beat that was overtaken by a newer one changes nothing.
-    pub fn heard(&mut self, word: &model::PeerRumour, now: Instant) {
-        self.hear_leaving(word.leaving);
+    pub fn apply_own_beat(&mut self, word: &model::PeerRumour, now: Instant) {
+        self.note_leaving(word.leaving);
         if self.number < word.number {
             self.revive(word.number, now);
         }
@@ -78,7 +78,7 @@
     /// Another instance said that it lived when it sent beat `number`. Such news may have gone
     /// round for a while; taken for a sign of life of this moment it would keep a dead instance
     /// alive. It sends one beat an interval, so the number tells about when that was.
-    pub fn rumoured_alive(&mut self, number: u64, beat: Duration, now: Instant) {
+    pub fn apply_sign_of_life(&mut self, number: u64, beat: Duration, now: Instant) {
         if number <= self.number {
             return;
         }
@@ -89,20 +89,20 @@
     }
 
     /// It leaves, by its own word.
-    pub fn hear_leaving(&mut self, leaving: bool) {
+    pub fn note_leaving(&mut self, leaving: bool) {
         if leaving && !self.leaving {
             self.leaving = true;
-            self.told = 0;
+            self.change_reports = 0;
         }
     }
 
     fn revive(&mut self, number: u64, alive_at: Instant) {
         if self.lost {
-            self.told = 0;
+            self.change_reports = 0;
         }
         self.number = number;
         self.alive_at = alive_at;
-        self.strikes = 0;
+        self.failed_calls = 0;
         self.lost = false;
     }
 
@@ -114,7 +114,7 @@
     /// Whether it has been silent for so long that it is taken for dead.
     pub fn is_silent(&self, lapse: Duration, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.alive_at);
-        let refused = 2 <= self.strikes || (1 <= self.strikes && self.is_leaving());
+        let refused = 2 <= self.failed_calls || (1 <= self.failed_calls && self.is_leaving());
         lapse <= silence || (refused && lapse / 2 <= silence)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod directory;
 pub mod holders;
 pub mod home;
-pub mod known;
+pub mod known_member;
 pub mod local;
 pub mod members;
 pub mod rendezvous;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3;
 
-use crate::known;
+use crate::known_member;
 use crate::snapshot;
 
 /// Peers that each beat goes to. Each also gets about as many beats of others, and rumours bring
@@ -53,7 +53,7 @@
     beat: Duration,
     leaving: bool,
     number: u64,
-    known: BTreeMap<ids::PeerAddress, known::KnownMember>,
+    known: BTreeMap<ids::PeerAddress, known_member::KnownMember>,
     workers: BTreeMap<ids::WorkerId, snapshot::WorkerEntry>,
     revision: Option<u64>,
     replaced: VecDeque<ids::InstanceId>,
@@ -82,7 +82,7 @@
 
     /// Takes the platform's list. Workers are as it says; an instance that it does not have yet,
     /// or no more, stays for as long as it is heard.
-    pub fn list(&mut self, listing: &model::InstanceListing, now: Instant) {
+    pub fn apply_listing(&mut self, listing: &model::InstanceListing, now: Instant) {
         if listing.unchanged {
             return;
         }
@@ -106,7 +106,7 @@
     }
 
     /// Takes a beat that its sender gave itself, and what it heard of others.
-    pub fn hear(&mut self, beat: &model::PeerBeat, now: Instant) {
+    pub fn apply_beat(&mut self, beat: &model::PeerBeat, now: Instant) {
         let word = model::PeerRumour {
             from: beat.from.clone(),
             address: beat.address.clone(),
@@ -114,22 +114,22 @@
             leaving: beat.leaving,
             number: beat.number,
         };
-        self.hear_sender(&word, now);
+        self.apply_sender(&word, now);
         if let Some(member) = self.known.get_mut(&beat.address) {
             member.config_version = member.config_version.max(beat.config_version);
         }
         for rumour in &beat.rumours {
-            self.hear_rumour(rumour, now);
+            self.apply_rumour(rumour, now);
         }
         for sign in &beat.signs {
-            self.hear_sign(sign, now);
+            self.apply_life_sign(sign, now);
         }
     }
 
     /// A call did not reach the instance at `address`.
-    pub fn strike(&mut self, address: &str) {
+    pub fn count_failed_call(&mut self, address: &str) {
         if let Some(member) = self.known.get_mut(address) {
-            member.strikes += 1;
+            member.failed_calls += 1;
         }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Everyone not lost, for news that cannot wait.
-    pub fn everyone(&self) -> Vec<ids::PeerAddress> {
+    pub fn live_addresses(&self) -> Vec<ids::PeerAddress> {
         let live = self.known.iter().filter(|(_, it)| !it.lost);
         live.map(|(address, _)| address.clone()).collect()
     }
@@ -173,10 +173,10 @@
     /// What changed of late, for one beat to `receiver`.
     pub fn rumours(&mut self, receiver: &str) -> Vec<model::PeerRumour> {
         let news = self.known.iter_mut().filter(|(address, it)| {
-            !it.lost && 0 < it.number && it.told < TELLINGS && *address != receiver
+            !it.lost && 0 < it.number && it.change_reports < TELLINGS && *address != receiver
         });
         let told = news.take(RUMOURS).map(|(address, member)| {
-            member.told += 1;
+            member.change_reports += 1;
             rumour(address, member)
         });
         told.collect()
@@ -184,13 +184,15 @@
 
     /// Signs of life of some others, for one beat to `receiver`. Chosen at random: taken in turn,
     /// as the targets are, they would tell some instances of the same few others for long.
-    pub fn signs(&mut self, receiver: &str) -> Vec<model::LifeSign> {
+    pub fn life_signs(&mut self, receiver: &str) -> Vec<model::LifeSign> {
         let known = self.known.iter();
         let others =
             known.filter(|(it, member)| !member.lost && 0 < member.number && *it != receiver);
         let chosen = others.sample(&mut self.rng, SIGNS);
-        let sign =
-            |it: &known::KnownMember| model::LifeSign { id: hash(&it.id), number: it.number };
+        let sign = |it: &known_member::KnownMember| model::LifeSign {
+            id: hash(&it.id),
+            number: it.number,
+        };
         chosen.into_iter().map(|(_, it)| sign(it)).collect()
     }
 
@@ -211,7 +213,7 @@
     }
 
     /// Who this instance is.
-    pub fn own(&self) -> &MemberIdentity {
+    pub fn identity(&self) -> &MemberIdentity {
         &self.own
     }
 
@@ -238,7 +240,7 @@
             return;
         }
         let Some(member) = self.known.get_mut(&entry.address) else {
-            let member = known::KnownMember::listed(entry, now);
+            let member = known_member::KnownMember::from_listing(entry, now);
             self.known.insert(entry.address.clone(), member);
             return;
         };
@@ -256,37 +258,37 @@
     }
 
     /// The sender's own word: whoever else was known at its address is gone.
-    fn hear_sender(&mut self, word: &model::PeerRumour, now: Instant) {
+    fn apply_sender(&mut self, word: &model::PeerRumour, now: Instant) {
         if word.address == self.own.address || self.replaced.contains(&word.from) {
             return;
         }
         match self.known.get_mut(&word.address) {
-            Some(member) if member.id == word.from => member.heard(word, now),
+            Some(member) if member.id == word.from => member.apply_own_beat(word, now),
             Some(_) => self.replace(word, now),
             None => self.insert(word, now),
         }
     }
 
     /// A sign of life of an instance that is known; of others a rumour tells more.
-    fn hear_sign(&mut self, sign: &model::LifeSign, now: Instant) {
+    fn apply_life_sign(&mut self, sign: &model::LifeSign, now: Instant) {
         let beat = self.beat;
         let members = self.known.values_mut();
         for member in members.filter(|it| it.number < sign.number && hash(&it.id) == sign.id) {
-            member.rumoured_alive(sign.number, beat, now);
+            member.apply_sign_of_life(sign.number, beat, now);
         }
     }
 
     /// Another's word about a third: believed unless it speaks of a process known to be replaced,
     /// or puts a new process where another one was heard a moment ago.
-    fn hear_rumour(&mut self, word: &model::PeerRumour, now: Instant) {
+    fn apply_rumour(&mut self, word: &model::PeerRumour, now: Instant) {
         if word.address == self.own.address || self.replaced.contains(&word.from) {
             return;
         }
         let quiet = self.beat * 2;
         match self.known.get_mut(&word.address) {
             Some(member) if member.id == word.from => {
-                member.hear_leaving(word.leaving);
-                member.rumoured_alive(word.number, self.beat, now);
+                member.note_leaving(word.leaving);
+                member.apply_sign_of_life(word.number, self.beat, now);
             }
             Some(member)
                 if 0 < member.number && now.saturating_duration_since(member.alive_at) < quiet => {}
@@ -296,14 +298,14 @@
     }
 
     fn insert(&mut self, word: &model::PeerRumour, now: Instant) {
-        let member = known::KnownMember::rumoured(word, now);
+        let member = known_member::KnownMember::from_rumour(word, now);
         self.known.insert(word.address.clone(), member);
     }
 
     /// A new process answers where an older one did. The older one's beats may still be passed on
     /// by others; without a note of its id they would bring it back.
     fn replace(&mut self, word: &model::PeerRumour, now: Instant) {
-        let mut member = known::KnownMember::rumoured(word, now);
+        let mut member = known_member::KnownMember::from_rumour(word, now);
         if let Some(older) = self.known.get(&word.address) {
             member.listed = older.listed;
             if REPLACED_IDS <= self.replaced.len() {
@@ -336,7 +338,7 @@
     fn ring(
         &self,
         after: &ids::PeerAddress,
-        pass: impl Fn(&known::KnownMember) -> bool,
+        pass: impl Fn(&known_member::KnownMember) -> bool,
     ) -> Vec<ids::PeerAddress> {
         let behind = self.known.iter().filter(|(address, _)| after < *address);
         let before = self.known.iter().filter(|(address, _)| *address <= after);
@@ -348,7 +350,7 @@
     }
 }
 
-fn entry(address: &ids::PeerAddress, member: &known::KnownMember) -> snapshot::MemberEntry {
+fn entry(address: &ids::PeerAddress, member: &known_member::KnownMember) -> snapshot::MemberEntry {
     snapshot::MemberEntry {
         address: address.clone(),
         data_center: member.data_center.clone(),
@@ -357,7 +359,7 @@
     }
 }
 
-fn rumour(address: &ids::PeerAddress, member: &known::KnownMember) -> model::PeerRumour {
+fn rumour(address: &ids::PeerAddress, member: &known_member::KnownMember) -> model::PeerRumour {
     model::PeerRumour {
         from: member.id.clone(),
         address: address.clone(),
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -20,7 +20,7 @@
 /// The candidate for `key` when all `keys` are shared out evenly: each takes its most preferred
 /// candidate that does not yet have its share. By preference alone a few keys may well all fall to
 /// the same candidate.
-pub fn shared_out<'a>(
+pub fn balanced_candidate<'a>(
     key: &str,
     keys: impl IntoIterator<Item = &'a str>,
     candidates: &[&'a str],
--- a/crates/membership/src/service.rs
+++ b/crates/membership/src/service.rs
@@ -88,8 +88,8 @@
     }
 
     /// Takes another instance's beat and answers with our own.
-    pub fn hear(&self, beat: &model::PeerBeat) -> model::PeerBeat {
-        self.shared.hear(beat);
+    pub fn receive_beat(&self, beat: &model::PeerBeat) -> model::PeerBeat {
+        self.shared.apply_beat(beat);
         self.shared.beat(Some(&beat.address))
     }
 
@@ -108,7 +108,7 @@
 
     /// Beats to everyone at once.
     pub async fn announce(&self) {
-        let everyone = self.shared.lock().everyone();
+        let everyone = self.shared.lock().live_addresses();
         self.send_to(everyone).await;
     }
 
@@ -158,16 +158,16 @@
     /// would be sent to the former holder until the rotation comes round.
     fn tick(&self) -> Vec<ids::PeerAddress> {
         let own = self.beat(None);
-        self.holders.hear(&own);
+        self.holders.apply_beat(&own);
         let lost = self.lock().tick(Instant::now());
         for address in &lost {
             info!(step = "membership", peer = address, "an instance is silent and taken for dead");
-            self.holders.lose(address);
+            self.holders.remove_instance(address);
             metrics::counter!("almondpass_membership_lost_total").increment(1);
         }
         self.publish();
         if self.took_hall(&own.halls) {
-            return self.lock().everyone();
+            return self.lock().live_addresses();
         }
         self.lock().targets()
     }
@@ -183,21 +183,21 @@
     async fn exchange(&self, peer: ids::PeerAddress) {
         let beat = self.beat(Some(&peer));
         match self.link.call(&peer, beat, self.timing.beat).await {
-            Ok(reply) => self.hear(&reply),
+            Ok(reply) => self.apply_beat(&reply),
             Err(error) => {
                 debug!(%error, "a beat was not answered");
                 metrics::counter!("almondpass_membership_beats_unanswered_total").increment(1);
                 if error.fault.had_no_effect() {
-                    self.lock().strike(&peer);
+                    self.lock().count_failed_call(&peer);
                 }
             }
         }
     }
 
-    fn hear(&self, beat: &model::PeerBeat) {
-        self.lock().hear(beat, Instant::now());
-        self.holders.hear(beat);
-        self.content.heard(beat);
+    fn apply_beat(&self, beat: &model::PeerBeat) {
+        self.lock().apply_beat(beat, Instant::now());
+        self.holders.apply_beat(beat);
+        self.content.on_beat(beat);
         self.publish();
     }
 
@@ -206,7 +206,7 @@
         let query = model::InstanceQuery { known: self.lock().revision() };
         match time::timeout(LIST_DEADLINE, list.list(query)).await {
             Ok(Ok(listing)) => {
-                self.lock().list(&listing, Instant::now());
+                self.lock().apply_listing(&listing, Instant::now());
                 self.publish();
                 true
             }
@@ -226,8 +226,8 @@
         let halls = self.content.halls();
         let mut table = self.lock();
         let rumours = receiver.map(|it| table.rumours(it)).unwrap_or_default();
-        let signs = receiver.map(|it| table.signs(it)).unwrap_or_default();
-        let own = table.own();
+        let signs = receiver.map(|it| table.life_signs(it)).unwrap_or_default();
+        let own = table.identity();
         model::PeerBeat {
             from: own.id.clone(),
             address: own.address.clone(),
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -42,7 +42,7 @@
         Vec::new()
     }
 
-    fn heard(&self, _beat: &model::PeerBeat) {}
+    fn on_beat(&self, _beat: &model::PeerBeat) {}
 }
 
 /// Membership of one instance of the fleet.
@@ -56,7 +56,8 @@
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::PeerBeat::PATH => {
-                dispatch::answer(&body, async |beat: model::PeerBeat| self.0.hear(&beat)).await
+                dispatch::answer(&body, async |beat: model::PeerBeat| self.0.receive_beat(&beat))
+                    .await
             }
             _ => None,
         }
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -110,7 +110,7 @@
             queued: 0,
             wait: span::TimeSpan::default(),
         };
-        self.holders.hear(&model::PeerBeat {
+        self.holders.apply_beat(&model::PeerBeat {
             from: from.to_owned(),
             address: from.to_owned(),
             data_center: "dc1".to_owned(),
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -184,8 +184,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_replaced_process_does_not_come_back() {
     let mut table = table();
-    table.hear(&beat("b", 10), Instant::now());
-    table.hear(&model::PeerBeat { from: "b#2".to_owned(), ..beat("b", 1) }, Instant::now());
+    table.apply_beat(&beat("b", 10), Instant::now());
+    table.apply_beat(&model::PeerBeat { from: "b#2".to_owned(), ..beat("b", 1) }, Instant::now());
     time::advance(Duration::from_secs(3)).await;
     let word = model::PeerRumour {
         from: "b#1".to_owned(),
@@ -194,7 +194,7 @@
         leaving: false,
         number: 12,
     };
-    table.hear(&model::PeerBeat { rumours: vec![word], ..beat("c", 5) }, Instant::now());
+    table.apply_beat(&model::PeerBeat { rumours: vec![word], ..beat("c", 5) }, Instant::now());
     let ids = table.snapshot(1).instances.into_keys().collect::<Vec<_>>();
     assert_eq!(ids, ["a#1", "b#2", "c#1"]);
 }
@@ -204,7 +204,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_tick_loses_nobody() {
     let mut table = table();
-    table.hear(&beat("b", 1), Instant::now());
+    table.apply_beat(&beat("b", 1), Instant::now());
     table.tick(Instant::now());
     time::advance(Duration::from_secs(60)).await;
     assert_eq!(table.tick(Instant::now()), Vec::<String>::new());
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -12,7 +12,7 @@
     let candidates = instances.iter().map(String::as_str).collect::<Vec<_>>();
     let mut shares = BTreeMap::new();
     for hall in HALLS {
-        let holder = rendezvous::shared_out(hall, HALLS, &candidates).expect("a candidate");
+        let holder = rendezvous::balanced_candidate(hall, HALLS, &candidates).expect("a candidate");
         *shares.entry(holder).or_insert(0) += 1;
     }
     assert_eq!(shares.values().max(), Some(&most), "{shares:?}");
@@ -36,5 +36,5 @@
 
 #[test]
 fn nobody_has_a_share_without_candidates() {
-    assert_eq!(rendezvous::shared_out("rajkot", HALLS, &[]), None);
+    assert_eq!(rendezvous::balanced_candidate("rajkot", HALLS, &[]), None);
 }
