--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether the peer refused what it would refuse again: the call is at fault, and not the moment.
-    pub fn is_for_good(&self) -> bool {
+    pub fn is_permanent(&self) -> bool {
         matches!(self, CallFault::Refused { status, .. } if !REFUSED_FOR_NOW.contains(status))
     }
 }
--- a/crates/peer/src/http_client.rs
+++ b/crates/peer/src/http_client.rs
@@ -28,7 +28,7 @@
     /// could be written to a connection that is just being closed.
     pub idle_timeout: Duration,
     /// Idle connections kept for each peer.
-    pub idle_per_peer: usize,
+    pub max_idle_per_peer: usize,
     /// Largest answer.
     pub max_body_bytes: usize,
     /// Under which side its bytes are counted, such as `workers`.
@@ -40,7 +40,7 @@
         HttpConfig {
             connect_timeout: Duration::from_secs(1),
             idle_timeout: Duration::from_secs(15),
-            idle_per_peer: 8,
+            max_idle_per_peer: 8,
             max_body_bytes: 8 << 20,
             side: "client",
         }
@@ -72,7 +72,7 @@
     /// A client without connections.
     pub fn new(config: HttpConfig) -> HttpClient {
         HttpClient {
-            pool: pool::ConnectionPool::new(config.idle_timeout, config.idle_per_peer),
+            pool: pool::ConnectionPool::new(config.idle_timeout, config.max_idle_per_peer),
             connect_timeout: config.connect_timeout,
             max_body_bytes: config.max_body_bytes,
             side: config.side,
--- a/crates/peer/src/http_server.rs
+++ b/crates/peer/src/http_server.rs
@@ -27,7 +27,7 @@
     /// Largest head; at least 8 KiB.
     pub max_head_bytes: usize,
     /// Connections at a time.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Under which side the bytes are counted.
     pub side: &'static str,
 }
@@ -62,7 +62,7 @@
     config: HttpServerConfig,
     shutdown: impl Future<Output = ()>,
 ) {
-    let permits = Arc::new(Semaphore::new(config.connections));
+    let permits = Arc::new(Semaphore::new(config.max_connections));
     let graceful = GracefulShutdown::new();
     let mut shutdown = std::pin::pin!(shutdown);
     loop {
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -18,7 +18,7 @@
 pub(crate) struct ConnectionPool {
     state: Arc<Mutex<PoolState>>,
     idle_timeout: Duration,
-    idle_per_peer: usize,
+    max_idle_per_peer: usize,
 }
 
 /// A connection in use, with what is needed to give it back.
@@ -52,8 +52,8 @@
 const SWEEP_INTERVAL: u64 = 1024;
 
 impl ConnectionPool {
-    pub(crate) fn new(idle_timeout: Duration, idle_per_peer: usize) -> ConnectionPool {
-        ConnectionPool { state: Arc::default(), idle_timeout, idle_per_peer }
+    pub(crate) fn new(idle_timeout: Duration, max_idle_per_peer: usize) -> ConnectionPool {
+        ConnectionPool { state: Arc::default(), idle_timeout, max_idle_per_peer }
     }
 
     /// Takes the connection to `peer` that was used last, if one is open.
@@ -89,7 +89,7 @@
         }
         let connections = state.peers.entry(connection.peer).or_default();
         let current = connections.generation == connection.generation;
-        if current && connections.idle.len() < self.idle_per_peer {
+        if current && connections.idle.len() < self.max_idle_per_peer {
             connections.idle.push(IdleConnection { sender: connection.sender, since: now });
         }
     }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -32,7 +32,7 @@
     /// For a caller to send a body.
     pub body_timeout: Duration,
     /// Connections at a time.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 impl Default for ServerConfig {
@@ -43,7 +43,7 @@
             max_head_bytes: 8 << 10,
             header_timeout: Duration::from_secs(30),
             body_timeout: Duration::from_secs(10),
-            connections: 4096,
+            max_connections: 4096,
         }
     }
 }
@@ -64,7 +64,7 @@
     let http_config = http_server::HttpServerConfig {
         header_timeout: config.header_timeout,
         max_head_bytes: config.max_head_bytes,
-        connections: config.connections,
+        max_connections: config.max_connections,
         side: "server",
     };
     let handler = Arc::new(CallHandler { service, config });
--- a/crates/pool/src/submit.rs
+++ b/crates/pool/src/submit.rs
@@ -102,7 +102,7 @@
             Ok(model::TableOutcome::Conflict { rows }) => {
                 return settle(state, graph, &rows, row);
             }
-            Err(error) if error.fault.is_for_good() => {
+            Err(error) if error.fault.is_permanent() => {
                 tracing::error!(
                     job = format_args!("{graph:016x}"),
                     n_bytes = transaction.writes.iter().map(writer::encoded_size).sum::<usize>(),
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -191,7 +191,7 @@
                     ConflictVerdict::Behind(version) => self.version = version,
                     ConflictVerdict::Lost => return WriteOutcome::Over,
                 },
-                Err(error) if error.fault.is_for_good() && !rows.is_empty() => {
+                Err(error) if error.fault.is_permanent() && !rows.is_empty() => {
                     return WriteOutcome::Refused(error);
                 }
                 Err(error) => {
--- a/crates/ports/src/group.rs
+++ b/crates/ports/src/group.rs
@@ -206,7 +206,7 @@
             }
             // Nothing was written, and one member may be the reason: each is tried alone.
             Err(error)
-                if error.fault.had_no_effect() && error.fault.is_for_good() && 1 < group.len() =>
+                if error.fault.had_no_effect() && error.fault.is_permanent() && 1 < group.len() =>
             {
                 for member in group {
                     Box::pin(commit_group(committer, vec![member])).await;
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -146,8 +146,8 @@
             }
         }
         let (listener, address) = listen().await?;
-        let connections = server::ServerConfig::default().connections;
-        listeners.spawn(serve(listener, fakes.platform.clone(), connections));
+        let max_connections = server::ServerConfig::default().max_connections;
+        listeners.spawn(serve(listener, fakes.platform.clone(), max_connections));
         fakes.platform.instances.set_lag(lag);
         Ok(SiteServer { fakes, address, _listeners: listeners })
     }
@@ -159,7 +159,7 @@
     Ok((listener, address))
 }
 
-async fn serve<S: link::PeerService>(listener: TcpListener, service: S, connections: usize) {
-    let config = server::ServerConfig { connections, ..server::ServerConfig::default() };
+async fn serve<S: link::PeerService>(listener: TcpListener, service: S, max_connections: usize) {
+    let config = server::ServerConfig { max_connections, ..server::ServerConfig::default() };
     server::serve(listener, service, config, future::pending()).await;
 }
