--- a/crates/config/tests/former_halls.rs
+++ b/crates/config/tests/former_halls.rs
@@ -163,7 +163,7 @@
     let mut draft = site.move_to(&["rajkot"]);
     draft.proposal = Some(Uuid::now_v7());
     let faults = site.group.table.faults();
-    faults.next(model::TableTransaction::PATH, fault::Fault::AnswerLost);
+    faults.inject_next(model::TableTransaction::PATH, fault::Fault::AnswerLost);
     assert_eq!(site.keeper().propose(draft.clone()).await.unwrap().version, 2);
     let stored = site.keeper().version(2).await.unwrap().unwrap();
     assert_eq!(stored.document, *site.keeper().active().document);
@@ -184,7 +184,7 @@
     // Cause: the draft in the conflict has the entry that was filled in before the write.
     let site = HallSite::new().await;
     let (first, second) = (site.move_to(&["rajkot"]), site.move_to(&["bharuch"]));
-    site.group.table.faults().next(model::TableTransaction::PATH, fault::Fault::Refused);
+    site.group.table.faults().inject_next(model::TableTransaction::PATH, fault::Fault::Refused);
     let keeper = site.keeper().clone();
     let waiting = tokio::spawn(async move { keeper.propose(second).await });
     time::sleep(Duration::from_millis(10)).await;
--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -114,7 +114,7 @@
         group.net.process(&support::address(index)).set(fault::Condition::Up);
     }
     // Calls that vanished end, and writes that were delayed have their effect.
-    time::sleep(2 * fault::SILENCE).await;
+    time::sleep(2 * fault::LOST_CALL_TIMEOUT).await;
 }
 
 async fn check(
@@ -166,8 +166,8 @@
 fn condition(rng: &mut ChaCha8Rng) -> fault::Condition {
     match rng.random_range(0..8) {
         0 => fault::Condition::Refusing,
-        1 => fault::Condition::Silent,
-        2 => fault::Condition::Held,
+        1 => fault::Condition::Dropping,
+        2 => fault::Condition::Paused,
         3 => fault::Condition::Slow(Duration::from_millis(rng.random_range(1..4000))),
         4 => fault::Condition::Flapping {
             up: Duration::from_millis(rng.random_range(100..3000)),
@@ -186,6 +186,6 @@
         answer_lost: rate(),
         delayed_effect: rate(),
         slow: rate(),
-        longest: Duration::from_secs(20),
+        max_delay: Duration::from_secs(20),
     }
 }
--- a/crates/config/tests/propagation.rs
+++ b/crates/config/tests/propagation.rs
@@ -35,7 +35,7 @@
     // Symptom: half of the instances work by an old configuration for as long as an outage lasts.
     // Sequence: a draft is accepted, the table goes down before the others polled.
     // Cause: the poll alone cannot see a version while the table is down.
-    for condition in [fault::Condition::Refusing, fault::Condition::Silent] {
+    for condition in [fault::Condition::Refusing, fault::Condition::Dropping] {
         let group = support::KeeperGroup::new(9);
         group.keepers[0].propose(support::marked(0, 10)).await.unwrap();
         group.table.faults().set(condition);
@@ -54,7 +54,7 @@
     group.keepers[0].propose(support::marked(0, 10)).await.unwrap();
     group.keepers[0].propose(support::marked(1, 20)).await.unwrap();
     group.settle(2, IN_FORCE_WITHIN).await;
-    group.table.faults().set(fault::Condition::Silent);
+    group.table.faults().set(fault::Condition::Dropping);
 
     let booted = group.start_keeper();
     let versions = support::record_versions(&booted);
@@ -74,7 +74,7 @@
     group.settle(1, IN_FORCE_WITHIN).await;
     group.table.faults().set(fault::Condition::Refusing);
     group.net.process(&support::address(0)).set(fault::Condition::Slow(Duration::from_secs(20)));
-    group.net.process(&support::address(1)).set(fault::Condition::Silent);
+    group.net.process(&support::address(1)).set(fault::Condition::Dropping);
 
     group.start_keeper();
     let took = group.settle(1, IN_FORCE_WITHIN).await;
@@ -91,11 +91,15 @@
     group.keepers[0].propose(support::marked(0, 10)).await.unwrap();
     group.settle(1, IN_FORCE_WITHIN).await;
     let versions = support::record_versions(&group.keepers[2]);
-    group.paths[2].nth(model::TableGet::PATH, 2, fault::Fault::Slow(Duration::from_millis(900)));
+    group.paths[2].inject_nth(
+        model::TableGet::PATH,
+        2,
+        fault::Fault::Slow(Duration::from_millis(900)),
+    );
     group.keepers[0].propose(support::marked(1, 20)).await.unwrap();
     time::sleep(Duration::from_millis(1200)).await;
-    group.net.process(&support::address(2)).set(fault::Condition::Held);
-    group.paths[2].set(fault::Condition::Held);
+    group.net.process(&support::address(2)).set(fault::Condition::Paused);
+    group.paths[2].set(fault::Condition::Paused);
     group.keepers[1].propose(support::marked(2, 30)).await.unwrap();
     time::sleep(Duration::from_secs(60)).await;
     group.net.process(&support::address(2)).set(fault::Condition::Up);
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -51,7 +51,7 @@
     pub(crate) fn start_keeper(&mut self) -> Keeper {
         let index = self.keepers.len();
         let path = fault::FaultPlan::new();
-        let table = self.table.seen_through(path.clone());
+        let table = self.table.with_path_faults(path.clone());
         let timing = keeper::KeeperTiming { poll: SECOND, deadline: SECOND };
         let keeper = Keeper::new(table, self.net.link(&address(index)), wall_clock(), timing);
         self.net.register(&address(index), keeper.clone());
--- a/crates/config/tests/versions.rs
+++ b/crates/config/tests/versions.rs
@@ -77,7 +77,7 @@
 async fn check_accepted_once(strike: fault::Fault) {
     let group = support::KeeperGroup::new(1);
     group.keepers[0].propose(support::marked(0, 1)).await.unwrap();
-    group.table.faults().next(TRANSACT, strike);
+    group.table.faults().inject_next(TRANSACT, strike);
 
     let accepted = group.keepers[0].propose(support::marked(1, 2)).await.unwrap();
     time::sleep(Duration::from_secs(90)).await;
@@ -121,7 +121,7 @@
     let mut proposal = support::marked(1, 2);
     proposal.proposal = Some(Uuid::now_v7());
     let faults = group.table.faults().clone();
-    faults.next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_millis(1)));
+    faults.inject_next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_millis(1)));
     let breaker = tokio::spawn(async move {
         time::sleep(Duration::from_millis(2)).await;
         faults.set(fault::Condition::Refusing);
--- a/crates/console/tests/drafts.rs
+++ b/crates/console/tests/drafts.rs
@@ -145,9 +145,10 @@
     let (site, instance) = support::ConsoleSite::started().await;
     let browser = support::Browser::sign_in(&instance.console).await;
     let page = browser.edit().await;
-    site.table
-        .faults()
-        .next(model::TableTransaction::PATH, fault::Fault::DelayedEffect(Duration::from_millis(1)));
+    site.table.faults().inject_next(
+        model::TableTransaction::PATH,
+        fault::Fault::DelayedEffect(Duration::from_millis(1)),
+    );
     let faults = site.table.faults().clone();
     tokio::spawn(async move {
         time::sleep(Duration::from_millis(2)).await;
--- a/crates/daemon/src/demo/scenario.rs
+++ b/crates/daemon/src/demo/scenario.rs
@@ -36,7 +36,7 @@
     upstream::Misbehaviour::CutShort,
     upstream::Misbehaviour::Refuse,
     upstream::Misbehaviour::Duplicate,
-    upstream::Misbehaviour::Silent,
+    upstream::Misbehaviour::NoAnswer,
     upstream::Misbehaviour::ExtraBytes,
     upstream::Misbehaviour::MissingId,
 ];
@@ -316,8 +316,8 @@
         let kind = kinds.next().filter(|_| *wanted.borrow());
         let chosen = (0..MISBEHAVING).filter_map(|_| upstreams.get(random.below(upstreams.len())));
         let chosen = chosen.collect::<Vec<_>>();
-        chosen.iter().for_each(|it| it.always(kind));
+        chosen.iter().for_each(|it| it.set_misbehaviour(kind));
         goes_on = context.go_on_after(random.around(MISBEHAVIOUR_SPAN)).await;
-        chosen.iter().for_each(|it| it.always(None));
+        chosen.iter().for_each(|it| it.set_misbehaviour(None));
     }
 }
--- a/crates/daemon/tests/site/instances.rs
+++ b/crates/daemon/tests/site/instances.rs
@@ -55,7 +55,7 @@
     let to = site.callers(&leaver);
     common::send_until_done(to, "diagnosis", common::LARGE, "warm").await;
     for upstream in site.platform.fakes.upstreams.values() {
-        upstream.always(Some(upstream::Misbehaviour::Slow(Duration::from_millis(700))));
+        upstream.set_misbehaviour(Some(upstream::Misbehaviour::Slow(Duration::from_millis(700))));
     }
     let body = "x".repeat(40);
     let flights = (0..8).map(|_| {
--- a/crates/daemon/tests/site/process.rs
+++ b/crates/daemon/tests/site/process.rs
@@ -100,7 +100,7 @@
 
 fn slow_upstreams(site: &common::TestSite) {
     for upstream in site.platform.fakes.upstreams.values() {
-        upstream.always(Some(upstream::Misbehaviour::Slow(Duration::from_millis(500))));
+        upstream.set_misbehaviour(Some(upstream::Misbehaviour::Slow(Duration::from_millis(500))));
     }
 }
 
--- a/crates/daemon/tests/site/shutdown.rs
+++ b/crates/daemon/tests/site/shutdown.rs
@@ -67,7 +67,7 @@
     let to = site.callers(&leaver);
     common::send_until_done(to, "diagnosis", common::LARGE, "warm").await;
     for upstream in site.platform.fakes.upstreams.values() {
-        upstream.always(Some(upstream::Misbehaviour::Slow(Duration::from_millis(500))));
+        upstream.set_misbehaviour(Some(upstream::Misbehaviour::Slow(Duration::from_millis(500))));
     }
     let body = "z".repeat(40);
     let request = common::request("diagnosis", common::LARGE, &body);
@@ -77,8 +77,8 @@
         (2 <= executions.executions().len()).then_some(())
     })
     .await;
-    site.platform.fakes.table().faults().set(fault::Condition::Silent);
-    site.platform.fakes.objects().faults().set(fault::Condition::Silent);
+    site.platform.fakes.table().faults().set(fault::Condition::Dropping);
+    site.platform.fakes.objects().faults().set(fault::Condition::Dropping);
     let leaving = site.take(&leaver);
     let left = time::timeout(common::LIMIT, leaving.shut_down()).await;
     left.expect("an end").expect("a good end");
--- a/crates/fleet-tests/src/node.rs
+++ b/crates/fleet-tests/src/node.rs
@@ -90,8 +90,8 @@
         let mut config = store::StoreConfig::default();
         config.retry.seed = parts.seed;
         let (table, objects) = store::open(
-            parts.fakes.table().seen_through(paths.store.clone()),
-            parts.fakes.objects().seen_through(paths.store.clone()),
+            parts.fakes.table().with_path_faults(paths.store.clone()),
+            parts.fakes.objects().with_path_faults(paths.store.clone()),
             config,
         );
         let link = parts.net.link(&parts.address);
@@ -110,7 +110,7 @@
             ports: backend::HallPorts {
                 table: table.clone(),
                 objects,
-                workers: parts.fakes.fleet.seen_through(paths.workers.clone()),
+                workers: parts.fakes.fleet.with_path_faults(paths.workers.clone()),
                 link: link.clone(),
             },
             options: options::HallOptions {
@@ -147,7 +147,7 @@
         let server = server::EntryServer::new(service);
         let entry = tokio::spawn(server.serve(listener, acceptor::PlainAcceptor, phases));
 
-        let instances = parts.fakes.instances().seen_through(paths.instances.clone());
+        let instances = parts.fakes.instances().with_path_faults(paths.instances.clone());
         let running = members.clone();
         tokio::spawn(async move { running.run(instances).await });
         let running = keeper.clone();
--- a/crates/fleet-tests/src/storm.rs
+++ b/crates/fleet-tests/src/storm.rs
@@ -333,9 +333,9 @@
         }
         self.note(format!("partition {a} {b}, one way: {one_way}"));
         self.world.enter(|it| {
-            it.net.path(&a, &b).set(fault::Condition::Silent);
+            it.net.path(&a, &b).set(fault::Condition::Dropping);
             if !one_way {
-                it.net.path(&b, &a).set(fault::Condition::Silent);
+                it.net.path(&b, &a).set(fault::Condition::Dropping);
             }
         });
         self.schedule(Heal::Net(a, b));
@@ -379,7 +379,7 @@
         let late = Duration::from_millis(self.rng.random_range(100..12_000));
         let misbehaviours = [
             upstream::Misbehaviour::Refuse,
-            upstream::Misbehaviour::Hang,
+            upstream::Misbehaviour::Disconnect,
             upstream::Misbehaviour::Late(late),
             upstream::Misbehaviour::CrossedId,
             upstream::Misbehaviour::MissingId,
@@ -387,17 +387,17 @@
             upstream::Misbehaviour::ExtraBytes,
             upstream::Misbehaviour::Duplicate,
             upstream::Misbehaviour::Slow(late / 8),
-            upstream::Misbehaviour::Silent,
+            upstream::Misbehaviour::NoAnswer,
             upstream::Misbehaviour::Error,
         ];
         let misbehaviour = misbehaviours[self.rng.random_range(0..misbehaviours.len())];
         let times = self.rng.random_range(1..4);
         self.note(format!("upstream {index} {misbehaviour:?}, {times} times"));
         for _ in 0..times {
-            upstreams[index].next(misbehaviour);
+            upstreams[index].misbehave_next(misbehaviour);
         }
         if self.rng.random_bool(0.2) {
-            upstreams[index].always(Some(misbehaviour));
+            upstreams[index].set_misbehaviour(Some(misbehaviour));
             self.schedule(Heal::Upstream(index));
         }
     }
@@ -406,7 +406,7 @@
         let span = Duration::from_millis(self.rng.random_range(100..3000));
         match self.rng.random_range(0..4) {
             0 => fault::Condition::Refusing,
-            1 => fault::Condition::Silent,
+            1 => fault::Condition::Dropping,
             2 => fault::Condition::Slow(span),
             _ => fault::Condition::Flapping { up: span, down: span },
         }
@@ -420,7 +420,7 @@
             answer_lost: 0.1,
             delayed_effect: 0.1,
             slow: 0.1,
-            longest: Duration::from_millis(self.rng.random_range(50..4000)),
+            max_delay: Duration::from_millis(self.rng.random_range(50..4000)),
         }
     }
 
@@ -468,7 +468,7 @@
                 worker.set_health(worker::WorkerHealth::Sound);
                 worker.faults().sample(0, fault::FaultRates::default());
             }),
-            Heal::Upstream(index) => self.world.upstreams()[index].always(None),
+            Heal::Upstream(index) => self.world.upstreams()[index].set_misbehaviour(None),
         }
     }
 
@@ -502,7 +502,7 @@
             self.heal(start);
         }
         for index in 0..self.world.upstreams().len() {
-            self.world.upstreams()[index].forgive();
+            self.world.upstreams()[index].clear_misbehaviours();
         }
     }
 
--- a/crates/hall/tests/fuzz/step.rs
+++ b/crates/hall/tests/fuzz/step.rs
@@ -96,8 +96,8 @@
     prop_oneof![
         3 => Just(Condition::Up),
         1 => Just(Condition::Refusing),
-        1 => Just(Condition::Silent),
-        1 => Just(Condition::Held),
+        1 => Just(Condition::Dropping),
+        1 => Just(Condition::Paused),
         1 => (50..1500_u64).prop_map(|it| Condition::Slow(Duration::from_millis(it))),
         1 => Just(Condition::Flapping {
             up: Duration::from_millis(700),
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -269,7 +269,7 @@
             answer_lost: rate,
             delayed_effect: rate,
             slow: rate,
-            longest: Duration::from_secs(4),
+            max_delay: Duration::from_secs(4),
         };
         for way in [Way::Table, Way::Objects, Way::Workers] {
             self.way(instance, way).sample(seed, rates);
--- a/crates/hall/tests/hall/gangs.rs
+++ b/crates/hall/tests/hall/gangs.rs
@@ -57,7 +57,7 @@
     a_cancellation_in_the_middle_of_a_start(site) {
         let instance = site.start_holder("a").await;
         let slow = Fault::Slow(std::time::Duration::from_millis(500));
-        instance.worker_faults.next(model::LeaseReserve::PATH, slow);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, slow);
         let job = site.key();
         support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
         support::advance(std::time::Duration::from_millis(100)).await;
@@ -93,7 +93,7 @@
         site.fleet.scripts().set_usual(support::task_script(support::secs(120)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         for (_, worker) in site.fleet.workers() {
-            worker.faults().set(Condition::Silent);
+            worker.faults().set(Condition::Dropping);
         }
         support::advance(support::secs(15)).await;
         for (_, worker) in site.fleet.workers() {
@@ -107,8 +107,8 @@
     /// Sequence: the answers to a reservation and to a start are lost.
     lost_answers_in_a_start_are_settled(site) {
         let instance = site.start_holder("a").await;
-        instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
-        instance.worker_faults.next(model::TaskStart::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::TaskStart::PATH, Fault::AnswerLost);
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
@@ -137,7 +137,7 @@
         support::advance(support::secs(1)).await;
         let late = Fault::DelayedEffect(support::secs(15));
         for nth in 1..=9 {
-            old.worker_faults.nth(model::TaskStart::PATH, nth, late);
+            old.worker_faults.inject_nth(model::TaskStart::PATH, nth, late);
         }
         let job = site.key();
         support::expect_record(old.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
@@ -160,7 +160,7 @@
         site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
         support::advance(support::secs(1)).await;
         old.cut_off_from_table();
-        old.worker_faults.set(Condition::Held);
+        old.worker_faults.set(Condition::Paused);
         let job = site.key();
         support::wait_until("the new one holds", async || new.holds()).await;
         support::expect_record(new.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -129,7 +129,7 @@
         for fault in faults {
             // The first write after the ask is the append, unless a renewal is first: then the
             // renewal is struck, which must not matter either.
-            holder.table_faults.next(model::TableTransaction::PATH, fault);
+            holder.table_faults.inject_next(model::TableTransaction::PATH, fault);
             let key = site.key();
             let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
             holder.return_grant(&grant, model::RequestOutcome::Done).await;
@@ -171,7 +171,7 @@
         let new = site.start("b");
         old.cut_off_from_table();
         support::advance(support::secs(5)).await;
-        old.object_faults.set(Condition::Held);
+        old.object_faults.set(Condition::Paused);
         let key = site.key();
         let (service, ask) = (old.service.clone(), support::request_with_key(&site, key));
         let waiting = tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) });
@@ -239,7 +239,7 @@
     many_keys_at_once_take_few_writes(site) {
         let instance = site.start_holder("a").await;
         // Held back for a moment, so that the others gather behind the first.
-        instance.table_faults.nth(
+        instance.table_faults.inject_nth(
             model::TableTransaction::PATH,
             1,
             Fault::Slow(Duration::from_millis(200)),
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -45,7 +45,7 @@
     a_lost_answer_to_the_commit_is_settled(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::AnswerLost);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::AnswerLost);
         support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
         support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
         site.wait_for_job_state(job, model::JobState::Done).await;
@@ -65,7 +65,7 @@
             site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
             let instance = site.start_holder("a").await;
             let late = Fault::DelayedEffect(support::secs(20));
-            instance.table_faults.nth(model::TableTransaction::PATH, nth, late);
+            instance.table_faults.inject_nth(model::TableTransaction::PATH, nth, late);
             let job = site.key();
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
             support::advance(support::secs(60)).await;
@@ -80,7 +80,7 @@
     a_refused_job_does_not_run_later(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::Unavailable);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::Unavailable);
         let reply = instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
         support::advance(support::secs(60)).await;
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -45,7 +45,7 @@
     keyed_requests_go_on_by_the_object_store(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         support::advance(support::secs(60)).await;
         let key = site.key();
         let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
@@ -65,7 +65,7 @@
     /// Cause: a grant before the intent is durable, or a withdrawn intent that blocks its key.
     without_both_stores_keyed_requests_wait(site) {
         let holder = site.start_holder("a").await;
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         site.objects.faults().set(Condition::Refusing);
         support::advance(support::secs(30)).await;
         let key = site.key();
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -57,7 +57,7 @@
     /// Sequence: the write that takes the hall takes effect; its answer is lost.
     /// Cause: an error taken for a failure. The row names its writer.
     a_lost_answer_of_the_taking_write_is_settled(site) {
-        site.table.faults().next(model::TableTransaction::PATH, Fault::AnswerLost);
+        site.table.faults().inject_next(model::TableTransaction::PATH, Fault::AnswerLost);
         let holder = site.start_holder("a").await;
         assert!(holder.holds());
         assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
@@ -71,7 +71,7 @@
         let transact = model::TableTransaction::PATH;
         for fault in [Fault::AnswerLost, Fault::DelayedEffect(Duration::from_millis(2700))] {
             for _ in 0..3 {
-                site.table.faults().next(transact, fault);
+                site.table.faults().inject_next(transact, fault);
                 support::advance(support::secs(4)).await;
             }
         }
--- a/crates/hall/tests/hall/requests.rs
+++ b/crates/hall/tests/hall/requests.rs
@@ -61,7 +61,7 @@
     /// Cause: an ambiguous answer taken for a refusal. Asked again, the worker grants it again.
     a_lost_answer_to_a_reservation_is_settled(site) {
         let instance = site.start_holder("a").await;
-        instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, Fault::AnswerLost);
         instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         let held = site.fleet.workers().iter().map(|(_, it)| it.peek().len()).sum::<usize>();
         assert_eq!(held, 1);
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -116,9 +116,9 @@
         let object_faults = fault::FaultPlan::new();
         let worker_faults = fault::FaultPlan::new();
         let ports = backend::HallPorts {
-            table: self.table.seen_through(table_faults.clone()),
-            objects: self.objects.seen_through(object_faults.clone()),
-            workers: self.fleet.seen_through(worker_faults.clone()),
+            table: self.table.with_path_faults(table_faults.clone()),
+            objects: self.objects.with_path_faults(object_faults.clone()),
+            workers: self.fleet.with_path_faults(worker_faults.clone()),
             link: self.net.link(&address),
         };
         let service = service::HallService::start(service::ServiceDependencies {
@@ -294,14 +294,14 @@
 
     /// Cuts it off from the table, as by a failure of the network between them.
     pub(crate) fn cut_off_from_table(&self) {
-        self.table_faults.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Dropping);
     }
 
     /// Kills it, as far as anybody else can see: nothing it does has an effect any more.
     pub(crate) fn crash(&self, site: &TestSite) {
-        self.table_faults.set(fault::Condition::Silent);
-        self.object_faults.set(fault::Condition::Silent);
-        self.worker_faults.set(fault::Condition::Silent);
+        self.table_faults.set(fault::Condition::Dropping);
+        self.object_faults.set(fault::Condition::Dropping);
+        self.worker_faults.set(fault::Condition::Dropping);
         site.net.crash(&self.address);
         site.remove_member(&self.id);
     }
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -182,7 +182,7 @@
         let silent = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
         let (_, worker) = workers.iter().find(|(_, it)| it.shape().id == silent).expect("one");
-        worker.faults().set(Condition::Silent);
+        worker.faults().set(Condition::Dropping);
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
         support::advance(support::secs(4)).await;
@@ -199,7 +199,7 @@
         let other = site.start("b");
         site.fleet.scripts().set_usual(support::task_script(support::secs(600)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
-        holder.worker_faults.set(Condition::Silent);
+        holder.worker_faults.set(Condition::Dropping);
         support::expect_record(holder.cancel(job).await);
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -131,7 +131,7 @@
     let fleet = common::Fleet::settled(LAG, &["dc1", "dc2"], 4).await;
     let here = ["dc1-0", "dc1-1", "dc1-2", "dc1-3"];
     let there = ["dc2-0", "dc2-1", "dc2-2", "dc2-3"];
-    fleet.net.partition(&here, &there, fault::Condition::Silent);
+    fleet.net.partition(&here, &there, fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     assert_eq!(fleet.view("dc1-0"), here.iter().map(|it| (*it).to_owned()).collect());
     fleet.net.partition(&here, &there, fault::Condition::Up);
@@ -149,7 +149,7 @@
 
 async fn one_way_loss() {
     let fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
-    fleet.net.path("dc1-1", "dc1-6").set(fault::Condition::Silent);
+    fleet.net.path("dc1-1", "dc1-6").set(fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     for (name, node) in &fleet.nodes {
         let changes = node.counts.borrow().clone();
@@ -159,7 +159,7 @@
 
 async fn list_unavailable() {
     let fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
-    fleet.list.faults().set(fault::Condition::Silent);
+    fleet.list.faults().set(fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     fleet.agree(Duration::from_millis(1)).await;
 }
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -329,7 +329,7 @@
     fn draw_condition(&mut self) -> fault::Condition {
         match self.rng.random_range(0..4) {
             0 => fault::Condition::Refusing,
-            1 => fault::Condition::Silent,
+            1 => fault::Condition::Dropping,
             2 => fault::Condition::Slow(self.millis(50..1_200)),
             _ => {
                 fault::Condition::Flapping { up: self.millis(50..600), down: self.millis(50..600) }
@@ -344,7 +344,7 @@
             request_lost: 0.1,
             answer_lost: 0.2,
             slow: 0.3,
-            longest: Duration::from_secs(4),
+            max_delay: Duration::from_secs(4),
             ..fault::FaultRates::default()
         };
         let seed = self.rng.random();
@@ -385,9 +385,9 @@
     /// Nothing of an instance moves: what it has under way goes on when it wakes up.
     fn stand_still(&mut self, index: usize) {
         let instance = &self.bench.instances[index];
-        instance.store_faults.set(fault::Condition::Held);
-        instance.worker_faults.set(fault::Condition::Held);
-        self.bench.net.process(&instance.address).set(fault::Condition::Held);
+        instance.store_faults.set(fault::Condition::Paused);
+        instance.worker_faults.set(fault::Condition::Paused);
+        self.bench.net.process(&instance.address).set(fault::Condition::Paused);
     }
 
     async fn restart_worker(&mut self) {
--- a/crates/pool/tests/pool/crashes.rs
+++ b/crates/pool/tests/pool/crashes.rs
@@ -89,7 +89,7 @@
         bench.restart_crashed_workers(support::RestartMode::SameAddress, Duration::from_secs(1));
         let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, crashing(1, 10)).await;
-        bench.instances[holder].store_faults.set(fault::Condition::Silent);
+        bench.instances[holder].store_faults.set(fault::Condition::Dropping);
         bench.await_state(other, 1, model::GraphState::Failed, GIVEN_UP).await;
         assert!(bench.instances[holder].state.leader().is_none_or(|it| it.has_ended()));
         assert_eq!(n_starts(&bench, 1), 3);
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -17,7 +17,7 @@
 
 /// Each call of `step` that an instance makes from now on is struck.
 fn strike(instance: &support::BenchInstance, step: &'static str, fault: fault::Fault) {
-    (1..=N_CALLS).for_each(|nth| instance.store_faults.nth(step, nth, fault));
+    (1..=N_CALLS).for_each(|nth| instance.store_faults.inject_nth(step, nth, fault));
 }
 
 /// Guards against a feed of jobs that stands still for good although the table can be read.
@@ -80,7 +80,7 @@
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let store_faults = &bench.instances[holder].store_faults;
-        store_faults.next(model::TableGet::PATH, fault::Fault::Unavailable);
+        store_faults.inject_next(model::TableGet::PATH, fault::Fault::Unavailable);
         bench.store.forget_history();
         bench.add_worker(0).await;
         time::sleep(SOON).await;
--- a/crates/pool/tests/pool/logs.rs
+++ b/crates/pool/tests/pool/logs.rs
@@ -24,7 +24,11 @@
         let mut bench = support::PoolBench::start(3, 2).await;
         let (holder, other) = (bench.holder(), bench.non_holder());
         for nth in 1..=20 {
-            bench.instances[holder].store_faults.nth(table::FOLLOW, nth, fault::Fault::Refused);
+            bench.instances[holder].store_faults.inject_nth(
+                table::FOLLOW,
+                nth,
+                fault::Fault::Refused,
+            );
         }
         time::sleep(Duration::from_millis(100)).await;
         bench.submit(other, 1, support::job(1, 60_000)).await;
@@ -57,7 +61,7 @@
         let (from, to) = addresses(&bench, other, holder);
         let path = bench.net.path(from, to);
         for nth in 1..=3 {
-            path.nth(model::GraphNudge::PATH, nth, fault::Fault::Refused);
+            path.inject_nth(model::GraphNudge::PATH, nth, fault::Fault::Refused);
         }
         bench.submit(other, 1, support::job(1, 500)).await;
         time::sleep(SOON).await;
@@ -76,7 +80,11 @@
         let holder = bench.holder();
         let (lines, _guard) = support::LogLines::capture();
         for nth in 1..=60 {
-            bench.instances[holder].store_faults.nth(table::FOLLOW, nth, fault::Fault::Refused);
+            bench.instances[holder].store_faults.inject_nth(
+                table::FOLLOW,
+                nth,
+                fault::Fault::Refused,
+            );
         }
         time::sleep(3 * SOON).await;
         for feed in ["jobs", "workers"] {
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -21,8 +21,8 @@
 /// No feed of an instance is answered any more; everything else is.
 fn stop_feeds(instance: &support::BenchInstance) {
     for nth in 1..=N_LOST {
-        instance.store_faults.nth(table::FOLLOW, nth, fault::Fault::RequestLost);
-        instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::FOLLOW, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
     }
 }
 
@@ -30,7 +30,7 @@
 fn lose_nudge(bench: &support::PoolBench, from: usize, to: usize) {
     let address = |it: usize| bench.instances[it].address.as_str();
     let path = bench.net.path(address(from), address(to));
-    path.next(model::GraphNudge::PATH, fault::Fault::Refused);
+    path.inject_next(model::GraphNudge::PATH, fault::Fault::Refused);
 }
 
 /// Guards against a job that waits for the feed because its one nudge was lost.
@@ -54,7 +54,7 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         stop_feeds(&bench.instances[holder]);
         let step = model::TableTransaction::PATH;
-        bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
+        bench.instances[other].store_faults.inject_next(step, fault::Fault::AnswerLost);
         let accepted = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
@@ -124,7 +124,7 @@
         stop_feeds(&bench.instances[holder]);
         let address = |it: usize| bench.instances[it].address.as_str();
         let path = bench.net.path(address(other), address(holder));
-        path.next(model::GraphNudge::PATH, fault::Fault::CallerPanics);
+        path.inject_next(model::GraphNudge::PATH, fault::Fault::CallerPanics);
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
     });
@@ -143,7 +143,7 @@
         time::sleep(SOON).await;
         bench.instances[holder]
             .store_faults
-            .next(model::TableGet::PATH, fault::Fault::CallerPanics);
+            .inject_next(model::TableGet::PATH, fault::Fault::CallerPanics);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
@@ -161,7 +161,7 @@
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let slow = fault::Fault::Slow(Duration::from_millis(500));
         let store_faults = &bench.instances[holder].store_faults;
-        (1..=N_LOST).for_each(|nth| store_faults.nth(model::TableGet::PATH, nth, slow));
+        (1..=N_LOST).for_each(|nth| store_faults.inject_nth(model::TableGet::PATH, nth, slow));
         let nudge = model::GraphNudge { graph: 1, version, row: support::job(1, 500) };
         let link = bench.net.link(&bench.instances[other].address);
         let taken = link.call(&bench.instances[holder].address, nudge, SOON).await;
--- a/crates/pool/tests/pool/outages.rs
+++ b/crates/pool/tests/pool/outages.rs
@@ -57,7 +57,7 @@
         let bench = support::PoolBench::start(2, 2).await;
         let other = bench.non_holder();
         let step = <model::TableTransaction as almondpass_peer::call::PeerCall>::PATH;
-        bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
+        bench.instances[other].store_faults.inject_next(step, fault::Fault::AnswerLost);
         let outcome = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(outcome, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
@@ -88,7 +88,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 1).await;
         let away = bench.non_holder();
-        bench.instances[away].store_faults.set(fault::Condition::Silent);
+        bench.instances[away].store_faults.set(fault::Condition::Dropping);
         bench.set_document(7).await;
         time::sleep(Duration::from_secs(4)).await;
         assert_eq!(bench.instances[away].state.document.version(), 7);
@@ -124,7 +124,7 @@
         let bench = support::PoolBench::start(2, 2).await;
         bench.submit(0, 1, support::job(1, 3_000)).await;
         time::sleep(Duration::from_secs(1)).await;
-        bench.store.faults().set(fault::Condition::Silent);
+        bench.store.faults().set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(4)).await;
         let submitted = bench.submit(1, 2, support::job(1, 100));
         let back = async {
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -83,7 +83,7 @@
         bench.submit(0, 1, support::job(8, 120_000)).await;
         time::sleep(Duration::from_secs(60)).await;
         let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
-        bench.fleet.faults(&support::worker_id(1)).next(pool_fleet::START, late);
+        bench.fleet.faults(&support::worker_id(1)).inject_next(pool_fleet::START, late);
         bench.submit(0, 2, support::job(1, 8_000)).await;
         // The task goes to the first worker, as the second one leaves; then that starts again.
         bench.drain_worker(1).await;
--- a/crates/pool/tests/pool/rooms.rs
+++ b/crates/pool/tests/pool/rooms.rs
@@ -69,7 +69,7 @@
         let bench = unguarded_bench().await;
         bench.submit(0, 1, support::job(160, 1_000)).await;
         time::sleep(Duration::from_millis(100)).await;
-        bench.store.faults().set(fault::Condition::Silent);
+        bench.store.faults().set(fault::Condition::Dropping);
         bench.set_accelerators(&support::worker_id(0), 2);
         bench.set_accelerators(&support::worker_id(1), 2);
         time::sleep(Duration::from_secs(8)).await;
--- a/crates/pool/tests/pool/rows.rs
+++ b/crates/pool/tests/pool/rows.rs
@@ -20,7 +20,7 @@
         entries: 100,
         page_rows: 500,
         feed_rows: 500,
-        barred: BTreeSet::new(),
+        read_only_rows: BTreeSet::new(),
     }
 }
 
@@ -61,8 +61,8 @@
     support::run(async {
         let bench = support::PoolBench::start(2, 4).await;
         let epoch = lead_epoch(&bench);
-        let barred = BTreeSet::from([keys::progress(1, 0)]);
-        bench.store.set_limits(table::TableLimits { barred, ..platform_limits() });
+        let read_only_rows = BTreeSet::from([keys::progress(1, 0)]);
+        bench.store.set_limits(table::TableLimits { read_only_rows, ..platform_limits() });
         for graph in 1..=6 {
             bench.submit(0, graph, support::job(4, 1_000)).await;
         }
@@ -89,8 +89,8 @@
 fn what_a_refused_row_tells_of_outlives_the_scheduler() {
     support::run(async {
         let mut bench = support::PoolBench::start(2, 2).await;
-        let barred = BTreeSet::from([keys::progress(1, 0)]);
-        bench.store.set_limits(table::TableLimits { barred, ..platform_limits() });
+        let read_only_rows = BTreeSet::from([keys::progress(1, 0)]);
+        bench.store.set_limits(table::TableLimits { read_only_rows, ..platform_limits() });
         bench.submit(0, 1, support::job(4, 1_000)).await;
         time::sleep(Duration::from_secs(4)).await;
         let holder = bench.holder();
--- a/crates/pool/tests/pool/sessions.rs
+++ b/crates/pool/tests/pool/sessions.rs
@@ -14,12 +14,12 @@
 async fn check_a_panic_in(step: &'static str, before: Duration) {
     let bench = support::PoolBench::start(1, 1).await;
     if before.is_zero() {
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.submit(0, 1, support::job(1, 2_000)).await;
     if !before.is_zero() {
         time::sleep(before).await;
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
     bench.assert_nothing_ran_twice();
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -440,7 +440,7 @@
     let index = rng.random_range(0..bench.instances.len());
     let condition = match rng.random_range(0..4) {
         0 => fault::Condition::Refusing,
-        1 => fault::Condition::Silent,
+        1 => fault::Condition::Dropping,
         2 => fault::Condition::Slow(Duration::from_millis(rng.random_range(50..900))),
         _ => fault::Condition::Up,
     };
@@ -458,7 +458,7 @@
             let rates = fault::FaultRates {
                 answer_lost: 0.1,
                 delayed_effect: 0.1,
-                longest: Duration::from_secs(8),
+                max_delay: Duration::from_secs(8),
                 ..fault::FaultRates::default()
             };
             let worker = support::worker_id(rng.random_range(0..N_WORKERS));
--- a/crates/pool/tests/pool/strengths.rs
+++ b/crates/pool/tests/pool/strengths.rs
@@ -76,9 +76,9 @@
 fn instances_read_each_others_rows_once() {
     support::run(async {
         let bench = support::PoolBench::start(6, 1).await;
-        let told = bench.store.told(keys::INSTANCES);
+        let told = bench.store.rows_returned(keys::INSTANCES);
         time::sleep(Duration::from_secs(120)).await;
-        assert!(bench.store.told(keys::INSTANCES) - told <= 6, "nothing has changed");
+        assert!(bench.store.rows_returned(keys::INSTANCES) - told <= 6, "nothing has changed");
     });
 }
 
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -27,7 +27,7 @@
 
 /// Nobody reaches a worker any more.
 fn silence_worker(bench: &support::PoolBench) {
-    bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Silent);
+    bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Dropping);
 }
 
 /// Job 1 is cancelled, and job 2 has to be done in its room by `due`.
@@ -52,8 +52,8 @@
         let (former, other) = (bench.holder(), bench.non_holder());
         let address = &bench.instances[former].address;
         let other = &bench.instances[other].address;
-        bench.net.partition(&[address], &[other], fault::Condition::Silent);
-        bench.instances[former].store_faults.set(fault::Condition::Silent);
+        bench.net.partition(&[address], &[other], fault::Condition::Dropping);
+        bench.instances[former].store_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(12)).await;
         bench.net.partition(&[address], &[other], fault::Condition::Up);
         let holder = bench.instances[former].state.settings.instance.clone();
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -293,9 +293,9 @@
         let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
         let site = BenchAdapters {
-            store: self.store.seen_through(store_faults.clone()),
+            store: self.store.with_path_faults(store_faults.clone()),
             control: BenchControl {
-                fleet: self.fleet.seen_through(worker_faults.clone()),
+                fleet: self.fleet.with_path_faults(worker_faults.clone()),
                 panics: panics.clone(),
             },
             peers: self.net.link(address),
@@ -324,8 +324,8 @@
         tracing::info!(address = dead.address, "instance is killed");
         self.net.crash(&dead.address);
         // What the dead process had under way does not reach anybody any more.
-        dead.store_faults.set(fault::Condition::Silent);
-        dead.worker_faults.set(fault::Condition::Silent);
+        dead.store_faults.set(fault::Condition::Dropping);
+        dead.worker_faults.set(fault::Condition::Dropping);
         dead.running.abort();
         let _ = dead.running.await;
         dead.address
@@ -339,7 +339,7 @@
     ) {
         let here = self.instances[index].address.as_str();
         let others = addresses.filter(|it| *it != here).collect::<Vec<_>>();
-        self.net.partition(&[here], &others, fault::Condition::Silent);
+        self.net.partition(&[here], &others, fault::Condition::Dropping);
     }
 
     /// Whoever holds the tenure, by the latest epoch.
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -87,7 +87,7 @@
         bench.submit(0, 1, support::job(8, 60_000)).await;
         bench.submit(0, 2, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(3)).await;
-        bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Silent);
+        bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Dropping);
         bench.remove(&support::entry_key(1)).await;
         time::sleep(Duration::from_secs(1)).await;
         assert_waiting_job_starts(&mut bench, Duration::from_secs(2)).await;
@@ -102,7 +102,7 @@
         bench.submit(0, 1, support::job(16, 60_000)).await;
         bench.submit(0, 2, support::job(1, 500)).await;
         time::sleep(Duration::from_secs(3)).await;
-        bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Silent);
+        bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Dropping);
         assert_waiting_job_starts(&mut bench, Duration::from_secs(8)).await;
     });
 }
@@ -128,7 +128,7 @@
         bench.submit(0, 1, support::job(12, 30_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         let holder = bench.holder();
-        bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Silent);
+        bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Dropping);
         bench.kill(holder).await;
         time::sleep(Duration::from_secs(45)).await;
         bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Up);
@@ -147,7 +147,7 @@
         bench.submit(0, 1, support::job(8, 4_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         let old = bench.holder();
-        bench.instances[old].store_faults.set(fault::Condition::Silent);
+        bench.instances[old].store_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(6)).await;
         let holders = bench.instances.iter().filter(|it| it.state.leader().is_some()).count();
         assert_eq!(holders, 1);
@@ -183,7 +183,7 @@
         bench.kill(holder).await;
         for instance in &bench.instances {
             for nth in 1..=2 * N_TABLES {
-                instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+                instance.store_faults.inject_nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
             }
         }
         time::sleep(Duration::from_secs(9)).await;
@@ -200,7 +200,7 @@
     support::run(async {
         let bench = support::PoolBench::start(1, 1).await;
         let faults = bench.fleet.faults(&support::worker_id(0));
-        faults.next(pool_fleet::START, fault::Fault::AnswerLost);
+        faults.inject_next(pool_fleet::START, fault::Fault::AnswerLost);
         bench.submit(0, 1, support::job(1, 2_000)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         let records = bench.fleet.records();
@@ -215,7 +215,7 @@
         let bench = support::PoolBench::start(1, 2).await;
         for worker in 0..2 {
             let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
-            bench.fleet.faults(&support::worker_id(worker)).next(pool_fleet::START, late);
+            bench.fleet.faults(&support::worker_id(worker)).inject_next(pool_fleet::START, late);
         }
         bench.submit(0, 1, support::job(1, 1_000)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
@@ -323,7 +323,7 @@
         bench.kill(holder).await;
         for instance in &bench.instances {
             let step = model::TableTransaction::PATH;
-            instance.store_faults.next(step, fault::Fault::AnswerLost);
+            instance.store_faults.inject_next(step, fault::Fault::AnswerLost);
         }
         let version = || bench.store.peek(&keys::pool_tenure()).first().map(|it| it.version);
         let left_at = version();
@@ -344,8 +344,9 @@
         // Whichever is first.
         time::sleep(Duration::from_millis(1_500)).await;
         let lame = bench.instances[0].store_faults.clone();
-        (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
-        bench.instances[1].store_faults.set(fault::Condition::Silent);
+        (1..=N_REFUSED)
+            .for_each(|nth| lame.inject_nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+        bench.instances[1].store_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[1].store_faults.set(fault::Condition::Up);
         time::sleep(Duration::from_secs(5)).await;
@@ -361,7 +362,7 @@
         let bench = support::PoolBench::start(2, 2).await;
         let (old, successor) = (bench.holder(), bench.non_holder());
         let step = model::TableTransaction::PATH;
-        bench.instances[successor].store_faults.next(step, fault::Fault::AnswerLost);
+        bench.instances[successor].store_faults.inject_next(step, fault::Fault::AnswerLost);
         cut_from_peers(&bench, old);
         assert_detached_start_is_waited_for(&bench, old, successor).await;
     });
@@ -376,8 +377,9 @@
         let old = bench.holder();
         let (between, successor) = ((old + 1) % 3, (old + 2) % 3);
         let lame = bench.instances[between].store_faults.clone();
-        (1..=N_REFUSED).for_each(|nth| lame.nth(table::SNAPSHOT, nth, fault::Fault::Refused));
-        bench.instances[successor].store_faults.set(fault::Condition::Silent);
+        (1..=N_REFUSED)
+            .for_each(|nth| lame.inject_nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+        bench.instances[successor].store_faults.set(fault::Condition::Dropping);
         cut_from_peers(&bench, old);
         let leaving = bench.instances[between].state.shutdown.clone();
         let back = bench.instances[successor].store_faults.clone();
@@ -398,14 +400,14 @@
         let mut bench = support::PoolBench::start(2, 2).await;
         let (old, successor) = (bench.holder(), bench.non_holder());
         let [here, there] = [old, successor].map(|it| bench.instances[it].address.clone());
-        bench.net.partition(&[&here], &[&there], fault::Condition::Silent);
+        bench.net.partition(&[&here], &[&there], fault::Condition::Dropping);
         detach(&bench, old).await;
         time::sleep(Duration::from_millis(4_000)).await;
         assert!(bench.instances[successor].state.leader().is_some());
         let address = bench.kill(successor).await;
         bench.start_instance(&address);
         let successor = bench.instances.len() - 1;
-        bench.instances[successor].worker_faults.set(fault::Condition::Silent);
+        bench.instances[successor].worker_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_millis(1_800)).await;
         assert_waited_for(&bench, successor).await;
     });
@@ -439,15 +441,15 @@
     });
     bench.submit(old, 1, row).await;
     time::sleep(Duration::from_millis(100)).await;
-    bench.instances[old].store_faults.set(fault::Condition::Silent);
+    bench.instances[old].store_faults.set(fault::Condition::Dropping);
     for instance in bench.instances.iter().filter(|it| it.address != bench.instances[old].address) {
-        instance.worker_faults.set(fault::Condition::Silent);
+        instance.worker_faults.set(fault::Condition::Dropping);
     }
 }
 
 /// The worker that has just started a task is cut off, and `successor` reaches the others.
 async fn assert_waited_for(bench: &support::PoolBench, successor: usize) {
-    bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Silent);
+    bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Dropping);
     bench.instances[successor].worker_faults.set(fault::Condition::Up);
     time::sleep(Duration::from_secs(60)).await;
     bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Up);
@@ -464,7 +466,7 @@
         bench.submit(0, 1, support::job(6, 60_000)).await;
         time::sleep(Duration::from_secs(1)).await;
         assert_eq!(bench.fleet.n_running(), 6);
-        bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Silent);
+        bench.fleet.faults(&support::worker_id(0)).set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(4)).await;
         let holder = bench.holder();
         bench.kill(holder).await;
--- a/crates/ports/tests/store.rs
+++ b/crates/ports/tests/store.rs
@@ -40,7 +40,7 @@
 fn bench_with(config: store::StoreConfig) -> StoreBench {
     let (table, object_fake) = (table::TableFake::new(), object::ObjectFake::new());
     let path = fault::FaultPlan::new();
-    let near = (table.seen_through(path.clone()), object_fake.seen_through(path.clone()));
+    let near = (table.with_path_faults(path.clone()), object_fake.with_path_faults(path.clone()));
     let (store, objects) = store::open(near.0, near.1, config);
     StoreBench { store, objects, table, object_fake, path }
 }
@@ -88,7 +88,7 @@
     /// Symptom: a holder believes that its write failed, and writes again or gives up its tenure.
     /// Sequence: the write takes effect, the connection breaks. Cause: the answer was lost.
     lost_answer_is_settled_as_committed(it) {
-        it.path.next(TRANSACT, fault::Fault::AnswerLost);
+        it.path.inject_next(TRANSACT, fault::Fault::AnswerLost);
         assert_eq!(it.store.transact(write(ROW, 0, "a")).await, committed(1));
         assert_eq!(it.table.committed(), 1);
     }
@@ -98,7 +98,7 @@
     /// the write was under way all the time.
     late_write_is_not_made_twice(it) {
         let late = fault::Fault::DelayedEffect(Duration::from_secs(2));
-        it.path.next(TRANSACT, late);
+        it.path.inject_next(TRANSACT, late);
         assert_eq!(it.store.transact(write(ROW, 0, "a")).await, committed(1));
         time::sleep(Duration::from_secs(5)).await;
         assert_eq!(it.table.peek(ROW), [row(ROW, 1, "a")]);
@@ -107,7 +107,7 @@
     /// Symptom: two holders. Sequence: our write is lost on the way, another holder writes the
     /// row, our repetition meets the conflict. Cause: the conflict was taken for our own write.
     lost_race_is_a_conflict(it) {
-        it.path.next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
+        it.path.inject_next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
         let other = it.table.clone();
         let (ours, theirs) = tokio::join!(
             it.store.transact(write(ROW, 0, "ours")),
@@ -130,7 +130,7 @@
             transaction.writes.extend(row.writes);
             transaction
         };
-        it.path.next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
+        it.path.inject_next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
         let other = it.table.clone();
         let (ours, neighbours, theirs) = tokio::join!(
             it.store.transact(both("ours")),
@@ -148,7 +148,7 @@
     /// effect, its answer is lost, another holder writes the row twice. Cause: the row no longer
     /// shows who wrote the version in between.
     covered_traces_stay_unknown(it) {
-        it.path.next(TRANSACT, fault::Fault::AnswerLost);
+        it.path.inject_next(TRANSACT, fault::Fault::AnswerLost);
         let other = it.table.clone();
         let overwrite = async move {
             while other.peek(ROW).is_empty() {
@@ -165,7 +165,7 @@
     /// answer, another writer follows, the repetition overwrites it. Cause: nothing told that the
     /// first had taken effect.
     write_without_witness_is_not_repeated(it) {
-        it.path.next(TRANSACT, fault::Fault::AnswerLost);
+        it.path.inject_next(TRANSACT, fault::Fault::AnswerLost);
         let transaction =
             model::TableTransaction { conditions: Vec::new(), ..write(ROW, 0, "a") };
         let error = it.store.transact(transaction).await.unwrap_err();
@@ -174,7 +174,7 @@
     }
 
     error_before_the_effect_is_retried(it) {
-        it.path.next(TRANSACT, fault::Fault::Unavailable);
+        it.path.inject_next(TRANSACT, fault::Fault::Unavailable);
         assert_eq!(it.store.transact(write(ROW, 0, "a")).await, committed(1));
     }
 
@@ -189,7 +189,7 @@
     /// Symptom: callers hang for their deadlines though the store is known to be down. Sequence:
     /// five calls fail, the sixth waits again. Cause: nothing remembers the failures.
     open_circuit_fails_at_once_without_effect(it) {
-        it.path.set(fault::Condition::Silent);
+        it.path.set(fault::Condition::Dropping);
         while it.path.calls(GET) < 5 {
             assert!(it.store.get(get(ROW)).await.is_err());
         }
@@ -201,7 +201,7 @@
 
     lost_put_is_settled_as_ours(it) {
         let put = model::ObjectPut { key: "intent/1".to_owned(), value: blob("ours") };
-        it.path.next(PUT, fault::Fault::AnswerLost);
+        it.path.inject_next(PUT, fault::Fault::AnswerLost);
         assert_eq!(it.objects.put(put).await, Ok(model::ObjectPutOutcome::Created));
     }
 
@@ -211,7 +211,7 @@
     lost_put_after_anothers_is_not_ours(it) {
         let put = |value| model::ObjectPut { key: "intent/1".to_owned(), value: blob(value) };
         let late = fault::Fault::DelayedEffect(Duration::from_secs(9));
-        it.path.next(PUT, late);
+        it.path.inject_next(PUT, late);
         let other = it.object_fake.clone();
         let (ours, theirs) = tokio::join!(it.objects.put(put("ours")), async move {
             other.put(put("theirs")).await
@@ -254,7 +254,7 @@
     /// grouped, the platform rejects the group for good. Cause: one member is at fault, and the
     /// platform does not say which.
     rejected_group_is_tried_one_by_one(it) {
-        it.path.next(TRANSACT, fault::Fault::Rejected);
+        it.path.inject_next(TRANSACT, fault::Fault::Rejected);
         let mut writes = JoinSet::new();
         for n in 0..10 {
             let store = it.store.clone();
@@ -292,7 +292,7 @@
     /// under way, a write commits, a new read joins the slow one. Cause: that one had looked
     /// before the write.
     read_does_not_join_an_earlier_one(it) {
-        it.path.next(GET, fault::Fault::Slow(Duration::from_millis(500)));
+        it.path.inject_next(GET, fault::Fault::Slow(Duration::from_millis(500)));
         let earlier = it.store.clone();
         let earlier = tokio::spawn(async move { earlier.get(get(ROW)).await });
         time::sleep(Duration::from_millis(300)).await;
@@ -396,7 +396,7 @@
 
 hours! {
     hour_of_refused_connections: fault::Condition::Refusing;
-    hour_of_silence: fault::Condition::Silent;
+    hour_of_silence: fault::Condition::Dropping;
     hour_of_slowness: fault::Condition::Slow(Duration::from_secs(20));
 }
 
@@ -412,7 +412,7 @@
         answer_lost: 0.1,
         delayed_effect: 0.1,
         slow: 0.1,
-        longest: Duration::from_secs(3),
+        max_delay: Duration::from_secs(3),
     };
     it.path.sample(seed, rates);
     let mut writers = JoinSet::new();
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -22,9 +22,9 @@
     /// Connections are refused; nothing takes effect.
     Refusing,
     /// Calls vanish without effect or answer.
-    Silent,
+    Dropping,
     /// Calls wait, and go on where they stood when the condition changes: a paused process.
-    Held,
+    Paused,
     /// Calls take this long, and have their effect half-way, whether or not the caller still waits.
     Slow(Duration),
     /// Up and refusing in turn, beginning with up.
@@ -73,7 +73,7 @@
     /// Slow calls.
     pub slow: f64,
     /// Longest delay of the last two.
-    pub longest: Duration,
+    pub max_delay: Duration,
 }
 
 /// Decides what goes wrong with the calls that pass it; clones share it.
@@ -84,7 +84,7 @@
 }
 
 /// A vanished call ends with an error after this, as the operating system's timeout would.
-pub const SILENCE: Duration = Duration::from_secs(60);
+pub const LOST_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 struct PlanState {
@@ -120,12 +120,12 @@
     }
 
     /// Strikes the next call of `step`, which is a call's path.
-    pub fn next(&self, step: &'static str, fault: Fault) {
-        self.nth(step, 1, fault);
+    pub fn inject_next(&self, step: &'static str, fault: Fault) {
+        self.inject_nth(step, 1, fault);
     }
 
     /// Strikes the `nth` call of `step` from now on, counted from 1.
-    pub fn nth(&self, step: &'static str, nth: u64, fault: Fault) {
+    pub fn inject_nth(&self, step: &'static str, nth: u64, fault: Fault) {
         let mut state = state::lock(&self.state);
         let calls = state.calls.get(step).copied().unwrap_or_default();
         state.scripted.insert((step, calls + nth), fault);
@@ -150,16 +150,16 @@
     }
 
     /// Waits while the plan holds calls back, and tells what strikes this one.
-    pub(crate) async fn admit(&self, step: &'static str) -> Option<Fault> {
+    pub(crate) async fn next_fault(&self, step: &'static str) -> Option<Fault> {
         let scripted = state::lock(&self.state).arrive(step);
-        let standing = self.standing().await;
+        let standing = self.condition_fault().await;
         scripted.or(standing)
     }
 
-    /// Like [`FaultPlan::admit`], but for the standing condition alone.
-    pub(crate) async fn standing(&self) -> Option<Fault> {
+    /// Like [`FaultPlan::next_fault`], but for the standing condition alone.
+    pub(crate) async fn condition_fault(&self) -> Option<Fault> {
         let mut watch = self.condition.subscribe();
-        let held = |it: &StandingCondition| it.condition == Condition::Held;
+        let held = |it: &StandingCondition| it.condition == Condition::Paused;
         let standing = watch.wait_for(|it| !held(it)).await.map(|it| *it);
         standing.ok()?.fault()
     }
@@ -179,7 +179,7 @@
 
 impl FaultSampling {
     fn draw(&mut self) -> Option<Fault> {
-        let longest = self.rates.longest;
+        let longest = self.rates.max_delay;
         let delay = longest.mul_f64(self.rng.random::<f64>());
         let mut left = self.rng.random::<f64>();
         let faults = [
@@ -203,9 +203,9 @@
 impl StandingCondition {
     fn fault(&self) -> Option<Fault> {
         match self.condition {
-            Condition::Up | Condition::Held => None,
+            Condition::Up | Condition::Paused => None,
             Condition::Refusing => Some(Fault::Refused),
-            Condition::Silent => Some(Fault::RequestLost),
+            Condition::Dropping => Some(Fault::RequestLost),
             Condition::Slow(delay) => Some(Fault::Slow(delay)),
             Condition::Flapping { up, down } => {
                 let period = (up + down).as_micros().max(1);
@@ -219,7 +219,7 @@
 
 /// Passes a call with `effect` through `plans`; the first that strikes it counts. The effect never
 /// depends on whether the caller goes on waiting.
-pub(crate) async fn pass<T, E>(
+pub(crate) async fn call_through<T, E>(
     plans: &[&FaultPlan],
     peer: &str,
     step: &'static str,
@@ -231,7 +231,7 @@
 {
     let mut struck = None;
     for plan in plans {
-        let fault = plan.admit(step).await;
+        let fault = plan.next_fault(step).await;
         struck = struck.or(fault);
     }
     let Some(fault) = struck else { return Ok(effect()) };
@@ -263,10 +263,10 @@
             Err(error::CallFault::Refused { status: 413, detail })
         }
         Fault::RequestLost => {
-            time::sleep(SILENCE).await;
+            time::sleep(LOST_CALL_TIMEOUT).await;
             Err(no_answer())
         }
-        Fault::CallerPanics => fail_caller(),
+        Fault::CallerPanics => panic_caller(),
         Fault::AnswerLost => {
             effect();
             Err(no_answer())
@@ -291,7 +291,7 @@
 }
 
 /// Ends the task of the caller, as a fault of its program would.
-pub(crate) fn fail_caller() -> ! {
+pub(crate) fn panic_caller() -> ! {
     panic!("a caller that panics, as its test has asked for")
 }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -38,7 +38,7 @@
     }
 
     /// The same fleet behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> WorkerFleet {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> WorkerFleet {
         WorkerFleet { path, ..self.clone() }
     }
 
@@ -87,7 +87,7 @@
             return Err(fault::call_error(address, step, fault));
         };
         let effect = move || effect(&mut state::lock(&worker.state), Instant::now());
-        fault::pass(&[&self.path, &worker.plan], address, step, effect).await
+        fault::call_through(&[&self.path, &worker.plan], address, step, effect).await
     }
 }
 
@@ -109,7 +109,7 @@
 
     /// Stops its clock and holds calls to it until [`WorkerFake::resume`].
     pub fn pause(&self) {
-        self.plan.set(fault::Condition::Held);
+        self.plan.set(fault::Condition::Paused);
         state::lock(&self.state).set_paused(true, Instant::now());
     }
 
--- a/crates/standin/src/instance.rs
+++ b/crates/standin/src/instance.rs
@@ -49,7 +49,7 @@
     }
 
     /// The same list behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> InstanceFake {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> InstanceFake {
         InstanceFake { path, ..self.clone() }
     }
 
@@ -98,7 +98,8 @@
     ) -> Result<model::InstanceListing, error::CallError> {
         let list = Arc::clone(&self.list);
         let effect = move || state::lock(&list).show(query.known, Instant::now());
-        fault::pass(&[&self.path, &self.plan], PEER, model::InstanceQuery::PATH, effect).await
+        fault::call_through(&[&self.path, &self.plan], PEER, model::InstanceQuery::PATH, effect)
+            .await
     }
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod upstream;
 pub mod worker;
 
-mod rig;
 mod state;
+mod trailing_bytes;
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -90,14 +90,14 @@
     }
 
     /// Faults of messages that travel from `from` to `to`: requests one way, answers the other.
-    /// One-way loss is [`fault::Condition::Silent`] here.
+    /// One-way loss is [`fault::Condition::Dropping`] here.
     pub fn path(&self, from: &str, to: &str) -> fault::FaultPlan {
         let key = (from.to_owned(), to.to_owned());
         state::lock(&self.state).paths.entry(key).or_default().clone()
     }
 
     /// Faults of all messages that the process at `address` sends or receives;
-    /// [`fault::Condition::Held`] is a paused process.
+    /// [`fault::Condition::Paused`] is a paused process.
     pub fn process(&self, address: &str) -> fault::FaultPlan {
         state::lock(&self.state).processes.entry(address.to_owned()).or_default().clone()
     }
@@ -146,9 +146,9 @@
     ) -> Result<C::Reply, error::CallFault> {
         state::lock(&self.net.state).calls += 1;
         let body = codec::encode(&call).map_err(malformed)?;
-        let sender = self.net.process(&self.from).standing().await;
-        let fault = self.net.path(&self.from, peer).admit(C::PATH).await;
-        let receiver = self.net.process(peer).admit(C::PATH).await;
+        let sender = self.net.process(&self.from).condition_fault().await;
+        let fault = self.net.path(&self.from, peer).next_fault(C::PATH).await;
+        let receiver = self.net.process(peer).next_fault(C::PATH).await;
         time::sleep(self.net.send(body.len())).await;
         let net = self.net.clone();
         let address = peer.clone();
@@ -157,8 +157,8 @@
             None => serve.await?,
             Some(fault) => struck(fault, serve).await?,
         };
-        let lost = self.net.path(peer, &self.from).standing().await;
-        let late = self.net.process(&self.from).standing().await;
+        let lost = self.net.path(peer, &self.from).condition_fault().await;
+        let late = self.net.process(&self.from).condition_fault().await;
         time::sleep(self.net.send(reply.len())).await;
         match lost.or(late) {
             None => codec::decode(&reply).map_err(malformed),
@@ -167,7 +167,7 @@
                 codec::decode(&reply).map_err(malformed)
             }
             Some(_) => {
-                time::sleep(fault::SILENCE).await;
+                time::sleep(fault::LOST_CALL_TIMEOUT).await;
                 Err(no_answer())
             }
         }
@@ -227,10 +227,10 @@
         fault::Fault::Unavailable => Err(refused(503, "the service is unavailable".to_owned())),
         fault::Fault::Rejected => Err(refused(413, "the call is too large".to_owned())),
         fault::Fault::RequestLost => {
-            time::sleep(fault::SILENCE).await;
+            time::sleep(fault::LOST_CALL_TIMEOUT).await;
             Err(no_answer())
         }
-        fault::Fault::CallerPanics => fault::fail_caller(),
+        fault::Fault::CallerPanics => fault::panic_caller(),
         fault::Fault::AnswerLost => {
             let _ = serve.await;
             Err(no_answer())
--- a/crates/standin/src/object.rs
+++ b/crates/standin/src/object.rs
@@ -32,7 +32,7 @@
     }
 
     /// The same store behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> ObjectFake {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> ObjectFake {
         ObjectFake { path, ..self.clone() }
     }
 
@@ -54,7 +54,7 @@
     ) -> Result<T, error::CallError> {
         let objects = Arc::clone(&self.objects);
         let effect = move || effect(&mut state::lock(&objects));
-        fault::pass(&[&self.path, &self.plan], PEER, step, effect).await
+        fault::call_through(&[&self.path, &self.plan], PEER, step, effect).await
     }
 }
 
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -91,7 +91,7 @@
     }
 
     /// The same workers as one instance reaches them.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> PoolFleet {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> PoolFleet {
         PoolFleet { path, ..self.clone() }
     }
 
@@ -270,7 +270,7 @@
             reached.map_or(Reach::Nobody, |it| Reach::Worker(effect(it, room)))
         };
         let plans = [&self.path, &plan];
-        let passing = fault::pass(&plans, worker, step, effect);
+        let passing = fault::call_through(&plans, worker, step, effect);
         let passed = time::timeout(limit, passing).await;
         let passed = passed.unwrap_or_else(|_| {
             let timed_out = almondpass_peer::error::CallFault::TimedOut(limit);
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -37,7 +37,7 @@
     /// Most rows that one answer to a follower tells.
     pub feed_rows: usize,
     /// Rows that nobody may write.
-    pub barred: BTreeSet<ids::RowKey>,
+    pub read_only_rows: BTreeSet<ids::RowKey>,
 }
 
 impl Default for TableLimits {
@@ -48,7 +48,7 @@
             entries: usize::MAX,
             page_rows: usize::MAX,
             feed_rows: usize::MAX,
-            barred: BTreeSet::new(),
+            read_only_rows: BTreeSet::new(),
         }
     }
 }
@@ -60,7 +60,7 @@
         let refused = |status, detail: &str| {
             Some(error::CallFault::Refused { status, detail: detail.to_owned() })
         };
-        if transaction.writes.iter().any(|it| self.barred.contains(&it.key)) {
+        if transaction.writes.iter().any(|it| self.read_only_rows.contains(&it.key)) {
             return refused(403, "a row that is not to be written");
         }
         if transaction.writes.iter().any(|it| bytes(it) > self.row_bytes) {
@@ -98,7 +98,7 @@
     /// When each row was removed that was there.
     removals: BTreeMap<ids::RowKey, Vec<Instant>>,
     /// Rows that were told to those who read or follow tables, by the prefix of the table.
-    told: BTreeMap<String, usize>,
+    rows_returned: BTreeMap<String, usize>,
 }
 
 /// Where the versions of rows are taken from.
@@ -141,7 +141,7 @@
     }
 
     /// The same table behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> TableFake {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> TableFake {
         TableFake { path, ..self.clone() }
     }
 
@@ -156,9 +156,9 @@
     }
 
     /// Rows of a table that were told so far to those who read or follow it.
-    pub fn told(&self, table: &str) -> usize {
+    pub fn rows_returned(&self, table: &str) -> usize {
         let rows = state::lock(&self.rows);
-        rows.told.get(&format!("{table}/")).copied().unwrap_or_default()
+        rows.rows_returned.get(&format!("{table}/")).copied().unwrap_or_default()
     }
 
     /// Transactions that committed so far.
@@ -184,7 +184,7 @@
     ) -> Result<T, error::CallError> {
         let rows = Arc::clone(&self.rows);
         let effect = move || effect(&mut state::lock(&rows));
-        fault::pass(&[&self.path, &self.plan], PEER, step, effect).await
+        fault::call_through(&[&self.path, &self.plan], PEER, step, effect).await
     }
 }
 
@@ -335,7 +335,7 @@
         });
         let mut rows = wanted.map(|(key, row)| row.fed(key)).collect::<Vec<_>>();
         rows.sort_by_key(|it| it.version);
-        *self.told.entry(prefix.to_owned()).or_default() += rows.len();
+        *self.rows_returned.entry(prefix.to_owned()).or_default() += rows.len();
         row_feed::FeedRows { rows, version: self.transactions, more: false }
     }
 }
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/trailing_bytes.rs
@@ -12,30 +12,30 @@
 
 /// Appends bytes behind the answer that is being written. No HTTP server would do so by itself.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AnswerRig {
+pub(crate) struct TrailingBytes {
     extra: Arc<Mutex<Bytes>>,
 }
 
 /// A connection with its rig.
 #[derive(Debug)]
-pub(crate) struct RiggedStream<S> {
+pub(crate) struct TrailingBytesStream<S> {
     stream: S,
-    rig: AnswerRig,
+    trailing: TrailingBytes,
 }
 
-impl AnswerRig {
+impl TrailingBytes {
     pub(crate) fn append(&self, extra: Bytes) {
         *state::lock(&self.extra) = extra;
     }
 }
 
-impl<S> RiggedStream<S> {
-    pub(crate) fn new(stream: S, rig: AnswerRig) -> RiggedStream<S> {
-        RiggedStream { stream, rig }
+impl<S> TrailingBytesStream<S> {
+    pub(crate) fn new(stream: S, trailing: TrailingBytes) -> TrailingBytesStream<S> {
+        TrailingBytesStream { stream, trailing }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for RiggedStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TrailingBytesStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for RiggedStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TrailingBytesStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -68,7 +68,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        let mut extra = state::lock(&this.rig.extra);
+        let mut extra = state::lock(&this.trailing.extra);
         while !extra.is_empty() {
             let written = ready!(Pin::new(&mut this.stream).poll_write(cx, &extra))?;
             extra.advance(written);
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -24,8 +24,8 @@
 use crate::execution;
 use crate::fault;
 use crate::fleet;
-use crate::rig;
 use crate::state;
+use crate::trailing_bytes;
 
 /// Carries the request's id to an upstream, and back.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -45,7 +45,7 @@
     /// Refuses with status 503 and executes nothing.
     Refuse,
     /// Closes the connection and executes nothing.
-    Hang,
+    Disconnect,
     /// Executes, and answers this much later.
     Late(Duration),
     /// Executes, and answers with the id of another request.
@@ -61,7 +61,7 @@
     /// Executes, and sends the answer in pieces, this far apart.
     Slow(Duration),
     /// Executes, and closes the connection without an answer.
-    Silent,
+    NoAnswer,
     /// Executes, and answers with status 500.
     Error,
 }
@@ -132,12 +132,12 @@
     }
 
     /// Sets how long requests run that don't say it themselves.
-    pub fn set_run(&self, run: Duration) {
+    pub fn set_run_time(&self, run: Duration) {
         state::lock(&self.state).run = run;
     }
 
     /// Misbehaves with the next request that has no misbehaviour of its own; queued.
-    pub fn next(&self, misbehaviour: Misbehaviour) {
+    pub fn misbehave_next(&self, misbehaviour: Misbehaviour) {
         state::lock(&self.state).scripted.push_back(misbehaviour);
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Misbehaves with every request, or with none.
-    pub fn always(&self, misbehaviour: Option<Misbehaviour>) {
+    pub fn set_misbehaviour(&self, misbehaviour: Option<Misbehaviour>) {
         state::lock(&self.state).standing = misbehaviour;
     }
 
     /// Forgets all misbehaviours that have not struck yet.
-    pub fn forgive(&self) {
+    pub fn clear_misbehaviours(&self) {
         let mut state = state::lock(&self.state);
         state.scripted.clear();
         state.by_request.clear();
@@ -183,11 +183,11 @@
         stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
     ) {
         let _connection = self.log.connection(&self.place.worker);
-        let rig = rig::AnswerRig::default();
-        let io = TokioIo::new(rig::RiggedStream::new(stream, rig.clone()));
+        let trailing = trailing_bytes::TrailingBytes::default();
+        let io = TokioIo::new(trailing_bytes::TrailingBytesStream::new(stream, trailing.clone()));
         let handler = service::service_fn(move |request| {
-            let (upstream, rig) = (self.clone(), rig.clone());
-            async move { upstream.handle(request, &rig).await }
+            let (upstream, trailing) = (self.clone(), trailing.clone());
+            async move { upstream.handle(request, &trailing).await }
         });
         // The peer's going away and scripted misbehaviour both end it with an error.
         let _ = http1::Builder::new().serve_connection(io, handler).await;
@@ -196,14 +196,14 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        rig: &rig::AnswerRig,
+        trailing: &trailing_bytes::TrailingBytes,
     ) -> Result<Response<AnswerBody>, UpstreamError> {
         self.worker_up().await?;
         let (head, body) = request.into_parts();
         let (misbehaviour, previous) = self.admit(&head.headers);
         match misbehaviour {
             Some(Misbehaviour::Refuse) => return Ok(status(StatusCode::SERVICE_UNAVAILABLE)),
-            Some(Misbehaviour::Hang) => return Err(UpstreamError::Closed),
+            Some(Misbehaviour::Disconnect) => return Err(UpstreamError::Closed),
             _ => {}
         }
         let id = head.headers.get(&REQUEST_ID).cloned();
@@ -225,7 +225,7 @@
         let answer = chain(first, body);
         let mut response = match misbehaviour {
             None => Response::new(answer),
-            Some(it) => self.misbehave(it, answer, &head.headers, rig).await?,
+            Some(it) => self.misbehave(it, answer, &head.headers, trailing).await?,
         };
         let id = match misbehaviour {
             Some(Misbehaviour::CrossedId) => Some(previous.unwrap_or_else(another_id)),
@@ -245,7 +245,7 @@
     /// Waits while the worker is paused, and fails where it is dead.
     async fn worker_up(&self) -> Result<(), UpstreamError> {
         let Some(control) = &self.place.control else { return Ok(()) };
-        match control.faults().standing().await {
+        match control.faults().condition_fault().await {
             Some(fault::Fault::RequestLost) => future::pending().await,
             Some(fault::Fault::Refused) => Err(UpstreamError::Closed),
             _ => Ok(()),
@@ -292,19 +292,19 @@
         misbehaviour: Misbehaviour,
         answer: AnswerBody,
         headers: &HeaderMap,
-        rig: &rig::AnswerRig,
+        trailing: &trailing_bytes::TrailingBytes,
     ) -> Result<Response<AnswerBody>, UpstreamError> {
         let whole = Limited::new(answer, MAX_HELD_BYTES).collect().await;
         let whole = whole.map_err(|_| UpstreamError::Closed)?.to_bytes();
         match misbehaviour {
-            Misbehaviour::Refuse | Misbehaviour::Hang | Misbehaviour::Silent => {
+            Misbehaviour::Refuse | Misbehaviour::Disconnect | Misbehaviour::NoAnswer => {
                 return Err(UpstreamError::Closed);
             }
             Misbehaviour::Error => return Ok(status(StatusCode::INTERNAL_SERVER_ERROR)),
             Misbehaviour::CrossedId | Misbehaviour::MissingId => {}
             Misbehaviour::Late(delay) => clock::sleep(delay).await,
-            Misbehaviour::ExtraBytes => rig.append(Bytes::from_static(EXTRA_BYTES)),
-            Misbehaviour::Duplicate => rig.append(written_by_hand(&whole, headers)),
+            Misbehaviour::ExtraBytes => trailing.append(Bytes::from_static(EXTRA_BYTES)),
+            Misbehaviour::Duplicate => trailing.append(written_by_hand(&whole, headers)),
             Misbehaviour::CutShort => {
                 let mut response = Response::new(pieces(whole.clone(), None));
                 let declared = HeaderValue::from(whole.len() + MISSING_BYTES);
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -90,7 +90,7 @@
         instances.list(model::InstanceQuery::default()).await.unwrap_err().fault.had_no_effect()
     );
     site.fakes.instances().faults().set(fault::Condition::Up);
-    site.fakes.instances().faults().next("/v1/instances", fault::Fault::AnswerLost);
+    site.fakes.instances().faults().inject_next("/v1/instances", fault::Fault::AnswerLost);
     assert!(
         !instances.list(model::InstanceQuery::default()).await.unwrap_err().fault.had_no_effect()
     );
@@ -150,7 +150,7 @@
             let (site, _) = start(1).await;
             let (address, fake) = site.fakes.upstreams.iter().next().unwrap();
             if let Some(misbehaviour) = $misbehaviour {
-                fake.next(misbehaviour);
+                fake.misbehave_next(misbehaviour);
             }
             assert_eq!(exchange(address, "id-1", "plate").await, $seen);
             assert_eq!(site.fakes.executions.count("id-1"), $executed);
@@ -164,9 +164,9 @@
     refusing_upstream_executes_nothing:
         Some(upstream::Misbehaviour::Refuse) => whole(503, None, ""), executed 0;
     hanging_up_upstream_executes_nothing:
-        Some(upstream::Misbehaviour::Hang) => SeenAnswer::NoAnswer, executed 0;
+        Some(upstream::Misbehaviour::Disconnect) => SeenAnswer::NoAnswer, executed 0;
     silent_upstream_executes:
-        Some(upstream::Misbehaviour::Silent) => SeenAnswer::NoAnswer, executed 1;
+        Some(upstream::Misbehaviour::NoAnswer) => SeenAnswer::NoAnswer, executed 1;
     failing_upstream_executes:
         Some(upstream::Misbehaviour::Error) => whole(500, Some("id-1"), ""), executed 1;
     crossed_answer_has_another_id:
@@ -186,7 +186,7 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (site, _) = start(1).await;
     let (address, fake) = site.fakes.upstreams.iter().next().unwrap();
-    fake.next(misbehaviour);
+    fake.misbehave_next(misbehaviour);
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = "POST / HTTP/1.1\r\nx-request-id: id-1\r\nconnection: close\r\n";
     let request = format!("{head}content-length: 5\r\n\r\nplate");
--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -115,7 +115,7 @@
     delayed_start_runs_all_the_same(fleet, worker) {
         let address = ADDRESS.to_owned();
         let delay = Duration::from_secs(2);
-        worker.faults().next(model::TaskStart::PATH, fault::Fault::DelayedEffect(delay));
+        worker.faults().inject_next(model::TaskStart::PATH, fault::Fault::DelayedEffect(delay));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         let error = fleet.start(&address, start("a")).await.unwrap_err();
         assert!(!error.fault.had_no_effect());
