--- a/crates/daemon/examples/measure_fleet/fleet.rs
+++ b/crates/daemon/examples/measure_fleet/fleet.rs
@@ -57,7 +57,8 @@
         worker_poll: span::TimeSpan,
     ) -> anyhow::Result<BenchFleet> {
         let document = document(n_workers);
-        let platform = site::SiteServer::start(&plan::workers_of(&document), LIST_LAG).await?;
+        let platform =
+            site::SiteServer::start(&plan::configured_workers(&document), LIST_LAG).await?;
         let config = client::ClientConfig {
             cluster_key: Some(key::ClusterKey::new(CLUSTER_KEY)),
             ..client::ClientConfig::default()
--- a/crates/daemon/src/demo/cluster.rs
+++ b/crates/daemon/src/demo/cluster.rs
@@ -44,7 +44,7 @@
 impl DemoCluster {
     /// Starts the platform with the workers of `document`.
     pub async fn start(document: &model::ConfigDocument) -> anyhow::Result<DemoCluster> {
-        let workers = plan::workers_of(document);
+        let workers = plan::configured_workers(document);
         let platform =
             standin::SiteServer::start(&workers, LIST_LAG).await.context("stand-in platform")?;
         Ok(DemoCluster {
--- a/crates/daemon/tests/site/common.rs
+++ b/crates/daemon/tests/site/common.rs
@@ -49,7 +49,7 @@
     /// A site of the Laboratories with accepted configuration 1, and `n_instances`, all ready.
     pub(crate) async fn start(n_instances: usize) -> TestSite {
         let document = laboratories();
-        let workers = plan::workers_of(&document);
+        let workers = plan::configured_workers(&document);
         let lag = Duration::from_millis(500);
         let platform = site::SiteServer::start(&workers, lag).await.expect("a platform");
         let keys = tempfile::tempdir().expect("a directory");
--- a/crates/fleet-tests/src/storm.rs
+++ b/crates/fleet-tests/src/storm.rs
@@ -465,7 +465,7 @@
             Heal::Worker(index) => self.world.enter(|it| {
                 let worker = &it.workers()[index];
                 worker.resume();
-                worker.set_health(worker::WorkerHealth::Sound);
+                worker.set_health(worker::WorkerHealth::Healthy);
                 worker.faults().sample(0, fault::FaultRates::default());
             }),
             Heal::Upstream(index) => self.world.upstreams()[index].set_misbehaviour(None),
--- a/crates/fleet-tests/src/world.rs
+++ b/crates/fleet-tests/src/world.rs
@@ -81,7 +81,7 @@
     /// A site with `n_nodes` instances that hold its halls, under the first configuration.
     pub fn start(seed: u64, n_nodes: usize) -> FleetWorld {
         let runtime = runtime::PacedRuntime::first();
-        let workers = plan::workers_of(&document::document());
+        let workers = plan::configured_workers(&document::document());
         let site = runtime.block_on(site::SiteServer::start(&workers, LIST_LAG));
         let now = runtime.now();
         let mut world = FleetWorld {
--- a/crates/hall/examples/measure_hall.rs
+++ b/crates/hall/examples/measure_hall.rs
@@ -38,7 +38,7 @@
 
 async fn measure(n_racks: u32) {
     let site = TestSite::with_racks(n_racks);
-    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7_000)));
+    site.fleet.scripts().set_default(support::task_script(Duration::from_secs(7_000)));
     let holder = start(&site, "a");
     support::wait_until("the first holds", async || holder.holds()).await;
     let other = start(&site, "b");
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -73,7 +73,7 @@
 async fn run(steps: &[Step]) -> Vec<String> {
     let site = TestSite::new();
     site.change_config(|it| it.bounds.job_retention = time::TimeSpan::from_secs(1_000_000));
-    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7)));
+    site.fleet.scripts().set_default(support::task_script(Duration::from_secs(7)));
     let keys = (0..5).map(|_| site.key()).collect();
     let mut world = World {
         site,
--- a/crates/hall/tests/hall/gangs.rs
+++ b/crates/hall/tests/hall/gangs.rs
@@ -72,7 +72,7 @@
     /// Sequence: a worker dies under a running gang.
     a_worker_that_dies_under_a_gang(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(100)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(100)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         let lost = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
@@ -90,7 +90,7 @@
     /// Sequence: a worker does not answer for less than the term of its leases.
     a_short_silence_of_a_worker_stops_nothing(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(120)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(120)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         for (_, worker) in site.fleet.workers() {
             worker.faults().set(Condition::Dropping);
@@ -157,7 +157,7 @@
     a_roll_back_of_an_old_holder_hits_only_its_own_leases(site) {
         let old = site.start_holder("a").await;
         let new = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(60)));
         support::advance(support::secs(1)).await;
         old.cut_off_from_table();
         old.worker_faults.set(Condition::Paused);
--- a/crates/hall/tests/hall/handover.rs
+++ b/crates/hall/tests/hall/handover.rs
@@ -114,7 +114,7 @@
     a_holder_that_leaves_in_an_outage_stays_until_it_can_hand_over(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(200)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(200)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         site.table.faults().set(almondpass_standin::fault::Condition::Refusing);
         support::advance(support::secs(10)).await;
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -21,7 +21,7 @@
     /// Cause: the state was set when a checkpoint was asked for and stayed after it was durable.
     a_run_that_was_saved_runs_on(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         support::advance(support::secs(630)).await;
         let record = site.job_row(job).expect("a row");
@@ -62,7 +62,7 @@
     a_commit_that_arrives_late_undoes_nothing(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
-            site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
+            site.fleet.scripts().set_default(support::task_script(support::secs(1)));
             let instance = site.start_holder("a").await;
             let late = Fault::DelayedEffect(support::secs(20));
             instance.table_faults.inject_nth(model::TableTransaction::PATH, nth, late);
@@ -105,7 +105,7 @@
     /// Cause: a write for each.
     cancellations_are_written_in_groups(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let jobs = (0..500).map(|_| site.key()).collect::<Vec<_>>();
         let submits = jobs.iter().map(|job| {
@@ -157,7 +157,7 @@
     work_that_may_run_only_once_is_never_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = holder.run_gang(&site, support::SINGLE_RUN_JOB, 2).await;
         for (_, worker) in site.fleet.workers() {
             worker.crash();
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -13,7 +13,7 @@
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(7200)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(7200)));
         let long = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.table.faults().set(Condition::Refusing);
         for _ in 0..60 {
--- a/crates/hall/tests/hall/support.rs
+++ b/crates/hall/tests/hall/support.rs
@@ -83,7 +83,7 @@
             clock: clock::WallClock::starting_at(time::WallTime(EPOCH)),
             n_keys: AtomicU64::new(0),
         };
-        let workers = plan::workers_of(&document).into_iter().map(|it| {
+        let workers = plan::configured_workers(&document).into_iter().map(|it| {
             let address = format!("{}:control", it.shape.id);
             site.fleet.add(&address, it.shape.clone());
             let upstreams = it.upstreams.iter().map(|name| snapshot::UpstreamEntry {
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -38,7 +38,7 @@
     a_complete_gang_is_adopted(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(60)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
@@ -58,7 +58,7 @@
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let failed = async || site.job_row(job).is_some_and(|it| !it.failed_on.is_empty());
         support::wait_until("the gang has failed", failed).await;
-        worker.set_health(worker::WorkerHealth::Sound);
+        worker.set_health(worker::WorkerHealth::Healthy);
         holder.crash(&site);
         support::wait_until("the other holds", async || other.holds()).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
@@ -70,7 +70,7 @@
     a_gang_that_ends_while_nobody_watches(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(2)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(2)));
         let jobs = [
             holder.run_gang(&site, support::REPEATABLE_JOB, 3).await,
             holder.run_gang(&site, support::SINGLE_RUN_JOB, 3).await,
@@ -88,7 +88,7 @@
     a_partial_gang_is_released_and_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(60)));
         let filler = holder.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let job = site.key();
         support::expect_record(holder.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await);
@@ -176,7 +176,7 @@
     a_gang_on_a_silent_worker_is_kept_for_a_term(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(60)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         support::advance(support::secs(1)).await;
         let silent = site.fleet.runs()[0].worker.clone();
@@ -197,7 +197,7 @@
     a_cancellation_survives_its_scheduler(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(600)));
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         holder.worker_faults.set(Condition::Dropping);
         support::expect_record(holder.cancel(job).await);
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -445,7 +445,7 @@
         let since = |it: Instant| it - self.bench.started;
         let records = self.bench.fleet.records().into_iter();
         let run = |it: pool_worker::RunRecord| {
-            (it.task, it.attempt, it.worker, since(it.began), since(it.ended))
+            (it.task, it.attempt, it.worker, since(it.started), since(it.ended))
         };
         let n_writes = self.bench.store.committed();
         PlayedStorm { n_writes, runs: records.map(run).collect() }
--- a/crates/pool/tests/pool/calm.rs
+++ b/crates/pool/tests/pool/calm.rs
@@ -29,7 +29,7 @@
         let records = bench.fleet.records();
         assert_eq!(records.len(), 5);
         let first_ended = records.iter().filter(|it| it.task.step == 0).map(|it| it.ended).max();
-        let second_began = records.iter().filter(|it| it.task.step == 1).map(|it| it.began).min();
+        let second_began = records.iter().filter(|it| it.task.step == 1).map(|it| it.started).min();
         assert!(first_ended <= second_began);
         bench.assert_nothing_ran_twice();
     });
@@ -162,7 +162,7 @@
         assert_eq!(records.len(), 6);
         for record in records {
             let due = Duration::from_secs(3 + 4 * u64::from(record.task.occurrence));
-            assert!(record.began >= submitted + due - EARLY, "{record:?}");
+            assert!(record.started >= submitted + due - EARLY, "{record:?}");
         }
     });
 }
--- a/crates/pool/tests/pool/evacuations.rs
+++ b/crates/pool/tests/pool/evacuations.rs
@@ -60,7 +60,7 @@
         let killed_at = Instant::now();
         bench.start_instance(&address);
         time::sleep(SOON).await;
-        let late = runs_in(&bench, 0).into_iter().filter(|it| it.began > killed_at);
+        let late = runs_in(&bench, 0).into_iter().filter(|it| it.started > killed_at);
         assert_eq!(late.count(), 0);
         assert!(bench.fleet.n_running() > 0);
     });
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -74,7 +74,10 @@
         assert_eq!(bench.cancel(other, 1).await, model::CancelOutcome::Cancelled);
         time::sleep(Duration::from_secs(2)).await;
         let records = bench.fleet.records();
-        assert_eq!(records.iter().map(|it| it.how).collect::<Vec<_>>(), [order::EndKind::Stopped]);
+        assert_eq!(
+            records.iter().map(|it| it.end_kind).collect::<Vec<_>>(),
+            [order::EndKind::Stopped]
+        );
     });
 }
 
--- a/crates/pool/tests/pool/outages.rs
+++ b/crates/pool/tests/pool/outages.rs
@@ -77,7 +77,7 @@
         bench.store.faults().set(fault::Condition::Up);
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         let records = bench.fleet.records();
-        assert!(records.iter().all(|it| it.how == almondpass_graph::order::EndKind::Done));
+        assert!(records.iter().all(|it| it.end_kind == almondpass_graph::order::EndKind::Done));
         bench.assert_nothing_ran_twice();
     });
 }
--- a/crates/pool/tests/pool/panics.rs
+++ b/crates/pool/tests/pool/panics.rs
@@ -29,7 +29,7 @@
 /// Guards against a worker that nobody looks at any more.
 #[test]
 fn a_panic_at_a_look_does_not_end_the_session() {
-    check_call(pool_fleet::HOLD);
+    check_call(pool_fleet::POLL);
 }
 
 /// Guards against a task that counts as started for good, and a worker that gets no orders any more.
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -35,7 +35,7 @@
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(20)).await;
         bench.assert_nothing_ran_twice();
         let n_done =
-            bench.fleet.records().iter().filter(|it| it.how == order::EndKind::Done).count();
+            bench.fleet.records().iter().filter(|it| it.end_kind == order::EndKind::Done).count();
         assert_eq!(n_done, 12);
     });
 }
@@ -78,7 +78,7 @@
 fn a_start_carried_out_late_is_barred_in_a_later_life() {
     support::run(async {
         let bench = support::PoolBench::start(1, 2).await;
-        bench.fleet.let_starts_outlive();
+        bench.fleet.allow_starts_on_later_incarnations();
         // The workers' clocks show far more than the term of a start. The first worker is full.
         bench.submit(0, 1, support::job(8, 120_000)).await;
         time::sleep(Duration::from_secs(60)).await;
--- a/crates/pool/tests/pool/rooms.rs
+++ b/crates/pool/tests/pool/rooms.rs
@@ -13,7 +13,7 @@
 /// Two workers that refuse nothing.
 async fn unguarded_bench() -> support::PoolBench {
     let bench = support::PoolBench::start(2, 2).await;
-    bench.fleet.unguard();
+    bench.fleet.disable_capacity_check();
     bench.start_heartbeats();
     bench.set_document_unguarded(2).await;
     time::sleep(Duration::from_secs(2)).await;
@@ -21,7 +21,7 @@
 }
 
 fn assert_none_overfull(bench: &support::PoolBench) {
-    assert_eq!(bench.fleet.overfull(), []);
+    assert_eq!(bench.fleet.oversubscribed_starts(), []);
 }
 
 /// Work goes where there is room now, and back once the room has grown again.
--- a/crates/pool/tests/pool/sessions.rs
+++ b/crates/pool/tests/pool/sessions.rs
@@ -34,5 +34,5 @@
 /// A worker was never looked at again behind a look that had failed, and the end of its task never heard of.
 #[test]
 fn looks_go_on_behind_one_that_panics() {
-    support::run(check_a_panic_in(pool_fleet::HOLD, Duration::from_millis(500)));
+    support::run(check_a_panic_in(pool_fleet::POLL, Duration::from_millis(500)));
 }
--- a/crates/pool/tests/pool/still_jobs.rs
+++ b/crates/pool/tests/pool/still_jobs.rs
@@ -179,7 +179,7 @@
     fn of(bench: &support::PoolBench) -> FleetView {
         let running = bench.fleet.running();
         let records = bench.fleet.records();
-        let is_done = |it: &&pool_worker::RunRecord| it.how == order::EndKind::Done;
+        let is_done = |it: &&pool_worker::RunRecord| it.end_kind == order::EndKind::Done;
         let done = || records.iter().filter(is_done);
         let mut free_by_rack = BTreeMap::<usize, usize>::new();
         let up = bench.fleet.workers_up();
@@ -193,7 +193,7 @@
             n_all: up.len() * WHOLE_ROOM,
             running: running.into_iter().map(|(_, task)| task.graph).collect(),
             done: done().map(|it| it.task).collect(),
-            noted: done().filter(|it| it.is_noted).map(|it| it.task).collect(),
+            noted: done().filter(|it| it.is_acknowledged).map(|it| it.task).collect(),
             free_by_rack,
         }
     }
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -97,7 +97,7 @@
     /// Whether a run was started there although it had long been known.
     fn is_broken_by(&self, run: &pool_worker::RunRecord) -> bool {
         let is_there = support::index_of(&run.worker) / WORKERS_A_DATA_CENTER == self.number;
-        is_there && run.began > self.acked_at + EVACUATED_WITHIN && run.began < self.until
+        is_there && run.started > self.acked_at + EVACUATED_WITHIN && run.started < self.until
     }
 }
 
@@ -268,7 +268,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut bench = support::PoolBench::start(N_INSTANCES, kind.n_workers()).await;
     if kind == StormKind::UntoldRestarts {
-        bench.fleet.hide_lives();
+        bench.fleet.hide_incarnations();
         for worker in 0..N_WORKERS {
             bench.restart_worker(worker, Duration::ZERO).await;
             bench.write_entry(worker).await;
@@ -280,7 +280,7 @@
         bench.restart_crashed_workers(support::RestartMode::Rotating, down);
     }
     if kind == StormKind::Rooms {
-        bench.fleet.unguard();
+        bench.fleet.disable_capacity_check();
         bench.set_document_unguarded(2).await;
         time::sleep(FIRST_HEARTBEATS).await;
     }
@@ -509,7 +509,8 @@
     }
     // BUDGET: no task fails more often than allowed, counting the ends that stand.
     let mut failures = BTreeMap::<_, u32>::new();
-    let failed = records.iter().filter(|it| it.how == order::EndKind::Failed && it.is_noted);
+    let failed =
+        records.iter().filter(|it| it.end_kind == order::EndKind::Failed && it.is_acknowledged);
     for record in failed {
         *failures.entry(record.task).or_default() += 1;
     }
@@ -519,18 +520,18 @@
     for graph in &ledger.crashing {
         let first = task_key::TaskKey { graph: *graph, occurrence: 0, step: 0, task: 0 };
         let mut runs = records.iter().filter(|it| it.task == first).collect::<Vec<_>>();
-        runs.sort_by_key(|it| it.began);
-        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_in_touch(it.began));
+        runs.sort_by_key(|it| it.started);
+        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_in_touch(it.started));
         assert!(later.count() <= MOST_LATER, "storm {seed}: starts of {first}: {runs:?}");
     }
     // EVAC: instances in touch start nothing in a data centre that has been evacuated for a while.
     for span in &ledger.past_evacuations {
         let broken = records.iter().filter(|it| span.is_broken_by(it));
-        let broken = broken.filter(|it| ledger.is_in_touch(it.began)).collect::<Vec<_>>();
+        let broken = broken.filter(|it| ledger.is_in_touch(it.started)).collect::<Vec<_>>();
         assert!(broken.is_empty(), "storm {seed}: {span:?}, {broken:?}");
     }
     // LIMIT: no start brings a worker over its room.
-    let overfull = bench.fleet.overfull();
+    let overfull = bench.fleet.oversubscribed_starts();
     assert_eq!(overfull, [], "storm {seed}");
     // ORDER: a step begins once each task of the one before it has ended well. A task may run once
     // more behind that: its end was not acknowledged before the worker's lease lapsed, another run
@@ -539,12 +540,12 @@
         let of =
             |step| records.iter().filter(move |it| it.task.graph == *graph && it.task.step == step);
         let mut first_ends = BTreeMap::new();
-        for record in of(0).filter(|it| it.how == order::EndKind::Done) {
+        for record in of(0).filter(|it| it.end_kind == order::EndKind::Done) {
             let end = first_ends.entry(record.task).or_insert(record.ended);
             *end = record.ended.min(*end);
         }
         let done = first_ends.values().max().copied();
-        let began = of(1).map(|it| it.began).min();
+        let began = of(1).map(|it| it.started).min();
         let of_graph = records.iter().filter(|it| it.task.graph == *graph).collect::<Vec<_>>();
         assert!(began.is_none() || done <= began, "storm {seed}: steps of {graph}: {of_graph:?}");
     }
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -124,7 +124,7 @@
         token: ids::FencingToken,
         ask: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
-        self.panics.panic_if_due(pool_fleet::HOLD);
+        self.panics.panic_if_due(pool_fleet::POLL);
         self.fleet.poll(target, token, ask).await
     }
 
@@ -571,10 +571,10 @@
             by_task.entry(record.task).or_default().push(record);
         }
         for (task, mut records) in by_task {
-            records.sort_by_key(|it| it.began);
+            records.sort_by_key(|it| it.started);
             for pair in records.windows(2) {
-                assert!(pair[0].ended <= pair[1].began, "{task} ran twice: {pair:?}");
-                let stands = pair[0].how == order::EndKind::Done && pair[0].is_noted;
+                assert!(pair[0].ended <= pair[1].started, "{task} ran twice: {pair:?}");
+                let stands = pair[0].end_kind == order::EndKind::Done && pair[0].is_acknowledged;
                 assert!(!stands, "{task} ran again: {pair:?}");
             }
         }
@@ -640,7 +640,7 @@
 /// An id that no worker had, of the same rack.
 fn unused_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
     let mut index = index_of(worker) + N_IDS;
-    while fleet.was_up(&worker_id(index)) {
+    while fleet.was_ever_up(&worker_id(index)) {
         index += N_IDS;
     }
     worker_id(index)
@@ -666,7 +666,7 @@
     let incarnation = fleet.incarnation(&worker);
     let incarnation = incarnation.map(|it| it.to_string()).unwrap_or_default();
     let accelerators = fleet.capacity(&worker).map_or(0, |it| it.accelerators);
-    let (address, sequence) = (fleet.address_of(&worker), fleet.number_entry());
+    let (address, sequence) = (fleet.address_of(&worker), fleet.next_entry_number());
     format!("r{}@{incarnation}#{address}~{accelerators}+{sequence}", index / 8)
 }
 
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -204,7 +204,10 @@
         bench.submit(0, 1, support::job(1, 2_000)).await;
         bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
         let records = bench.fleet.records();
-        assert_eq!(records.iter().map(|it| it.how).collect::<Vec<_>>(), [order::EndKind::Done]);
+        assert_eq!(
+            records.iter().map(|it| it.end_kind).collect::<Vec<_>>(),
+            [order::EndKind::Done]
+        );
     });
 }
 
--- a/crates/standin/src/execution.rs
+++ b/crates/standin/src/execution.rs
@@ -77,7 +77,7 @@
     }
 
     /// How often a request with this idempotency key was executed.
-    pub fn count_key(&self, key: &str) -> usize {
+    pub fn count_by_idempotency_key(&self, key: &str) -> usize {
         let state = state::lock(&self.state);
         state.executions.iter().filter(|it| it.idempotency.as_deref() == Some(key)).count()
     }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkerFleet {
     workers: Arc<Mutex<BTreeMap<ids::PeerAddress, WorkerFake>>>,
-    scripts: script::ScriptBook,
+    scripts: script::TaskScripts,
     log: run::RunLog,
     path: fault::FaultPlan,
 }
@@ -63,7 +63,7 @@
     }
 
     /// How tasks run.
-    pub fn scripts(&self) -> &script::ScriptBook {
+    pub fn scripts(&self) -> &script::TaskScripts {
         &self.scripts
     }
 
@@ -122,7 +122,7 @@
     /// Kills it: its tasks end, its leases are gone, and connections are refused.
     pub fn crash(&self) {
         self.plan.set(fault::Condition::Refusing);
-        state::lock(&self.state).lose(Instant::now());
+        state::lock(&self.state).crash(Instant::now());
     }
 
     /// Starts it again, empty.
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -15,11 +15,14 @@
 
 /// The workers that a configuration document describes, hall by hall, rack by rack. Racks of an
 /// unknown kind have none: whoever checks the document reports them.
-pub fn workers_of(document: &model::ConfigDocument) -> Vec<WorkerPlan> {
-    document.halls.iter().flat_map(|hall| workers_of_hall(document, hall)).collect()
+pub fn configured_workers(document: &model::ConfigDocument) -> Vec<WorkerPlan> {
+    document.halls.iter().flat_map(|hall| configured_workers_of_hall(document, hall)).collect()
 }
 
-fn workers_of_hall(document: &model::ConfigDocument, hall: &model::HallLayout) -> Vec<WorkerPlan> {
+fn configured_workers_of_hall(
+    document: &model::ConfigDocument,
+    hall: &model::HallLayout,
+) -> Vec<WorkerPlan> {
     let upstreams = document.upstreams.iter().filter(|it| it.halls.contains(&hall.name));
     let upstreams = upstreams.map(|it| it.name.clone()).collect::<Vec<_>>();
     let mut workers = Vec::new();
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -14,7 +14,7 @@
 use crate::state;
 
 /// Step of a look, for fault plans.
-pub const HOLD: &str = "hold";
+pub const POLL: &str = "hold";
 
 /// Step of a start, for fault plans.
 pub const START: &str = "start";
@@ -30,7 +30,7 @@
 const FIRST_LIFE_MS: u64 = 1_800_000_000_000;
 
 /// How often a look that waits for an end looks again.
-const HOLD_TICK: Duration = Duration::from_millis(20);
+const POLL_TICK: Duration = Duration::from_millis(20);
 
 /// The workers; clones share them.
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
     starts_outlive: bool,
     unguarded: bool,
     /// Starts on dead workers beyond their rooms.
-    overfull: Vec<task_key::TaskKey>,
+    oversubscribed_starts: Vec<task_key::TaskKey>,
 }
 
 /// Whom a call has reached.
@@ -103,7 +103,7 @@
         state.known.insert(worker.to_owned());
         let mut fresh = pool_worker::PoolWorker::new(worker, incarnation, capacity);
         if state.unguarded {
-            fresh.unguard();
+            fresh.disable_capacity_check();
         }
         state.workers.insert(worker.to_owned(), fresh);
     }
@@ -127,10 +127,10 @@
     }
 
     /// From now on workers start whatever they are told to, whether it fits or not.
-    pub fn unguard(&self) {
+    pub fn disable_capacity_check(&self) {
         let mut state = state::lock(&self.state);
         state.unguarded = true;
-        state.workers.values_mut().for_each(pool_worker::PoolWorker::unguard);
+        state.workers.values_mut().for_each(pool_worker::PoolWorker::disable_capacity_check);
     }
 
     /// What a worker offers, if it is up.
@@ -146,10 +146,10 @@
     }
 
     /// Starts that brought their workers over their rooms, by the time from which these count.
-    pub fn overfull(&self) -> Vec<task_key::TaskKey> {
+    pub fn oversubscribed_starts(&self) -> Vec<task_key::TaskKey> {
         let state = state::lock(&self.state);
-        let now = state.workers.values().flat_map(|it| &it.overfull);
-        state.overfull.iter().chain(now).copied().collect()
+        let now = state.workers.values().flat_map(|it| &it.oversubscribed_starts);
+        state.oversubscribed_starts.iter().chain(now).copied().collect()
     }
 
     /// The workers that are up.
@@ -163,12 +163,12 @@
     }
 
     /// From now on no worker tells in which life it is.
-    pub fn hide_lives(&self) {
+    pub fn hide_incarnations(&self) {
         state::lock(&self.state).hides_lives = true;
     }
 
     /// From now on a start that is carried out late may be so by a later life of its worker.
-    pub fn let_starts_outlive(&self) {
+    pub fn allow_starts_on_later_incarnations(&self) {
         state::lock(&self.state).starts_outlive = true;
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// The number of the next entry that a worker writes.
-    pub fn number_entry(&self) -> u64 {
+    pub fn next_entry_number(&self) -> u64 {
         let mut state = state::lock(&self.state);
         state.n_entries += 1;
         state.n_entries
@@ -192,7 +192,7 @@
     }
 
     /// Whether there ever was a worker of that id.
-    pub fn was_up(&self, worker: &str) -> bool {
+    pub fn was_ever_up(&self, worker: &str) -> bool {
         state::lock(&self.state).known.contains(worker)
     }
 
@@ -212,7 +212,7 @@
         state.pass_crashes();
         let mut records = state.lost.clone();
         for worker in state.workers.values_mut() {
-            worker.pass_time();
+            worker.process_due_ends();
             records.extend(worker.records.iter().cloned());
         }
         records
@@ -224,7 +224,7 @@
         state.pass_crashes();
         let mut running = Vec::new();
         for (id, worker) in &mut state.workers {
-            worker.pass_time();
+            worker.process_due_ends();
             running.extend(worker.runs().keys().map(|task| (id.clone(), *task)));
         }
         running
@@ -237,7 +237,7 @@
         let workers = state.workers.values_mut();
         workers
             .map(|it| {
-                it.pass_time();
+                it.process_due_ends();
                 it.runs().len()
             })
             .sum()
@@ -302,20 +302,20 @@
 
     fn crash(&mut self, worker: &str) -> Option<resources::Resources> {
         let mut dead = self.workers.remove(worker)?;
-        dead.pass_time();
+        dead.process_due_ends();
         let running = dead.runs().iter().map(|(task, run)| pool_worker::RunRecord {
             task: *task,
             attempt: run.attempt,
             worker: worker.to_owned(),
-            began: run.began,
+            started: run.started,
             ended: Instant::now(),
-            how: order::EndKind::Lapsed,
+            end_kind: order::EndKind::Lapsed,
             number: 0,
-            is_noted: false,
+            is_acknowledged: false,
         });
         self.lost.extend(running);
         let capacity = dead.capacity();
-        self.overfull.append(&mut dead.overfull);
+        self.oversubscribed_starts.append(&mut dead.oversubscribed_starts);
         self.lost.extend(dead.records);
         Some(capacity)
     }
@@ -345,13 +345,13 @@
             let ask = ask.clone();
             let is_over = Instant::now() >= expires;
             let look = move |worker: &mut pool_worker::PoolWorker, _| {
-                let mut listed = worker.hold(token, &ask)?;
+                let mut listed = worker.poll(token, &ask)?;
                 listed.incarnation = listed.incarnation.filter(|_| !hides_lives);
                 Some((is_over || worker.has_ends()).then_some(listed))
             };
-            match self.pass(target, HOLD, ORDER_TIMEOUT, look).await? {
+            match self.pass(target, POLL, ORDER_TIMEOUT, look).await? {
                 Some(Some(listed)) => return Ok(listed),
-                Some(None) => time::sleep(HOLD_TICK).await,
+                Some(None) => time::sleep(POLL_TICK).await,
                 None => return Err(control::ControlFault::Fenced),
             }
         }
@@ -366,7 +366,7 @@
         let target =
             control::WorkerTarget { worker: start.worker.clone(), address: start.address.clone() };
         let begin = move |worker: &mut pool_worker::PoolWorker, room| {
-            let plan = pool_worker::plan_of(&order, room);
+            let plan = pool_worker::parse_behavior(&order, room);
             worker.start(token, &order, plan)
         };
         match self.pass(&target, START, ORDER_TIMEOUT, begin).await {
--- a/crates/standin/src/pool_worker.rs
+++ b/crates/standin/src/pool_worker.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// A stop takes this long.
-pub const STOP_TIME: Duration = Duration::from_millis(300);
+pub const STOP_DURATION: Duration = Duration::from_millis(300);
 
 /// Longest lease that a worker grants; a longer one is shortened.
 const LONGEST_LEASE: Duration = Duration::from_secs(10);
@@ -19,15 +19,15 @@
 
 /// What a worker does with a task, as its body says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TaskPlan {
+pub struct TaskBehavior {
     /// It works this long.
-    pub work: Duration,
+    pub run_time: Duration,
     /// It fails at the end.
     pub fails: bool,
     /// Its worker crashes this long behind the start, if it is still there.
-    pub crashes: Option<Duration>,
+    pub crashes_after: Option<Duration>,
     /// What each task takes.
-    pub room: resources::Resources,
+    pub resources: resources::Resources,
 }
 
 /// A task on a worker.
@@ -36,9 +36,9 @@
     /// Its attempt.
     pub attempt: u32,
     /// When it began.
-    pub began: Instant,
+    pub started: Instant,
     /// What it does.
-    pub plan: TaskPlan,
+    pub behavior: TaskBehavior,
     /// When its stop is done.
     pub stops_at: Option<Instant>,
 }
@@ -53,16 +53,16 @@
     /// The worker.
     pub worker: ids::WorkerId,
     /// When it began.
-    pub began: Instant,
+    pub started: Instant,
     /// When it ended.
     pub ended: Instant,
     /// How.
-    pub how: order::EndKind,
+    pub end_kind: order::EndKind,
     /// Its number among the ends of the worker.
     pub number: u64,
     /// Whether the end was acknowledged, with no lapse of the lease between the two: only then does
     /// it stand for good.
-    pub is_noted: bool,
+    pub is_acknowledged: bool,
 }
 
 /// One life of a worker.
@@ -77,7 +77,7 @@
     /// Whether it refuses what does not fit.
     guards: bool,
     /// Starts that it has taken beyond its room.
-    pub overfull: Vec<task_key::TaskKey>,
+    pub oversubscribed_starts: Vec<task_key::TaskKey>,
     token: ids::FencingToken,
     deadline_ms: u64,
     runs: BTreeMap<task_key::TaskKey, PoolRun>,
@@ -105,7 +105,7 @@
             capacity,
             former_rooms: Vec::new(),
             guards: true,
-            overfull: Vec::new(),
+            oversubscribed_starts: Vec::new(),
             token: 0,
             deadline_ms: 0,
             runs: BTreeMap::new(),
@@ -134,7 +134,7 @@
     }
 
     /// From now on it starts whatever it is told to.
-    pub fn unguard(&mut self) {
+    pub fn disable_capacity_check(&mut self) {
         self.guards = false;
     }
 
@@ -151,7 +151,7 @@
     /// When a task crashes it, as things stand.
     pub fn crashes_at(&self) -> Option<Instant> {
         let crash = |it: &PoolRun| {
-            let at = it.began + it.plan.crashes?;
+            let at = it.started + it.behavior.crashes_after?;
             (at <= it.end(self.lapses_at()).0).then_some(at)
         };
         self.runs.values().filter_map(crash).min()
@@ -162,9 +162,9 @@
         &mut self,
         token: ids::FencingToken,
         start: &order::StartOrder,
-        plan: TaskPlan,
+        behavior: TaskBehavior,
     ) -> order::StartAnswer {
-        self.pass_time();
+        self.process_due_ends();
         if !self.accepts(token) {
             return order::StartAnswer::Refused(order::StartRefusal::Fenced);
         }
@@ -184,39 +184,40 @@
         let used = self
             .runs
             .values()
-            .fold(resources::Resources::default(), |sum, it| sum.plus(it.plan.room));
-        if self.guards && !plan.room.fits_in(self.capacity.minus(used)) {
+            .fold(resources::Resources::default(), |sum, it| sum.plus(it.behavior.resources));
+        if self.guards && !behavior.resources.fits_in(self.capacity.minus(used)) {
             return order::StartAnswer::Refused(order::StartRefusal::Room);
         }
-        if !used.plus(plan.room).fits_in(self.counted_room()) {
-            self.overfull.push(start.task);
+        if !used.plus(behavior.resources).fits_in(self.counted_room()) {
+            self.oversubscribed_starts.push(start.task);
         }
-        let run = PoolRun { attempt: start.attempt, began: Instant::now(), plan, stops_at: None };
+        let run =
+            PoolRun { attempt: start.attempt, started: Instant::now(), behavior, stops_at: None };
         self.runs.insert(start.task, run);
         order::StartAnswer::Started { clock_ms }
     }
 
     /// Takes a stop. Whether the token was accepted.
     pub fn stop(&mut self, token: ids::FencingToken, stop: &order::StopOrder) -> bool {
-        self.pass_time();
+        self.process_due_ends();
         if !self.accepts(token) {
             return false;
         }
         let barred = self.barred.entry(stop.task).or_default();
         *barred = (*barred).max(stop.attempt);
         if let Some(run) = self.runs.get_mut(&stop.task).filter(|it| it.attempt <= stop.attempt) {
-            run.stops_at.get_or_insert(Instant::now() + STOP_TIME);
+            run.stops_at.get_or_insert(Instant::now() + STOP_DURATION);
         }
         true
     }
 
     /// Takes a look; nothing where the token was not accepted.
-    pub fn hold(
+    pub fn poll(
         &mut self,
         token: ids::FencingToken,
         ask: &order::PollRequest,
     ) -> Option<order::PollReply> {
-        self.pass_time();
+        self.process_due_ends();
         if !self.accepts(token) {
             return None;
         }
@@ -228,12 +229,12 @@
 
     /// Whether ends wait to be acknowledged.
     pub fn has_ends(&mut self) -> bool {
-        self.pass_time();
+        self.process_due_ends();
         !self.ends.is_empty()
     }
 
     /// Ends what is due: stops, work that is done, a lease that has run out.
-    pub fn pass_time(&mut self) {
+    pub fn process_due_ends(&mut self) {
         let now = Instant::now();
         let lapses_at = self.lapses_at();
         let ends = self.runs.iter().map(|(key, run)| (*key, run.end(lapses_at)));
@@ -259,11 +260,11 @@
             task,
             attempt: run.attempt,
             worker: self.id.clone(),
-            began: run.began,
+            started: run.started,
             ended: at,
-            how,
+            end_kind: how,
             number: self.n_ends,
-            is_noted: false,
+            is_acknowledged: false,
         });
     }
 
@@ -275,7 +276,7 @@
             if has_lapsed {
                 continue;
             }
-            record.is_noted |= record.number <= last_seen;
+            record.is_acknowledged |= record.number <= last_seen;
         }
         self.n_settled = if has_lapsed { self.n_ends } else { self.n_settled };
     }
@@ -322,8 +323,8 @@
 impl PoolRun {
     /// When and how it ends, as things stand: the earliest of its work, a stop and the lease.
     fn end(&self, lapses_at: Instant) -> (Instant, order::EndKind) {
-        let done = if self.plan.fails { order::EndKind::Failed } else { order::EndKind::Done };
-        let mut end = (self.began + self.plan.work, done);
+        let done = if self.behavior.fails { order::EndKind::Failed } else { order::EndKind::Done };
+        let mut end = (self.started + self.behavior.run_time, done);
         for (at, how) in
             [(self.stops_at, order::EndKind::Stopped), (Some(lapses_at), order::EndKind::Lapsed)]
         {
@@ -336,20 +337,21 @@
 }
 
 fn percent(run: &PoolRun) -> u32 {
-    let share = run.began.elapsed().as_secs_f64() / run.plan.work.as_secs_f64().max(0.001);
+    let share =
+        run.started.elapsed().as_secs_f64() / run.behavior.run_time.as_secs_f64().max(0.001);
     (100.0 * share.min(1.0)) as u32
 }
 
 /// Reads what a task does from its body: `ms=2500`, `fail`, `crash=10`, in any order, separated by
 /// spaces. Only the first task of a step crashes its worker.
-pub fn plan_of(start: &order::StartOrder, room: resources::Resources) -> TaskPlan {
+pub fn parse_behavior(start: &order::StartOrder, room: resources::Resources) -> TaskBehavior {
     let words = || start.body.split(' ');
     let millis = |name| words().find_map(|it| it.strip_prefix(name)?.parse().ok());
     let crashes = millis("crash=").filter(|_| start.task.task == 0);
-    TaskPlan {
-        work: Duration::from_millis(millis("ms=").unwrap_or(1_000)),
+    TaskBehavior {
+        run_time: Duration::from_millis(millis("ms=").unwrap_or(1_000)),
         fails: words().any(|it| it == "fail"),
-        crashes: crashes.map(Duration::from_millis),
-        room,
+        crashes_after: crashes.map(Duration::from_millis),
+        resources: room,
     }
 }
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -29,7 +29,7 @@
 /// Chooses the script of a task: one set for its job, else one written as JSON in the task's
 /// arguments, else the usual one. Clones share it.
 #[derive(Clone, Debug)]
-pub struct ScriptBook {
+pub struct TaskScripts {
     state: Arc<Mutex<BookState>>,
 }
 
@@ -60,21 +60,21 @@
     }
 }
 
-impl Default for ScriptBook {
-    fn default() -> ScriptBook {
+impl Default for TaskScripts {
+    fn default() -> TaskScripts {
         let usual = TaskScript::lasting(USUAL_RUN);
-        ScriptBook { state: Arc::new(Mutex::new(BookState { usual, jobs: BTreeMap::new() })) }
+        TaskScripts { state: Arc::new(Mutex::new(BookState { usual, jobs: BTreeMap::new() })) }
     }
 }
 
-impl ScriptBook {
+impl TaskScripts {
     /// Changes the usual script.
-    pub fn set_usual(&self, script: TaskScript) {
+    pub fn set_default(&self, script: TaskScript) {
         state::lock(&self.state).usual = script;
     }
 
     /// Sets the script of one job's tasks.
-    pub fn set_job(&self, job: ids::JobId, script: TaskScript) {
+    pub fn set_job_script(&self, job: ids::JobId, script: TaskScript) {
         state::lock(&self.state).jobs.insert(job, script);
     }
 
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -31,7 +31,7 @@
 pub enum WorkerHealth {
     /// Nothing.
     #[default]
-    Sound,
+    Healthy,
     /// It refuses every start.
     RefusesStarts,
     /// Whatever it starts fails after this.
@@ -46,7 +46,7 @@
     usage_lag: Duration,
     paused: bool,
     leases: BTreeMap<ids::LeaseId, HeldLease>,
-    scripts: script::ScriptBook,
+    scripts: script::TaskScripts,
     log: run::RunLog,
 }
 
@@ -80,12 +80,12 @@
 impl WorkerState {
     pub(crate) fn new(
         shape: WorkerShape,
-        scripts: script::ScriptBook,
+        scripts: script::TaskScripts,
         log: run::RunLog,
     ) -> WorkerState {
         let usage_lag = Duration::from_secs(5);
         let leases = BTreeMap::new();
-        let health = WorkerHealth::Sound;
+        let health = WorkerHealth::Healthy;
         WorkerState { shape, health, usage_lag, paused: false, leases, scripts, log }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Ends every task and forgets every lease, as the worker's death would.
-    pub(crate) fn lose(&mut self, now: Instant) {
+    pub(crate) fn crash(&mut self, now: Instant) {
         self.settle(now);
         for lease in std::mem::take(&mut self.leases).into_values() {
             self.end(&lease, now, run::EndCause::WorkerLost);
@@ -165,7 +165,7 @@
         }
         let mut script = self.scripts.script(&start);
         match self.health {
-            WorkerHealth::Sound => {}
+            WorkerHealth::Healthy => {}
             WorkerHealth::RefusesStarts => {
                 let reason = "the worker cannot start tasks".to_owned();
                 return model::TaskStarted::Failed { reason };
--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -81,7 +81,7 @@
 
     start_is_idempotent_and_a_task_ends_by_itself(fleet, _worker) {
         let address = ADDRESS.to_owned();
-        fleet.scripts().set_usual(script::TaskScript::lasting(Duration::from_secs(3)));
+        fleet.scripts().set_default(script::TaskScript::lasting(Duration::from_secs(3)));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         for _ in 0..2 {
             let started = fleet.start(&address, start("a")).await;
@@ -97,7 +97,7 @@
 
     lapsed_lease_stops_its_task(fleet, _worker) {
         let address = ADDRESS.to_owned();
-        fleet.scripts().set_usual(script::TaskScript::lasting(Duration::from_secs(300)));
+        fleet.scripts().set_default(script::TaskScript::lasting(Duration::from_secs(300)));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         fleet.start(&address, start("a")).await.unwrap();
         clock::advance(Duration::from_secs(20)).await;
