--- a/crates/standin/src/execution.rs
+++ b/crates/standin/src/execution.rs
@@ -91,11 +91,11 @@
         state::lock(&self.state).executions.push(execution);
     }
 
-    pub(crate) fn connection(&self, worker: &ids::WorkerId) -> CountGuard {
+    pub(crate) fn track_connection(&self, worker: &ids::WorkerId) -> CountGuard {
         self.count_up(worker, ServicePeak { connections: 1, requests: 0 })
     }
 
-    pub(crate) fn request(&self, worker: &ids::WorkerId) -> CountGuard {
+    pub(crate) fn track_request(&self, worker: &ids::WorkerId) -> CountGuard {
         self.count_up(worker, ServicePeak { connections: 0, requests: 1 })
     }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -71,7 +71,7 @@
     pub fn runs(&self) -> Vec<run::TaskRun> {
         let now = Instant::now();
         for (_, worker) in self.workers() {
-            state::lock(&worker.state).settle(now);
+            state::lock(&worker.state).process_due(now);
         }
         self.log.runs()
     }
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -182,7 +182,7 @@
         self,
         stream: impl AsyncRead + AsyncWrite + Unpin + Send + 'static,
     ) {
-        let _connection = self.log.connection(&self.place.worker);
+        let _connection = self.log.track_connection(&self.place.worker);
         let trailing = trailing_bytes::TrailingBytes::default();
         let io = TokioIo::new(trailing_bytes::TrailingBytesStream::new(stream, trailing.clone()));
         let handler = service::service_fn(move |request| {
@@ -207,7 +207,7 @@
             _ => {}
         }
         let id = head.headers.get(&REQUEST_ID).cloned();
-        let _request = self.log.request(&self.place.worker);
+        let _request = self.log.track_request(&self.place.worker);
         let mut body = body.boxed();
         let first = match body.frame().await {
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -99,26 +99,26 @@
 
     /// A paused worker runs nothing and lets nothing lapse until it wakes.
     pub(crate) fn set_paused(&mut self, paused: bool, now: Instant) {
-        self.settle(now);
+        self.process_due(now);
         self.paused = paused;
-        self.settle(now);
+        self.process_due(now);
     }
 
     /// Ends every task and forgets every lease, as the worker's death would.
     pub(crate) fn crash(&mut self, now: Instant) {
-        self.settle(now);
+        self.process_due(now);
         for lease in std::mem::take(&mut self.leases).into_values() {
             self.end(&lease, now, run::EndCause::WorkerLost);
         }
     }
 
     /// Lets tasks end and leases lapse that are due by `now`.
-    pub(crate) fn settle(&mut self, now: Instant) {
+    pub(crate) fn process_due(&mut self, now: Instant) {
         if self.paused {
             return;
         }
         for lease in self.leases.values_mut() {
-            lease.settle(now.min(lease.expires), &self.log);
+            lease.process_due(now.min(lease.expires), &self.log);
         }
         let lapsed = self.leases.extract_if(.., |_, lease| lease.expires <= now);
         let lapsed = lapsed.map(|(_, lease)| lease).collect::<Vec<_>>();
@@ -132,7 +132,7 @@
         reserve: model::LeaseReserve,
         now: Instant,
     ) -> model::LeaseReserved {
-        self.settle(now);
+        self.process_due(now);
         if let Some(held) = self.leases.get_mut(&reserve.lease) {
             if !same_content(&held.reserve, &reserve) {
                 return refused(vec![reserve.lease], "the lease stands with other content");
@@ -156,7 +156,7 @@
     }
 
     pub(crate) fn start(&mut self, start: model::TaskStart, now: Instant) -> model::TaskStarted {
-        self.settle(now);
+        self.process_due(now);
         let Some(lease) = self.leases.get_mut(&start.lease) else {
             return model::TaskStarted::NoLease;
         };
@@ -196,7 +196,7 @@
     }
 
     pub(crate) fn renew(&mut self, renew: model::LeaseRenew, now: Instant) -> model::LeaseListing {
-        self.settle(now);
+        self.process_due(now);
         let mut listing = model::LeaseListing { leases: Vec::new(), lapsed: Vec::new() };
         for id in renew.leases {
             match self.leases.get_mut(&id) {
@@ -211,7 +211,7 @@
     }
 
     pub(crate) fn signal(&mut self, signal: &model::TaskSignal, now: Instant) -> model::Ack {
-        self.settle(now);
+        self.process_due(now);
         let Some(lease) = self.leases.get_mut(&signal.lease) else { return model::Ack {} };
         let Some(task) = lease.task.as_mut().filter(|it| it.exit.is_none()) else {
             return model::Ack {};
@@ -234,7 +234,7 @@
     }
 
     pub(crate) fn release(&mut self, release: &model::LeaseRelease, now: Instant) -> model::Ack {
-        self.settle(now);
+        self.process_due(now);
         for id in &release.leases {
             if let Some(lease) = self.leases.remove(id) {
                 self.end(&lease, now, run::EndCause::Released);
@@ -244,7 +244,7 @@
     }
 
     pub(crate) fn list(&mut self, now: Instant) -> model::LeaseListing {
-        self.settle(now);
+        self.process_due(now);
         let leases = self.leases.values().map(|it| it.status(now, self.usage_lag)).collect();
         model::LeaseListing { leases, lapsed: Vec::new() }
     }
@@ -288,7 +288,7 @@
 }
 
 impl HeldLease {
-    fn settle(&mut self, now: Instant, log: &run::RunLog) {
+    fn process_due(&mut self, now: Instant, log: &run::RunLog) {
         let Some(task) = self.task.as_mut().filter(|it| it.exit.is_none()) else { return };
         if let Some(done) = self.pending_checkpoint.filter(|it| *it <= now.min(task.ends)) {
             self.pending_checkpoint = None;
