--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -73,11 +73,11 @@
             }
             6 => {
                 let rates = rates(&mut rng);
-                group.table.faults().sample(rng.random(), rates);
+                group.table.faults().inject_at_random(rng.random(), rates);
             }
             7 => {
                 let index = rng.random_range(0..group.keepers.len());
-                group.net.process(&support::address(index)).set(condition(&mut rng));
+                group.net.process_faults(&support::address(index)).set(condition(&mut rng));
             }
             8 if group.keepers.len() < 2 * N_KEEPERS => {
                 recorded.push(support::record_versions(&group.start_keeper()));
@@ -108,10 +108,10 @@
 
 async fn heal(group: &support::KeeperGroup) {
     group.table.faults().set(fault::Condition::Up);
-    group.table.faults().sample(0, fault::FaultRates::default());
+    group.table.faults().inject_at_random(0, fault::FaultRates::default());
     for (index, path) in group.paths.iter().enumerate() {
         path.set(fault::Condition::Up);
-        group.net.process(&support::address(index)).set(fault::Condition::Up);
+        group.net.process_faults(&support::address(index)).set(fault::Condition::Up);
     }
     // Calls that vanished end, and writes that were delayed have their effect.
     time::sleep(2 * fault::LOST_CALL_TIMEOUT).await;
--- a/crates/config/tests/propagation.rs
+++ b/crates/config/tests/propagation.rs
@@ -73,8 +73,11 @@
     group.keepers[0].propose(support::marked(0, 10)).await.unwrap();
     group.settle(1, IN_FORCE_WITHIN).await;
     group.table.faults().set(fault::Condition::Refusing);
-    group.net.process(&support::address(0)).set(fault::Condition::Slow(Duration::from_secs(20)));
-    group.net.process(&support::address(1)).set(fault::Condition::Dropping);
+    group
+        .net
+        .process_faults(&support::address(0))
+        .set(fault::Condition::Slow(Duration::from_secs(20)));
+    group.net.process_faults(&support::address(1)).set(fault::Condition::Dropping);
 
     group.start_keeper();
     let took = group.settle(1, IN_FORCE_WITHIN).await;
@@ -98,11 +101,11 @@
     );
     group.keepers[0].propose(support::marked(1, 20)).await.unwrap();
     time::sleep(Duration::from_millis(1200)).await;
-    group.net.process(&support::address(2)).set(fault::Condition::Paused);
+    group.net.process_faults(&support::address(2)).set(fault::Condition::Paused);
     group.paths[2].set(fault::Condition::Paused);
     group.keepers[1].propose(support::marked(2, 30)).await.unwrap();
     time::sleep(Duration::from_secs(60)).await;
-    group.net.process(&support::address(2)).set(fault::Condition::Up);
+    group.net.process_faults(&support::address(2)).set(fault::Condition::Up);
     group.paths[2].set(fault::Condition::Up);
 
     group.settle(3, IN_FORCE_WITHIN).await;
--- a/crates/config/tests/versions.rs
+++ b/crates/config/tests/versions.rs
@@ -158,7 +158,7 @@
     };
     let paths = faults.faults.iter().map(|it| it.path.as_str()).collect::<Vec<_>>();
     assert_eq!(paths, ["objective", "accounts[gujarat-grid].limits.queued_jobs"]);
-    assert_eq!(group.table.committed(), 0);
+    assert_eq!(group.table.committed_transactions(), 0);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/daemon/src/demo/cluster.rs
+++ b/crates/daemon/src/demo/cluster.rs
@@ -98,7 +98,7 @@
 
     /// The platform begins to replace an instance.
     pub fn mark_leaving(&self, id: &str) {
-        self.platform.fakes.instances().mark(id, model::InstanceState::Leaving);
+        self.platform.fakes.instances().set_state(id, model::InstanceState::Leaving);
     }
 
     /// The instance is gone.
--- a/crates/daemon/src/demo/course.rs
+++ b/crates/daemon/src/demo/course.rs
@@ -240,7 +240,7 @@
     fn mark_upstreams(&self, worker: &str, state: model::InstanceState) {
         for upstream in &self.plan.document.upstreams {
             let instances = self.cluster.platform.fakes.instances();
-            instances.mark_upstream(worker, &upstream.name, state);
+            instances.set_upstream_state(worker, &upstream.name, state);
         }
     }
 }
--- a/crates/fleet-tests/src/storm.rs
+++ b/crates/fleet-tests/src/storm.rs
@@ -259,8 +259,8 @@
             5 => {
                 let (seed, rates) = (self.rng.random(), self.rates());
                 self.note(format!("table and objects {rates:?}"));
-                self.world.site.fakes.table().faults().sample(seed, rates);
-                self.world.site.fakes.objects().faults().sample(seed, rates);
+                self.world.site.fakes.table().faults().inject_at_random(seed, rates);
+                self.world.site.fakes.objects().faults().inject_at_random(seed, rates);
                 self.schedule(Heal::Table);
                 self.schedule(Heal::Objects);
             }
@@ -302,7 +302,7 @@
         let (id, place) = (node.id.clone(), place_of(&node.address));
         self.note(format!("leave {id}"));
         self.world.enter(|it| {
-            it.site.fakes.instances().mark(&id, model::InstanceState::Leaving);
+            it.site.fakes.instances().set_state(&id, model::InstanceState::Leaving);
         });
         self.schedule(Heal::Start(place));
     }
@@ -333,9 +333,9 @@
         }
         self.note(format!("partition {a} {b}, one way: {one_way}"));
         self.world.enter(|it| {
-            it.net.path(&a, &b).set(fault::Condition::Dropping);
+            it.net.path_faults(&a, &b).set(fault::Condition::Dropping);
             if !one_way {
-                it.net.path(&b, &a).set(fault::Condition::Dropping);
+                it.net.path_faults(&b, &a).set(fault::Condition::Dropping);
             }
         });
         self.schedule(Heal::Net(a, b));
@@ -367,7 +367,7 @@
             _ => {
                 let (seed, rates) = (self.rng.random(), self.rates());
                 self.note(format!("{name} {rates:?}"));
-                worker.faults().sample(seed, rates);
+                worker.faults().inject_at_random(seed, rates);
             }
         }
         self.schedule(Heal::Worker(index));
@@ -459,14 +459,14 @@
                 }
             }
             Heal::Net(a, b) => {
-                self.calm_down(|it| it.net.path(&a, &b));
-                self.calm_down(|it| it.net.path(&b, &a));
+                self.calm_down(|it| it.net.path_faults(&a, &b));
+                self.calm_down(|it| it.net.path_faults(&b, &a));
             }
             Heal::Worker(index) => self.world.enter(|it| {
                 let worker = &it.workers()[index];
                 worker.resume();
                 worker.set_health(worker::WorkerHealth::Healthy);
-                worker.faults().sample(0, fault::FaultRates::default());
+                worker.faults().inject_at_random(0, fault::FaultRates::default());
             }),
             Heal::Upstream(index) => self.world.upstreams()[index].set_misbehaviour(None),
         }
@@ -476,7 +476,7 @@
         self.world.enter(|it| {
             let plan = plan(it);
             plan.set(fault::Condition::Up);
-            plan.sample(0, fault::FaultRates::default());
+            plan.inject_at_random(0, fault::FaultRates::default());
         });
     }
 
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -272,7 +272,7 @@
             max_delay: Duration::from_secs(4),
         };
         for way in [Way::Table, Way::Objects, Way::Workers] {
-            self.way(instance, way).sample(seed, rates);
+            self.way(instance, way).inject_at_random(seed, rates);
         }
     }
 
--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -244,7 +244,7 @@
             1,
             Fault::Slow(Duration::from_millis(200)),
         );
-        let before = site.table.committed();
+        let before = site.table.committed_transactions();
         let asks = (0..12).map(|_| {
             let (service, ask) = (instance.service.clone(), support::request_with_key(&site, site.key()));
             tokio::spawn(async move { service.ask(ask).await.expect(support::ANSWER) })
@@ -253,7 +253,7 @@
             let reply = ask.await.expect("a call that ends");
             assert!(matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
         }
-        let n_writes = site.table.committed() - before;
+        let n_writes = site.table.committed_transactions() - before;
         assert!(n_writes <= 4, "{n_writes} transactions for 12 intents");
     }
 }
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -118,7 +118,7 @@
         for submit in submits.collect::<Vec<_>>() {
             support::expect_record(submit.await.expect("a call that ends"));
         }
-        let before = site.table.committed();
+        let before = site.table.committed_transactions();
         let cancels = jobs.iter().chain(&jobs).map(|job| {
             let (service, job) = (instance.service.clone(), *job);
             let account = support::ACCOUNT.to_owned();
@@ -134,7 +134,7 @@
             })
         })
         .await;
-        let n_writes = site.table.committed() - before;
+        let n_writes = site.table.committed_transactions() - before;
         assert!(n_writes < 40, "{n_writes} transactions for 500 cancellations");
     }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -137,9 +137,9 @@
     /// Stops an instance for a while: nothing of it runs and nothing reaches it.
     pub(crate) async fn pause(&self, name: &str, span: Duration) {
         self.nodes[name].paused.send_replace(true);
-        self.net.process(name).set(fault::Condition::Paused);
+        self.net.process_faults(name).set(fault::Condition::Paused);
         time::sleep(span).await;
-        self.net.process(name).set(fault::Condition::Up);
+        self.net.process_faults(name).set(fault::Condition::Up);
         self.nodes[name].paused.send_replace(false);
     }
 
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -268,7 +268,7 @@
 async fn a_late_beat_of_an_old_tenure_changes_nothing() {
     let site = Site::new();
     site.seat("b", SeatBehaviour::Holds);
-    site.net.path("own", "a").set(fault::Condition::Dropping);
+    site.net.path_faults("own", "a").set(fault::Condition::Dropping);
     site.beat("b", 4);
     site.beat("a", 3);
     assert_eq!(site.ask().await, Ok("b".to_owned()));
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -149,7 +149,7 @@
 
 async fn one_way_loss() {
     let fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
-    fleet.net.path("dc1-1", "dc1-6").set(fault::Condition::Dropping);
+    fleet.net.path_faults("dc1-1", "dc1-6").set(fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     for (name, node) in &fleet.nodes {
         let changes = node.counts.borrow().clone();
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -349,7 +349,7 @@
         };
         let seed = self.rng.random();
         let plan = &self.bench.instances[index].store_faults;
-        plan.sample_step(table::FOLLOW, seed, rates);
+        plan.inject_step_at_random(table::FOLLOW_STEP, seed, rates);
     }
 
     /// Nothing passes between an instance and its peers.
@@ -387,7 +387,7 @@
         let instance = &self.bench.instances[index];
         instance.store_faults.set(fault::Condition::Paused);
         instance.worker_faults.set(fault::Condition::Paused);
-        self.bench.net.process(&instance.address).set(fault::Condition::Paused);
+        self.bench.net.process_faults(&instance.address).set(fault::Condition::Paused);
     }
 
     async fn restart_worker(&mut self) {
@@ -428,7 +428,7 @@
         bench.store.faults().set(fault::Condition::Up);
         for instance in &bench.instances {
             instance.store_faults.set(fault::Condition::Up);
-            instance.store_faults.sample(0, none);
+            instance.store_faults.inject_at_random(0, none);
             instance.worker_faults.set(fault::Condition::Up);
         }
         for faults in bench.fleet.all_faults() {
@@ -437,7 +437,7 @@
         let addresses = self.addresses.iter().map(String::as_str).collect::<Vec<_>>();
         bench.net.partition(&addresses, &addresses, fault::Condition::Up);
         for address in addresses {
-            bench.net.process(address).set(fault::Condition::Up);
+            bench.net.process_faults(address).set(fault::Condition::Up);
         }
     }
 
@@ -447,7 +447,7 @@
         let run = |it: pool_worker::RunRecord| {
             (it.task, it.attempt, it.worker, since(it.started), since(it.ended))
         };
-        let n_writes = self.bench.store.committed();
+        let n_writes = self.bench.store.committed_transactions();
         PlayedStorm { n_writes, runs: records.map(run).collect() }
     }
 
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -26,7 +26,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let (holder, other) = (bench.holder(), bench.non_holder());
-        strike(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        strike(&bench.instances[holder], table::FOLLOW_STEP, fault::Fault::AnswerLost);
         let address = |it: usize| bench.instances[it].address.as_str();
         bench.net.partition(&[address(other)], &[address(holder)], fault::Condition::Refusing);
         bench.submit(other, 1, support::job(1, 500)).await;
@@ -43,7 +43,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 0).await;
         let holder = bench.holder();
-        strike(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        strike(&bench.instances[holder], table::FOLLOW_STEP, fault::Fault::AnswerLost);
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.add_worker(0).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
@@ -59,7 +59,7 @@
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
         let slow = fault::Fault::Slow(Duration::from_millis(1_400));
-        strike(&bench.instances[holder], table::SNAPSHOT, slow);
+        strike(&bench.instances[holder], table::SNAPSHOT_STEP, slow);
         bench.store.forget_history();
         // Between the reading of the table and its answer.
         time::sleep(Duration::from_secs(1)).await;
--- a/crates/pool/tests/pool/logs.rs
+++ b/crates/pool/tests/pool/logs.rs
@@ -25,7 +25,7 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         for nth in 1..=20 {
             bench.instances[holder].store_faults.inject_nth(
-                table::FOLLOW,
+                table::FOLLOW_STEP,
                 nth,
                 fault::Fault::Refused,
             );
@@ -59,7 +59,7 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         let (lines, _guard) = support::LogLines::capture();
         let (from, to) = addresses(&bench, other, holder);
-        let path = bench.net.path(from, to);
+        let path = bench.net.path_faults(from, to);
         for nth in 1..=3 {
             path.inject_nth(model::GraphNudge::PATH, nth, fault::Fault::Refused);
         }
@@ -81,7 +81,7 @@
         let (lines, _guard) = support::LogLines::capture();
         for nth in 1..=60 {
             bench.instances[holder].store_faults.inject_nth(
-                table::FOLLOW,
+                table::FOLLOW_STEP,
                 nth,
                 fault::Fault::Refused,
             );
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -21,15 +21,15 @@
 /// No feed of an instance is answered any more; everything else is.
 fn stop_feeds(instance: &support::BenchInstance) {
     for nth in 1..=N_LOST {
-        instance.store_faults.inject_nth(table::FOLLOW, nth, fault::Fault::RequestLost);
-        instance.store_faults.inject_nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::FOLLOW_STEP, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::SNAPSHOT_STEP, nth, fault::Fault::RequestLost);
     }
 }
 
 /// The next nudge of one instance to another is lost.
 fn lose_nudge(bench: &support::PoolBench, from: usize, to: usize) {
     let address = |it: usize| bench.instances[it].address.as_str();
-    let path = bench.net.path(address(from), address(to));
+    let path = bench.net.path_faults(address(from), address(to));
     path.inject_next(model::GraphNudge::PATH, fault::Fault::Refused);
 }
 
@@ -126,7 +126,7 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         stop_feeds(&bench.instances[holder]);
         let address = |it: usize| bench.instances[it].address.as_str();
-        let path = bench.net.path(address(other), address(holder));
+        let path = bench.net.path_faults(address(other), address(holder));
         path.inject_next(model::GraphNudge::PATH, fault::Fault::CallerPanics);
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SOON).await;
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -462,8 +462,8 @@
                 ..fault::FaultRates::default()
             };
             let worker = support::worker_id(rng.random_range(0..N_WORKERS));
-            bench.fleet.faults(&worker).sample(rng.random(), rates);
-            bench.store.faults().sample(rng.random(), rates);
+            bench.fleet.faults(&worker).inject_at_random(rng.random(), rates);
+            bench.store.faults().inject_at_random(rng.random(), rates);
         }
         5 => {
             let address = bench.kill(index).await;
@@ -489,14 +489,14 @@
 fn calm(bench: &support::PoolBench) {
     let none = fault::FaultRates::default();
     bench.store.faults().set(fault::Condition::Up);
-    bench.store.faults().sample(0, none);
+    bench.store.faults().inject_at_random(0, none);
     for instance in &bench.instances {
         instance.store_faults.set(fault::Condition::Up);
         instance.worker_faults.set(fault::Condition::Up);
     }
     for faults in bench.fleet.all_faults() {
         faults.set(fault::Condition::Up);
-        faults.sample(0, none);
+        faults.inject_at_random(0, none);
     }
 }
 
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -389,7 +389,7 @@
 
     /// When the store ended an evacuation of a data centre, whoever had asked for it.
     pub(crate) fn evacuation_removals(&self, data_center: &str) -> Vec<Instant> {
-        self.store.removals(&evacuation_key(data_center))
+        self.store.removal_times(&evacuation_key(data_center))
     }
 
     /// Somebody else writes over the entry of a worker.
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -183,7 +183,11 @@
         bench.kill(holder).await;
         for instance in &bench.instances {
             for nth in 1..=2 * N_TABLES {
-                instance.store_faults.inject_nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+                instance.store_faults.inject_nth(
+                    table::SNAPSHOT_STEP,
+                    nth,
+                    fault::Fault::RequestLost,
+                );
             }
         }
         time::sleep(Duration::from_secs(9)).await;
@@ -348,7 +352,7 @@
         time::sleep(Duration::from_millis(1_500)).await;
         let lame = bench.instances[0].store_faults.clone();
         (1..=N_REFUSED)
-            .for_each(|nth| lame.inject_nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+            .for_each(|nth| lame.inject_nth(table::SNAPSHOT_STEP, nth, fault::Fault::Refused));
         bench.instances[1].store_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[1].store_faults.set(fault::Condition::Up);
@@ -381,7 +385,7 @@
         let (between, successor) = ((old + 1) % 3, (old + 2) % 3);
         let lame = bench.instances[between].store_faults.clone();
         (1..=N_REFUSED)
-            .for_each(|nth| lame.inject_nth(table::SNAPSHOT, nth, fault::Fault::Refused));
+            .for_each(|nth| lame.inject_nth(table::SNAPSHOT_STEP, nth, fault::Fault::Refused));
         bench.instances[successor].store_faults.set(fault::Condition::Dropping);
         cut_from_peers(&bench, old);
         let leaving = bench.instances[between].state.shutdown.clone();
--- a/crates/ports/tests/store.rs
+++ b/crates/ports/tests/store.rs
@@ -90,7 +90,7 @@
     lost_answer_is_settled_as_committed(it) {
         it.path.inject_next(TRANSACT, fault::Fault::AnswerLost);
         assert_eq!(it.store.transact(write(ROW, 0, "a")).await, committed(1));
-        assert_eq!(it.table.committed(), 1);
+        assert_eq!(it.table.committed_transactions(), 1);
     }
 
     /// Symptom: a write takes effect after its caller was told that it failed. Sequence: the
@@ -170,7 +170,7 @@
             model::TableTransaction { conditions: Vec::new(), ..write(ROW, 0, "a") };
         let error = it.store.transact(transaction).await.unwrap_err();
         assert!(!error.fault.had_no_effect());
-        assert_eq!(it.table.committed(), 1);
+        assert_eq!(it.table.committed_transactions(), 1);
     }
 
     error_before_the_effect_is_retried(it) {
@@ -229,7 +229,7 @@
         while let Some(outcome) = writes.join_next().await {
             assert_eq!(outcome.unwrap(), committed(1));
         }
-        assert_eq!(it.table.committed(), 1);
+        assert_eq!(it.table.committed_transactions(), 1);
         assert_eq!(it.table.peek("job/").len(), 50);
     }
 
@@ -263,7 +263,7 @@
         while let Some(outcome) = writes.join_next().await {
             assert_eq!(outcome.unwrap(), committed(1));
         }
-        assert_eq!(it.table.committed(), 10);
+        assert_eq!(it.table.committed_transactions(), 10);
     }
 
     same_row_is_written_in_order(it) {
@@ -324,7 +324,7 @@
         assert_eq!(outcome.unwrap(), committed(1));
     }
     let seconds = started.elapsed().as_secs_f64();
-    assert_eq!(it.table.committed(), 500);
+    assert_eq!(it.table.committed_transactions(), 500);
     assert!((9.0..11.0).contains(&seconds), "{seconds}");
 }
 
@@ -369,7 +369,7 @@
     }
     let calls = || it.path.calls(GET) + it.path.calls(TRANSACT);
     time::sleep(Duration::from_secs(10)).await;
-    let (before, up) = (calls(), it.table.committed());
+    let (before, up) = (calls(), it.table.committed_transactions());
     assert!(0 < up);
     it.path.set(down);
     time::sleep(Duration::from_secs(3600)).await;
@@ -414,7 +414,7 @@
         slow: 0.1,
         max_delay: Duration::from_secs(3),
     };
-    it.path.sample(seed, rates);
+    it.path.inject_at_random(seed, rates);
     let mut writers = JoinSet::new();
     for writer in 0..8_u32 {
         let store = it.store.clone();
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -132,13 +132,13 @@
     }
 
     /// Strikes calls at random from `seed`; rates of zero end it.
-    pub fn sample(&self, seed: u64, rates: FaultRates) {
+    pub fn inject_at_random(&self, seed: u64, rates: FaultRates) {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         state::lock(&self.state).sampling = Some(FaultSampling { rng, rates, step: None });
     }
 
     /// The same, for calls of `step` alone.
-    pub fn sample_step(&self, step: &'static str, seed: u64, rates: FaultRates) {
+    pub fn inject_step_at_random(&self, step: &'static str, seed: u64, rates: FaultRates) {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let sampling = FaultSampling { rng, rates, step: Some(step) };
         state::lock(&self.state).sampling = Some(sampling);
--- a/crates/standin/src/instance.rs
+++ b/crates/standin/src/instance.rs
@@ -69,12 +69,12 @@
     }
 
     /// An instance is leaving, or stays after all.
-    pub fn mark(&self, id: &str, state: model::InstanceState) {
+    pub fn set_state(&self, id: &str, state: model::InstanceState) {
         self.change(ListChange::Mark(id.to_owned(), state));
     }
 
     /// An upstream on a worker is leaving, or stays after all.
-    pub fn mark_upstream(&self, worker: &str, upstream: &str, state: model::InstanceState) {
+    pub fn set_upstream_state(&self, worker: &str, upstream: &str, state: model::InstanceState) {
         let change = ListChange::MarkUpstream(worker.to_owned(), upstream.to_owned(), state);
         self.change(change);
     }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -91,14 +91,14 @@
 
     /// Faults of messages that travel from `from` to `to`: requests one way, answers the other.
     /// One-way loss is [`fault::Condition::Dropping`] here.
-    pub fn path(&self, from: &str, to: &str) -> fault::FaultPlan {
+    pub fn path_faults(&self, from: &str, to: &str) -> fault::FaultPlan {
         let key = (from.to_owned(), to.to_owned());
         state::lock(&self.state).paths.entry(key).or_default().clone()
     }
 
     /// Faults of all messages that the process at `address` sends or receives;
     /// [`fault::Condition::Paused`] is a paused process.
-    pub fn process(&self, address: &str) -> fault::FaultPlan {
+    pub fn process_faults(&self, address: &str) -> fault::FaultPlan {
         state::lock(&self.state).processes.entry(address.to_owned()).or_default().clone()
     }
 
@@ -106,8 +106,8 @@
     pub fn partition(&self, here: &[&str], there: &[&str], condition: fault::Condition) {
         for a in here {
             for b in there {
-                self.path(a, b).set(condition);
-                self.path(b, a).set(condition);
+                self.path_faults(a, b).set(condition);
+                self.path_faults(b, a).set(condition);
             }
         }
     }
@@ -146,9 +146,9 @@
     ) -> Result<C::Reply, error::CallFault> {
         state::lock(&self.net.state).calls += 1;
         let body = codec::encode(&call).map_err(malformed)?;
-        let sender = self.net.process(&self.from).condition_fault().await;
-        let fault = self.net.path(&self.from, peer).next_fault(C::PATH).await;
-        let receiver = self.net.process(peer).next_fault(C::PATH).await;
+        let sender = self.net.process_faults(&self.from).condition_fault().await;
+        let fault = self.net.path_faults(&self.from, peer).next_fault(C::PATH).await;
+        let receiver = self.net.process_faults(peer).next_fault(C::PATH).await;
         time::sleep(self.net.send(body.len())).await;
         let net = self.net.clone();
         let address = peer.clone();
@@ -157,8 +157,8 @@
             None => serve.await?,
             Some(fault) => struck(fault, serve).await?,
         };
-        let lost = self.net.path(peer, &self.from).condition_fault().await;
-        let late = self.net.process(&self.from).condition_fault().await;
+        let lost = self.net.path_faults(peer, &self.from).condition_fault().await;
+        let late = self.net.process_faults(&self.from).condition_fault().await;
         time::sleep(self.net.send(reply.len())).await;
         match lost.or(late) {
             None => codec::decode(&reply).map_err(malformed),
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -77,10 +77,10 @@
 }
 
 /// Step of reading a whole table, for fault plans.
-pub const SNAPSHOT: &str = "snapshot";
+pub const SNAPSHOT_STEP: &str = "snapshot";
 
 /// Step of following a table, for fault plans.
-pub const FOLLOW: &str = "follow";
+pub const FOLLOW_STEP: &str = "follow";
 
 /// How often a feed that waits looks for changes.
 const FEED_TICK: Duration = Duration::from_millis(10);
@@ -162,12 +162,12 @@
     }
 
     /// Transactions that committed so far.
-    pub fn committed(&self) -> u64 {
+    pub fn committed_transactions(&self) -> u64 {
         state::lock(&self.rows).transactions
     }
 
     /// When a row that was there was removed, past all faults, for oracles.
-    pub fn removals(&self, key: &str) -> Vec<Instant> {
+    pub fn removal_times(&self, key: &str) -> Vec<Instant> {
         state::lock(&self.rows).removals.get(key).cloned().unwrap_or_default()
     }
 
@@ -274,9 +274,9 @@
         let mut read = row_feed::FeedRows::default();
         loop {
             let (prefix, after) = (prefix.clone(), read.rows.last().map(|it| it.key.clone()));
-            let page = self.pass(SNAPSHOT, move |rows| rows.page(&prefix, after, most));
+            let page = self.pass(SNAPSHOT_STEP, move |rows| rows.page(&prefix, after, most));
             let fault = error::CallFault::TimedOut(deadline);
-            let timed_out = error::CallError { step: SNAPSHOT, peer: PEER.to_owned(), fault };
+            let timed_out = error::CallError { step: SNAPSHOT_STEP, peer: PEER.to_owned(), fault };
             let page = time::timeout(deadline, page).await.unwrap_or(Err(timed_out))?;
             if read.rows.is_empty() {
                 read.version = page.version;
@@ -303,7 +303,7 @@
                 (after >= rows.forgotten)
                     .then(|| first_rows(rows.changes(&prefix, Some(after)), most))
             };
-            let Some(changes) = self.pass(FOLLOW, read).await? else {
+            let Some(changes) = self.pass(FOLLOW_STEP, read).await? else {
                 return Err(row_feed::FeedFault::HistoryGone);
             };
             if !changes.rows.is_empty() || Instant::now() >= expires {
--- a/crates/standin/tests/net.rs
+++ b/crates/standin/tests/net.rs
@@ -69,11 +69,11 @@
     } => Err(error::CallFault::NoAnswer(_)), taken 0;
 
     lost_request_has_no_effect(net) {
-        net.path("a", "b").set(fault::Condition::Dropping);
+        net.path_faults("a", "b").set(fault::Condition::Dropping);
     } => Err(error::CallFault::TimedOut(_)), taken 0;
 
     lost_answer_has_had_its_effect(net) {
-        net.path("b", "a").set(fault::Condition::Dropping);
+        net.path_faults("b", "a").set(fault::Condition::Dropping);
     } => Err(error::CallFault::TimedOut(_)), taken 1;
 
     partition_loses_both_ways(net) {
@@ -81,12 +81,12 @@
     } => Err(error::CallFault::TimedOut(_)), taken 0;
 
     slow_answer_has_its_effect_after_the_deadline(net) {
-        net.path("a", "b").set(fault::Condition::Slow(Duration::from_secs(8)));
+        net.path_faults("a", "b").set(fault::Condition::Slow(Duration::from_secs(8)));
     } => Err(error::CallFault::TimedOut(_)), taken 1;
 
     paused_process_takes_the_call_when_it_wakes(net) {
-        net.process("b").set(fault::Condition::Paused);
-        let process = net.process("b");
+        net.process_faults("b").set(fault::Condition::Paused);
+        let process = net.process_faults("b");
         tokio::spawn(async move {
             time::sleep(Duration::from_millis(500)).await;
             process.set(fault::Condition::Up);
@@ -94,6 +94,6 @@
     } => Ok(model::Ack {}), taken 1;
 
     paused_caller_sends_nothing(net) {
-        net.process("a").set(fault::Condition::Paused);
+        net.process_faults("a").set(fault::Condition::Paused);
     } => Err(error::CallFault::TimedOut(_)), taken 0;
 }
