--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -73,11 +73,11 @@
             }
             6 => {
                 let rates = rates(&mut rng);
-                group.table.faults().sample(rng.random(), rates);
+                group.table.faults().inject_at_random(rng.random(), rates);
             }
             7 => {
                 let index = rng.random_range(0..group.keepers.len());
-                group.net.process(&support::address(index)).set(condition(&mut rng));
+                group.net.process_faults(&support::address(index)).set(condition(&mut rng));
             }
             8 if group.keepers.len() < 2 * N_KEEPERS => {
                 recorded.push(support::record_versions(&group.start_keeper()));
@@ -108,13 +108,13 @@
 
 async fn heal(group: &support::KeeperGroup) {
     group.table.faults().set(fault::Condition::Up);
-    group.table.faults().sample(0, fault::FaultRates::default());
+    group.table.faults().inject_at_random(0, fault::FaultRates::default());
     for (index, path) in group.paths.iter().enumerate() {
         path.set(fault::Condition::Up);
-        group.net.process(&support::address(index)).set(fault::Condition::Up);
+        group.net.process_faults(&support::address(index)).set(fault::Condition::Up);
     }
     // Calls that vanished end, and writes that were delayed have their effect.
-    time::sleep(2 * fault::SILENCE).await;
+    time::sleep(2 * fault::LOST_CALL_TIMEOUT).await;
 }
 
 async fn check(
@@ -166,8 +166,8 @@
 fn condition(rng: &mut ChaCha8Rng) -> fault::Condition {
     match rng.random_range(0..8) {
         0 => fault::Condition::Refusing,
-        1 => fault::Condition::Silent,
-        2 => fault::Condition::Held,
+        1 => fault::Condition::Dropping,
+        2 => fault::Condition::Paused,
         3 => fault::Condition::Slow(Duration::from_millis(rng.random_range(1..4000))),
         4 => fault::Condition::Flapping {
             up: Duration::from_millis(rng.random_range(100..3000)),
@@ -186,6 +186,6 @@
         answer_lost: rate(),
         delayed_effect: rate(),
         slow: rate(),
-        longest: Duration::from_secs(20),
+        max_delay: Duration::from_secs(20),
     }
 }
--- a/crates/hall/tests/fuzz/simulated_site.rs
+++ b/crates/hall/tests/fuzz/simulated_site.rs
@@ -75,7 +75,7 @@
 async fn run(steps: &[Step]) -> Vec<String> {
     let site = TestSite::new();
     site.change_config(|it| it.bounds.job_retention = time::TimeSpan::from_secs(1_000_000));
-    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7)));
+    site.fleet.scripts().set_default(support::task_script(Duration::from_secs(7)));
     let keys = (0..5).map(|_| site.key()).collect();
     let mut simulation = SimulatedSite {
         site,
@@ -278,11 +278,11 @@
             answer_lost: rate,
             delayed_effect: rate,
             slow: rate,
-            longest: Duration::from_secs(4),
+            max_delay: Duration::from_secs(4),
         };
         for service in [PlatformService::Table, PlatformService::Objects, PlatformService::Workers]
         {
-            self.link_faults(instance, service).sample(seed, rates);
+            self.link_faults(instance, service).inject_at_random(seed, rates);
         }
     }
 
--- a/crates/hall/tests/hall/gangs.rs
+++ b/crates/hall/tests/hall/gangs.rs
@@ -61,7 +61,7 @@
     a_cancellation_during_a_start_releases_all_leases(site) {
         let instance = site.start_holder("a").await;
         let slow = Fault::Slow(std::time::Duration::from_millis(500));
-        instance.worker_faults.next(model::LeaseReserve::PATH, slow);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, slow);
         let job = site.key();
         support::expect_record(
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 3)).await,
@@ -78,7 +78,7 @@
     /// member of the gang. The whole gang has to stop and start again.
     a_worker_crash_stops_and_restarts_its_gang(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(100)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(100)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         let lost = site.fleet.runs()[0].worker.clone();
         let workers = site.fleet.workers();
@@ -96,10 +96,10 @@
     /// than a lease term.
     a_silence_shorter_than_the_lease_term_stops_no_gang(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(120)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(120)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         for (_, worker) in site.fleet.workers() {
-            worker.faults().set(Condition::Silent);
+            worker.faults().set(Condition::Dropping);
         }
         support::advance(support::secs(15)).await;
         for (_, worker) in site.fleet.workers() {
@@ -113,8 +113,8 @@
     /// to a reservation and to a start are lost.
     lost_answers_during_a_start_are_retried(site) {
         let instance = site.start_holder("a").await;
-        instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
-        instance.worker_faults.next(model::TaskStart::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::TaskStart::PATH, Fault::AnswerLost);
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 3).await;
         site.wait_for_job_state(job, model::JobState::Done).await;
         assert_eq!(site.fleet.runs().len(), 3);
@@ -144,7 +144,7 @@
         support::advance(support::secs(1)).await;
         let late = Fault::DelayedEffect(support::secs(15));
         for nth in 1..=9 {
-            earlier.worker_faults.nth(model::TaskStart::PATH, nth, late);
+            earlier.worker_faults.inject_nth(model::TaskStart::PATH, nth, late);
         }
         let job = site.key();
         support::expect_record(
@@ -166,10 +166,10 @@
     a_roll_back_of_an_earlier_holder_releases_only_its_own_leases(site) {
         let earlier = site.start_holder("a").await;
         let later = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(60)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(60)));
         support::advance(support::secs(1)).await;
         earlier.cut_off_from_table();
-        earlier.worker_faults.set(Condition::Held);
+        earlier.worker_faults.set(Condition::Paused);
         let job = site.key();
         support::wait_until("the later instance holds the tenure", async || later.holds()).await;
         support::expect_record(
--- a/crates/hall/tests/hall/intents.rs
+++ b/crates/hall/tests/hall/intents.rs
@@ -147,7 +147,7 @@
         for fault in faults {
             // The first write after the grant request is the append, unless a renewal of the tenure
             // comes first: then the fault is injected into the renewal, which must be harmless too.
-            holder.table_faults.next(model::TableTransaction::PATH, fault);
+            holder.table_faults.inject_next(model::TableTransaction::PATH, fault);
             let key = site.key();
             let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
             holder.return_grant(&grant, model::RequestOutcome::Done).await;
@@ -189,7 +189,7 @@
         let new_holder = site.start("b");
         old_holder.cut_off_from_table();
         support::advance(support::secs(5)).await;
-        old_holder.object_faults.set(Condition::Held);
+        old_holder.object_faults.set(Condition::Paused);
         let key = site.key();
         let (service, request) =
             (old_holder.service.clone(), support::request_with_key(&site, key));
@@ -258,12 +258,12 @@
     concurrent_intents_share_transactions(site) {
         let instance = site.start_holder("a").await;
         // The first write is delayed, so that the other intents queue up during it.
-        instance.table_faults.nth(
+        instance.table_faults.inject_nth(
             model::TableTransaction::PATH,
             1,
             Fault::Slow(Duration::from_millis(200)),
         );
-        let before = site.table.committed();
+        let before = site.table.committed_transactions();
         let calls = (0..12).map(|_| {
             let (service, request) =
                 (instance.service.clone(), support::request_with_key(&site, site.key()));
@@ -273,7 +273,7 @@
             let reply = call.await.expect("a call that ends");
             assert!(matches!(reply, model::GrantReply::Granted { .. }), "found {reply:?}");
         }
-        let n_writes = site.table.committed() - before;
+        let n_writes = site.table.committed_transactions() - before;
         assert!(n_writes <= 4, "{n_writes} transactions for 12 intents");
     }
 }
--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -21,7 +21,7 @@
     /// reset once the checkpoint was durable.
     job_continues_after_a_checkpoint(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         support::advance(support::secs(630)).await;
         let record = site.job_row(job).expect("a row");
@@ -46,7 +46,7 @@
     job_runs_once_after_a_lost_commit_answer(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::AnswerLost);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::AnswerLost);
         support::expect_record(
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await,
         );
@@ -69,10 +69,10 @@
     late_commit_does_not_overwrite_newer_rows(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
-            site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
+            site.fleet.scripts().set_default(support::task_script(support::secs(1)));
             let instance = site.start_holder("a").await;
             let late = Fault::DelayedEffect(support::secs(20));
-            instance.table_faults.nth(model::TableTransaction::PATH, nth, late);
+            instance.table_faults.inject_nth(model::TableTransaction::PATH, nth, late);
             let job = site.key();
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
             support::advance(support::secs(60)).await;
@@ -86,7 +86,7 @@
     refused_job_does_not_run_later(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::Unavailable);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::Unavailable);
         let reply =
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
@@ -111,7 +111,7 @@
     /// each cancellation would. Here 500 waiting jobs are cancelled at once, each of them twice.
     cancellations_are_written_in_batches(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let jobs = (0..500).map(|_| site.key()).collect::<Vec<_>>();
         let submits = jobs.iter().map(|job| {
@@ -124,7 +124,7 @@
         for submit in submits.collect::<Vec<_>>() {
             support::expect_record(submit.await.expect("a call that ends"));
         }
-        let before = site.table.committed();
+        let before = site.table.committed_transactions();
         let cancels = jobs.iter().chain(&jobs).map(|job| {
             let (service, job) = (instance.service.clone(), *job);
             let account = support::ACCOUNT.to_owned();
@@ -140,7 +140,7 @@
             })
         })
         .await;
-        let n_writes = site.table.committed() - before;
+        let n_writes = site.table.committed_transactions() - before;
         assert!(n_writes < 40, "{n_writes} transactions for 500 cancellations");
     }
 
@@ -162,7 +162,7 @@
     non_repeatable_job_is_never_started_again(site) {
         let holder = site.start_holder("a").await;
         let successor = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = holder.run_gang(&site, support::SINGLE_RUN_JOB, 2).await;
         for (_, worker) in site.fleet.workers() {
             worker.crash();
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -13,7 +13,7 @@
         let holder = site.start_holder("a").await;
         let standby = site.start("b");
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(7200)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(7200)));
         let long_job = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.table.faults().set(Condition::Refusing);
         for _ in 0..60 {
@@ -47,7 +47,7 @@
     keyed_requests_are_logged_to_the_object_store_during_a_table_outage(site) {
         let holder = site.start_holder("a").await;
         let successor = site.start("b");
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         support::advance(support::secs(60)).await;
         let key = site.key();
         let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
@@ -67,7 +67,7 @@
     /// wait until the intent is durable, and a withdrawn intent must free its key.
     keyed_requests_are_busy_while_both_stores_are_down(site) {
         let holder = site.start_holder("a").await;
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         site.objects.faults().set(Condition::Refusing);
         support::advance(support::secs(30)).await;
         let key = site.key();
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -58,7 +58,7 @@
     /// Sequence: the write that acquires the hall takes effect; its answer is lost.
     /// Cause: a lost answer is treated as a failed write, although the row names its writer.
     a_lost_answer_to_the_acquiring_write_keeps_the_tenure(site) {
-        site.table.faults().next(model::TableTransaction::PATH, Fault::AnswerLost);
+        site.table.faults().inject_next(model::TableTransaction::PATH, Fault::AnswerLost);
         let holder = site.start_holder("a").await;
         assert!(holder.holds());
         assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
@@ -73,7 +73,7 @@
         let transact = model::TableTransaction::PATH;
         for fault in [Fault::AnswerLost, Fault::DelayedEffect(Duration::from_millis(2700))] {
             for _ in 0..3 {
-                site.table.faults().next(transact, fault);
+                site.table.faults().inject_next(transact, fault);
                 support::advance(support::secs(4)).await;
             }
         }
--- a/crates/hall/tests/hall/requests.rs
+++ b/crates/hall/tests/hall/requests.rs
@@ -60,7 +60,7 @@
     /// repeated, and the worker grants the same lease again.
     a_lost_answer_to_a_reservation_is_retried(site) {
         let instance = site.start_holder("a").await;
-        instance.worker_faults.next(model::LeaseReserve::PATH, Fault::AnswerLost);
+        instance.worker_faults.inject_next(model::LeaseReserve::PATH, Fault::AnswerLost);
         instance.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
         let held = site.fleet.workers().iter().map(|(_, it)| it.peek().len()).sum::<usize>();
         assert_eq!(held, 1);
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -131,7 +131,7 @@
     let fleet = common::Fleet::settled(LAG, &["dc1", "dc2"], 4).await;
     let here = ["dc1-0", "dc1-1", "dc1-2", "dc1-3"];
     let there = ["dc2-0", "dc2-1", "dc2-2", "dc2-3"];
-    fleet.net.partition(&here, &there, fault::Condition::Silent);
+    fleet.net.partition(&here, &there, fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     assert_eq!(fleet.view("dc1-0"), here.iter().map(|it| (*it).to_owned()).collect());
     fleet.net.partition(&here, &there, fault::Condition::Up);
@@ -149,7 +149,7 @@
 
 async fn one_way_loss() {
     let fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
-    fleet.net.path("dc1-1", "dc1-6").set(fault::Condition::Silent);
+    fleet.net.path_faults("dc1-1", "dc1-6").set(fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     for (name, node) in &fleet.nodes {
         let changes = node.counts.borrow().clone();
@@ -159,7 +159,7 @@
 
 async fn list_unavailable() {
     let fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
-    fleet.list.faults().set(fault::Condition::Silent);
+    fleet.list.faults().set(fault::Condition::Dropping);
     time::sleep(Duration::from_secs(120)).await;
     fleet.agree(Duration::from_millis(1)).await;
 }
@@ -184,8 +184,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_replaced_process_does_not_come_back() {
     let mut table = table();
-    table.hear(&beat("b", 10), Instant::now());
-    table.hear(&model::PeerBeat { from: "b#2".to_owned(), ..beat("b", 1) }, Instant::now());
+    table.apply_beat(&beat("b", 10), Instant::now());
+    table.apply_beat(&model::PeerBeat { from: "b#2".to_owned(), ..beat("b", 1) }, Instant::now());
     time::advance(Duration::from_secs(3)).await;
     let word = model::PeerRumour {
         from: "b#1".to_owned(),
@@ -194,7 +194,7 @@
         leaving: false,
         number: 12,
     };
-    table.hear(&model::PeerBeat { rumours: vec![word], ..beat("c", 5) }, Instant::now());
+    table.apply_beat(&model::PeerBeat { rumours: vec![word], ..beat("c", 5) }, Instant::now());
     let ids = table.snapshot(1).instances.into_keys().collect::<Vec<_>>();
     assert_eq!(ids, ["a#1", "b#2", "c#1"]);
 }
@@ -204,7 +204,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_tick_loses_nobody() {
     let mut table = table();
-    table.hear(&beat("b", 1), Instant::now());
+    table.apply_beat(&beat("b", 1), Instant::now());
     table.tick(Instant::now());
     time::advance(Duration::from_secs(60)).await;
     assert_eq!(table.tick(Instant::now()), Vec::<String>::new());
--- a/crates/pool/src/writer.rs
+++ b/crates/pool/src/writer.rs
@@ -192,7 +192,7 @@
                     ConflictKind::Outdated(version) => self.version = version,
                     ConflictKind::Lost => return WriteOutcome::Stopped,
                 },
-                Err(error) if error.fault.is_for_good() && !rows.is_empty() => {
+                Err(error) if error.fault.is_permanent() && !rows.is_empty() => {
                     return WriteOutcome::Rejected(error);
                 }
                 Err(error) => {
--- a/crates/pool/tests/pool/crashes.rs
+++ b/crates/pool/tests/pool/crashes.rs
@@ -94,7 +94,7 @@
         bench.restart_crashed_workers(support::RestartMode::SameAddress, Duration::from_secs(1));
         let (holder, other) = (bench.holder(), bench.non_holder());
         bench.submit(other, 1, crashing_job(1, 10)).await;
-        bench.instances[holder].store_faults.set(fault::Condition::Silent);
+        bench.instances[holder].store_faults.set(fault::Condition::Dropping);
         bench.await_state(other, 1, model::GraphState::Failed, GIVE_UP_TIMEOUT).await;
         assert!(bench.instances[holder].state.leader().is_none_or(|it| it.has_ended()));
         assert_eq!(n_starts(&bench, 1), 3);
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -21,7 +21,7 @@
     step: &'static str,
     fault: fault::Fault,
 ) {
-    (1..=N_FEED_CALLS).for_each(|nth| instance.store_faults.nth(step, nth, fault));
+    (1..=N_FEED_CALLS).for_each(|nth| instance.store_faults.inject_nth(step, nth, fault));
 }
 
 /// Guards against a job feed that fails permanently although the table can be read.
@@ -30,7 +30,11 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let (holder, other) = (bench.holder(), bench.non_holder());
-        inject_into_all_calls(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        inject_into_all_calls(
+            &bench.instances[holder],
+            table::FOLLOW_STEP,
+            fault::Fault::AnswerLost,
+        );
         let address = |it: usize| bench.instances[it].address.as_str();
         bench.net.partition(&[address(other)], &[address(holder)], fault::Condition::Refusing);
         bench.submit(other, 1, support::job(1, 500)).await;
@@ -47,7 +51,11 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 0).await;
         let holder = bench.holder();
-        inject_into_all_calls(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        inject_into_all_calls(
+            &bench.instances[holder],
+            table::FOLLOW_STEP,
+            fault::Fault::AnswerLost,
+        );
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.add_worker(0).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SETTLING_TIME).await;
@@ -63,7 +71,7 @@
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SETTLING_TIME).await;
         let slow = fault::Fault::Slow(Duration::from_millis(1_400));
-        inject_into_all_calls(&bench.instances[holder], table::SNAPSHOT, slow);
+        inject_into_all_calls(&bench.instances[holder], table::SNAPSHOT_STEP, slow);
         bench.store.forget_history();
         // The store has read the table, and its answer has not arrived yet.
         time::sleep(Duration::from_secs(1)).await;
@@ -85,7 +93,7 @@
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let store_faults = &bench.instances[holder].store_faults;
-        store_faults.next(model::TableGet::PATH, fault::Fault::Unavailable);
+        store_faults.inject_next(model::TableGet::PATH, fault::Fault::Unavailable);
         bench.store.forget_history();
         bench.add_worker(0).await;
         time::sleep(SETTLING_TIME).await;
--- a/crates/pool/tests/pool/nudges.rs
+++ b/crates/pool/tests/pool/nudges.rs
@@ -21,16 +21,16 @@
 /// Loses all calls of an instance's feeds from now on; other calls are answered.
 fn lose_feed_calls(instance: &support::BenchInstance) {
     for nth in 1..=N_FEED_CALLS {
-        instance.store_faults.nth(table::FOLLOW, nth, fault::Fault::RequestLost);
-        instance.store_faults.nth(table::SNAPSHOT, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::FOLLOW_STEP, nth, fault::Fault::RequestLost);
+        instance.store_faults.inject_nth(table::SNAPSHOT_STEP, nth, fault::Fault::RequestLost);
     }
 }
 
 /// Rejects the next nudge from one instance to another.
 fn reject_next_nudge(bench: &support::PoolBench, from: usize, to: usize) {
     let address = |it: usize| bench.instances[it].address.as_str();
-    let path = bench.net.path(address(from), address(to));
-    path.next(model::GraphNudge::PATH, fault::Fault::Refused);
+    let path = bench.net.path_faults(address(from), address(to));
+    path.inject_next(model::GraphNudge::PATH, fault::Fault::Refused);
 }
 
 /// Guards against a job that waits for the feed because its only nudge was lost.
@@ -54,7 +54,7 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         lose_feed_calls(&bench.instances[holder]);
         let step = model::TableTransaction::PATH;
-        bench.instances[other].store_faults.next(step, fault::Fault::AnswerLost);
+        bench.instances[other].store_faults.inject_next(step, fault::Fault::AnswerLost);
         let accepted = bench.submit(other, 1, support::job(1, 500)).await;
         assert_eq!(accepted, model::SubmitOutcome::Accepted);
         bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
@@ -74,7 +74,10 @@
         assert_eq!(bench.cancel(other, 1).await, model::CancelOutcome::Cancelled);
         time::sleep(Duration::from_secs(2)).await;
         let records = bench.fleet.records();
-        assert_eq!(records.iter().map(|it| it.how).collect::<Vec<_>>(), [order::EndKind::Stopped]);
+        assert_eq!(
+            records.iter().map(|it| it.end_kind).collect::<Vec<_>>(),
+            [order::EndKind::Stopped]
+        );
     });
 }
 
@@ -123,8 +126,8 @@
         let (holder, other) = (bench.holder(), bench.non_holder());
         lose_feed_calls(&bench.instances[holder]);
         let address = |it: usize| bench.instances[it].address.as_str();
-        let path = bench.net.path(address(other), address(holder));
-        path.next(model::GraphNudge::PATH, fault::Fault::CallerPanics);
+        let path = bench.net.path_faults(address(other), address(holder));
+        path.inject_next(model::GraphNudge::PATH, fault::Fault::CallerPanics);
         bench.submit(other, 1, support::job(1, 500)).await;
         bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
     });
@@ -143,7 +146,7 @@
         time::sleep(SETTLING_TIME).await;
         bench.instances[holder]
             .store_faults
-            .next(model::TableGet::PATH, fault::Fault::CallerPanics);
+            .inject_next(model::TableGet::PATH, fault::Fault::CallerPanics);
         bench.await_state(other, 1, model::GraphState::Completed, SETTLING_TIME).await;
         assert_eq!(bench.fleet.records().len(), 1);
     });
@@ -161,7 +164,8 @@
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let slow = fault::Fault::Slow(Duration::from_millis(500));
         let store_faults = &bench.instances[holder].store_faults;
-        (1..=N_FEED_CALLS).for_each(|nth| store_faults.nth(model::TableGet::PATH, nth, slow));
+        (1..=N_FEED_CALLS)
+            .for_each(|nth| store_faults.inject_nth(model::TableGet::PATH, nth, slow));
         let nudge = model::GraphNudge { graph: 1, version, row: support::job(1, 500) };
         let link = bench.net.link(&bench.instances[other].address);
         let taken = link.call(&bench.instances[holder].address, nudge, SETTLING_TIME).await;
--- a/crates/pool/tests/pool/panics.rs
+++ b/crates/pool/tests/pool/panics.rs
@@ -29,7 +29,7 @@
 /// Guards against a worker that is not polled any more.
 #[test]
 fn a_panic_at_a_poll_does_not_end_the_session() {
-    check_panic_at(pool_fleet::HOLD);
+    check_panic_at(pool_fleet::POLL);
 }
 
 /// Guards against a task that counts as started forever, and a worker that gets no more orders.
--- a/crates/pool/tests/pool/resource_changes.rs
+++ b/crates/pool/tests/pool/resource_changes.rs
@@ -14,7 +14,7 @@
 /// Starts two instances, and two workers that reject no task for lack of resources.
 async fn start_unguarded_bench() -> support::PoolBench {
     let bench = support::PoolBench::start(2, 2).await;
-    bench.fleet.unguard();
+    bench.fleet.disable_capacity_check();
     bench.start_heartbeats();
     bench.set_document_unguarded(2).await;
     time::sleep(Duration::from_secs(2)).await;
@@ -22,7 +22,7 @@
 }
 
 fn assert_none_overcommitted(bench: &support::PoolBench) {
-    assert_eq!(bench.fleet.overfull(), []);
+    assert_eq!(bench.fleet.oversubscribed_starts(), []);
 }
 
 /// Tasks are placed by the current resources of each worker, also after these have grown again.
@@ -71,7 +71,7 @@
         let bench = start_unguarded_bench().await;
         bench.submit(0, 1, support::job(160, 1_000)).await;
         time::sleep(Duration::from_millis(100)).await;
-        bench.store.faults().set(fault::Condition::Silent);
+        bench.store.faults().set(fault::Condition::Dropping);
         bench.set_accelerators(&support::worker_id(0), 2);
         bench.set_accelerators(&support::worker_id(1), 2);
         time::sleep(Duration::from_secs(8)).await;
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -38,7 +38,7 @@
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(20)).await;
         bench.assert_nothing_ran_twice();
         let n_done =
-            bench.fleet.records().iter().filter(|it| it.how == order::EndKind::Done).count();
+            bench.fleet.records().iter().filter(|it| it.end_kind == order::EndKind::Done).count();
         assert_eq!(n_done, 12);
     });
 }
@@ -87,12 +87,12 @@
 fn a_late_start_is_refused_by_a_later_incarnation() {
     support::run(async {
         let bench = support::PoolBench::start(1, 2).await;
-        bench.fleet.let_starts_outlive();
+        bench.fleet.allow_starts_on_later_incarnations();
         // The workers' clocks show far more than the term of a start. The first worker is full.
         bench.submit(0, 1, support::job(8, 120_000)).await;
         time::sleep(Duration::from_secs(60)).await;
         let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
-        bench.fleet.faults(&support::worker_id(1)).next(pool_fleet::START, late);
+        bench.fleet.faults(&support::worker_id(1)).inject_next(pool_fleet::START, late);
         bench.submit(0, 2, support::job(1, 8_000)).await;
         // The task goes to the first worker, as the second one leaves; then the second one restarts.
         bench.drain_worker(1).await;
--- a/crates/pool/tests/pool/sessions.rs
+++ b/crates/pool/tests/pool/sessions.rs
@@ -15,12 +15,12 @@
 async fn check_panic_at(step: &'static str, before: Duration) {
     let bench = support::PoolBench::start(1, 1).await;
     if before.is_zero() {
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.submit(0, 1, support::job(1, 2_000)).await;
     if !before.is_zero() {
         time::sleep(before).await;
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
     bench.assert_nothing_ran_twice();
@@ -37,5 +37,5 @@
 /// not noticed.
 #[test]
 fn polls_continue_after_one_that_panics() {
-    support::run(check_panic_at(pool_fleet::HOLD, Duration::from_millis(500)));
+    support::run(check_panic_at(pool_fleet::POLL, Duration::from_millis(500)));
 }
--- a/crates/pool/tests/pool/storms.rs
+++ b/crates/pool/tests/pool/storms.rs
@@ -100,7 +100,7 @@
     /// Returns whether a run started in the data centre although the evacuation had to be in force by then.
     fn is_violated_by(&self, run: &pool_worker::RunRecord) -> bool {
         let is_there = support::index_of(&run.worker) / WORKERS_PER_DATA_CENTER == self.number;
-        is_there && run.began > self.acked_at + EVACUATED_WITHIN && run.began < self.until
+        is_there && run.started > self.acked_at + EVACUATED_WITHIN && run.started < self.until
     }
 }
 
@@ -280,7 +280,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut bench = support::PoolBench::start(N_INSTANCES, kind.n_workers()).await;
     if kind == StormKind::UnreportedRestarts {
-        bench.fleet.hide_lives();
+        bench.fleet.hide_incarnations();
         for worker in 0..N_WORKERS {
             bench.restart_worker(worker, Duration::ZERO).await;
             bench.write_entry(worker).await;
@@ -292,7 +292,7 @@
         bench.restart_crashed_workers(support::RestartMode::Rotating, down);
     }
     if kind == StormKind::ResourceChanges {
-        bench.fleet.unguard();
+        bench.fleet.disable_capacity_check();
         bench.set_document_unguarded(2).await;
         time::sleep(FIRST_HEARTBEATS).await;
     }
@@ -459,7 +459,7 @@
     let index = rng.random_range(0..bench.instances.len());
     let condition = match rng.random_range(0..4) {
         0 => fault::Condition::Refusing,
-        1 => fault::Condition::Silent,
+        1 => fault::Condition::Dropping,
         2 => fault::Condition::Slow(Duration::from_millis(rng.random_range(50..900))),
         _ => fault::Condition::Up,
     };
@@ -477,12 +477,12 @@
             let rates = fault::FaultRates {
                 answer_lost: 0.1,
                 delayed_effect: 0.1,
-                longest: Duration::from_secs(8),
+                max_delay: Duration::from_secs(8),
                 ..fault::FaultRates::default()
             };
             let worker = support::worker_id(rng.random_range(0..N_WORKERS));
-            bench.fleet.faults(&worker).sample(rng.random(), rates);
-            bench.store.faults().sample(rng.random(), rates);
+            bench.fleet.faults(&worker).inject_at_random(rng.random(), rates);
+            bench.store.faults().inject_at_random(rng.random(), rates);
         }
         5 => {
             let address = bench.kill(index).await;
@@ -507,14 +507,14 @@
 fn end_faults(bench: &support::PoolBench) {
     let none = fault::FaultRates::default();
     bench.store.faults().set(fault::Condition::Up);
-    bench.store.faults().sample(0, none);
+    bench.store.faults().inject_at_random(0, none);
     for instance in &bench.instances {
         instance.store_faults.set(fault::Condition::Up);
         instance.worker_faults.set(fault::Condition::Up);
     }
     for faults in bench.fleet.all_faults() {
         faults.set(fault::Condition::Up);
-        faults.sample(0, none);
+        faults.inject_at_random(0, none);
     }
 }
 
@@ -527,7 +527,8 @@
     }
     // BUDGET: no task fails more often than allowed, counting acknowledged ends only.
     let mut failures = BTreeMap::<_, u32>::new();
-    let failed = records.iter().filter(|it| it.how == order::EndKind::Failed && it.is_noted);
+    let failed =
+        records.iter().filter(|it| it.end_kind == order::EndKind::Failed && it.is_acknowledged);
     for record in failed {
         *failures.entry(record.task).or_default() += 1;
     }
@@ -536,18 +537,18 @@
     for graph in &ledger.crashing {
         let first = task_key::TaskKey { graph: *graph, occurrence: 0, step: 0, task: 0 };
         let mut runs = records.iter().filter(|it| it.task == first).collect::<Vec<_>>();
-        runs.sort_by_key(|it| it.began);
-        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_connected(it.began));
+        runs.sort_by_key(|it| it.started);
+        let later = runs.iter().skip(N_CRASHES).filter(|it| ledger.is_connected(it.started));
         assert!(later.count() <= MAX_LATER_STARTS, "storm {seed}: starts of {first}: {runs:?}");
     }
     // EVAC: connected instances start no task in a data centre once its evacuation is in force.
     for span in &ledger.past_evacuations {
         let broken = records.iter().filter(|it| span.is_violated_by(it));
-        let broken = broken.filter(|it| ledger.is_connected(it.began)).collect::<Vec<_>>();
+        let broken = broken.filter(|it| ledger.is_connected(it.started)).collect::<Vec<_>>();
         assert!(broken.is_empty(), "storm {seed}: {span:?}, {broken:?}");
     }
     // LIMIT: no start overcommits a worker's resources.
-    let overcommitted = bench.fleet.overfull();
+    let overcommitted = bench.fleet.oversubscribed_starts();
     assert_eq!(overcommitted, [], "storm {seed}");
     // ORDER: a step begins only after each task of the step before it has ended with `Done`. Such a task may
     // run once more after that (storm 21056): its end was not acknowledged before the worker's lease lapsed,
@@ -556,12 +557,12 @@
         let of =
             |step| records.iter().filter(move |it| it.task.graph == *graph && it.task.step == step);
         let mut first_ends = BTreeMap::new();
-        for record in of(0).filter(|it| it.how == order::EndKind::Done) {
+        for record in of(0).filter(|it| it.end_kind == order::EndKind::Done) {
             let end = first_ends.entry(record.task).or_insert(record.ended);
             *end = record.ended.min(*end);
         }
         let done = first_ends.values().max().copied();
-        let began = of(1).map(|it| it.began).min();
+        let began = of(1).map(|it| it.started).min();
         let of_graph = records.iter().filter(|it| it.task.graph == *graph).collect::<Vec<_>>();
         assert!(began.is_none() || done <= began, "storm {seed}: steps of {graph}: {of_graph:?}");
     }
--- a/crates/pool/tests/pool/successors.rs
+++ b/crates/pool/tests/pool/successors.rs
@@ -27,7 +27,7 @@
 
 /// Cuts a worker off from all instances.
 fn cut_off_worker(bench: &support::PoolBench) {
-    bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Silent);
+    bench.fleet.faults(&support::worker_id(1)).set(fault::Condition::Dropping);
 }
 
 /// Cancels job 1, and checks that job 2 is done on its resources by `due`.
@@ -53,8 +53,8 @@
         let (former_holder, other) = (bench.holder(), bench.non_holder());
         let address = &bench.instances[former_holder].address;
         let other = &bench.instances[other].address;
-        bench.net.partition(&[address], &[other], fault::Condition::Silent);
-        bench.instances[former_holder].store_faults.set(fault::Condition::Silent);
+        bench.net.partition(&[address], &[other], fault::Condition::Dropping);
+        bench.instances[former_holder].store_faults.set(fault::Condition::Dropping);
         time::sleep(Duration::from_secs(12)).await;
         bench.net.partition(&[address], &[other], fault::Condition::Up);
         let holder = bench.instances[former_holder].state.settings.instance.clone();
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -125,7 +125,7 @@
         token: ids::FencingToken,
         request: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
-        self.panics.panic_if_due(pool_fleet::HOLD);
+        self.panics.panic_if_due(pool_fleet::POLL);
         self.fleet.poll(target, token, request).await
     }
 
@@ -295,9 +295,9 @@
         let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
         let site = BenchAdapters {
-            store: self.store.seen_through(store_faults.clone()),
+            store: self.store.with_path_faults(store_faults.clone()),
             control: BenchControl {
-                fleet: self.fleet.seen_through(worker_faults.clone()),
+                fleet: self.fleet.with_path_faults(worker_faults.clone()),
                 panics: panics.clone(),
             },
             peers: self.net.link(address),
@@ -327,8 +327,8 @@
         tracing::info!(address = crashed.address, "instance is killed");
         self.net.crash(&crashed.address);
         // Calls that the dead process had in progress reach nobody any more.
-        crashed.store_faults.set(fault::Condition::Silent);
-        crashed.worker_faults.set(fault::Condition::Silent);
+        crashed.store_faults.set(fault::Condition::Dropping);
+        crashed.worker_faults.set(fault::Condition::Dropping);
         crashed.running.abort();
         let _ = crashed.running.await;
         crashed.address
@@ -342,7 +342,7 @@
     ) {
         let own_address = self.instances[index].address.as_str();
         let others = addresses.filter(|it| *it != own_address).collect::<Vec<_>>();
-        self.net.partition(&[own_address], &others, fault::Condition::Silent);
+        self.net.partition(&[own_address], &others, fault::Condition::Dropping);
     }
 
     /// Index of the instance that holds the tenure with the highest epoch.
@@ -393,7 +393,7 @@
 
     /// Times at which the store removed the row of a data centre's evacuation, whichever call asked for it.
     pub(crate) fn evacuation_removals(&self, data_center: &str) -> Vec<Instant> {
-        self.store.removals(&evacuation_key(data_center))
+        self.store.removal_times(&evacuation_key(data_center))
     }
 
     /// Overwrites the entry of a worker with one that can't be read.
@@ -576,10 +576,11 @@
             by_task.entry(record.task).or_default().push(record);
         }
         for (task, mut records) in by_task {
-            records.sort_by_key(|it| it.began);
+            records.sort_by_key(|it| it.started);
             for pair in records.windows(2) {
-                assert!(pair[0].ended <= pair[1].began, "{task} ran twice: {pair:?}");
-                let was_acknowledged = pair[0].how == order::EndKind::Done && pair[0].is_noted;
+                assert!(pair[0].ended <= pair[1].started, "{task} ran twice: {pair:?}");
+                let was_acknowledged =
+                    pair[0].end_kind == order::EndKind::Done && pair[0].is_acknowledged;
                 assert!(!was_acknowledged, "{task} ran again: {pair:?}");
             }
         }
@@ -645,7 +646,7 @@
 /// An id of the same rack that no worker has had.
 fn unused_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
     let mut index = index_of(worker) + ID_STRIDE;
-    while fleet.was_up(&worker_id(index)) {
+    while fleet.was_ever_up(&worker_id(index)) {
         index += ID_STRIDE;
     }
     worker_id(index)
@@ -672,7 +673,7 @@
     let incarnation = fleet.incarnation(&worker);
     let incarnation = incarnation.map(|it| it.to_string()).unwrap_or_default();
     let accelerators = fleet.capacity(&worker).map_or(0, |it| it.accelerators);
-    let (address, sequence) = (fleet.address_of(&worker), fleet.number_entry());
+    let (address, sequence) = (fleet.address_of(&worker), fleet.next_entry_number());
     format!("r{}@{incarnation}#{address}~{accelerators}+{sequence}", index / 8)
 }
 
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -37,7 +37,7 @@
     /// Most rows that one answer to a follower tells.
     pub feed_rows: usize,
     /// Rows that nobody may write.
-    pub barred: BTreeSet<ids::RowKey>,
+    pub read_only_rows: BTreeSet<ids::RowKey>,
 }
 
 impl Default for TableLimits {
@@ -48,7 +48,7 @@
             entries: usize::MAX,
             page_rows: usize::MAX,
             feed_rows: usize::MAX,
-            barred: BTreeSet::new(),
+            read_only_rows: BTreeSet::new(),
         }
     }
 }
@@ -60,7 +60,7 @@
         let refused = |status, detail: &str| {
             Some(error::CallFault::Refused { status, detail: detail.to_owned() })
         };
-        if transaction.writes.iter().any(|it| self.barred.contains(&it.key)) {
+        if transaction.writes.iter().any(|it| self.read_only_rows.contains(&it.key)) {
             return refused(403, "a row that is not to be written");
         }
         if transaction.writes.iter().any(|it| bytes(it) > self.row_bytes) {
@@ -77,10 +77,10 @@
 }
 
 /// Step of reading a whole table, for fault plans.
-pub const SNAPSHOT: &str = "snapshot";
+pub const SNAPSHOT_STEP: &str = "snapshot";
 
 /// Step of following a table, for fault plans.
-pub const FOLLOW: &str = "follow";
+pub const FOLLOW_STEP: &str = "follow";
 
 /// How often a feed that waits looks for changes.
 const FEED_TICK: Duration = Duration::from_millis(10);
@@ -98,7 +98,7 @@
     /// When each row was removed that was there.
     removals: BTreeMap<ids::RowKey, Vec<Instant>>,
     /// Rows that were told to those who read or follow tables, by the prefix of the table.
-    told: BTreeMap<String, usize>,
+    rows_returned: BTreeMap<String, usize>,
 }
 
 /// Where the versions of rows are taken from.
@@ -141,7 +141,7 @@
     }
 
     /// The same table behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> TableFake {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> TableFake {
         TableFake { path, ..self.clone() }
     }
 
@@ -156,18 +156,18 @@
     }
 
     /// Rows of a table that were told so far to those who read or follow it.
-    pub fn told(&self, table: &str) -> usize {
+    pub fn rows_returned(&self, table: &str) -> usize {
         let rows = state::lock(&self.rows);
-        rows.told.get(&format!("{table}/")).copied().unwrap_or_default()
+        rows.rows_returned.get(&format!("{table}/")).copied().unwrap_or_default()
     }
 
     /// Transactions that committed so far.
-    pub fn committed(&self) -> u64 {
+    pub fn committed_transactions(&self) -> u64 {
         state::lock(&self.rows).transactions
     }
 
     /// When a row that was there was removed, past all faults, for oracles.
-    pub fn removals(&self, key: &str) -> Vec<Instant> {
+    pub fn removal_times(&self, key: &str) -> Vec<Instant> {
         state::lock(&self.rows).removals.get(key).cloned().unwrap_or_default()
     }
 
@@ -184,7 +184,7 @@
     ) -> Result<T, error::CallError> {
         let rows = Arc::clone(&self.rows);
         let effect = move || effect(&mut state::lock(&rows));
-        fault::pass(&[&self.path, &self.plan], PEER, step, effect).await
+        fault::call_through(&[&self.path, &self.plan], PEER, step, effect).await
     }
 }
 
@@ -274,9 +274,9 @@
         let mut read = row_feed::FeedRows::default();
         loop {
             let (prefix, after) = (prefix.clone(), read.rows.last().map(|it| it.key.clone()));
-            let page = self.pass(SNAPSHOT, move |rows| rows.page(&prefix, after, most));
+            let page = self.pass(SNAPSHOT_STEP, move |rows| rows.page(&prefix, after, most));
             let fault = error::CallFault::TimedOut(deadline);
-            let timed_out = error::CallError { step: SNAPSHOT, peer: PEER.to_owned(), fault };
+            let timed_out = error::CallError { step: SNAPSHOT_STEP, peer: PEER.to_owned(), fault };
             let page = time::timeout(deadline, page).await.unwrap_or(Err(timed_out))?;
             if read.rows.is_empty() {
                 read.version = page.version;
@@ -303,7 +303,7 @@
                 (after >= rows.forgotten)
                     .then(|| first_rows(rows.changes(&prefix, Some(after)), most))
             };
-            let Some(changes) = self.pass(FOLLOW, read).await? else {
+            let Some(changes) = self.pass(FOLLOW_STEP, read).await? else {
                 return Err(row_feed::FeedFault::HistoryGone);
             };
             if !changes.rows.is_empty() || Instant::now() >= expires {
@@ -335,7 +335,7 @@
         });
         let mut rows = wanted.map(|(key, row)| row.fed(key)).collect::<Vec<_>>();
         rows.sort_by_key(|it| it.version);
-        *self.told.entry(prefix.to_owned()).or_default() += rows.len();
+        *self.rows_returned.entry(prefix.to_owned()).or_default() += rows.len();
         row_feed::FeedRows { rows, version: self.transactions, more: false }
     }
 }
