--- a/crates/peer/src/call.rs
+++ b/crates/peer/src/call.rs
@@ -1,4 +1,4 @@
-//! Which message is answered by which, and under which path.
+//! The calls: the path of each request message and the type of its reply.
 
 use std::fmt;
 
@@ -6,22 +6,23 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A message that is answered by exactly one kind of reply.
+/// A request message with a fixed path and reply type.
 pub trait PeerCall:
     Clone + fmt::Debug + Serialize + DeserializeOwned + Send + Sync + 'static
 {
-    /// Path of the call, with the version of the message.
+    /// Path of the HTTP request, which includes the version of the message.
     const PATH: &'static str;
-    /// What answers it.
+    /// Message type of a successful answer.
     type Reply: Clone + fmt::Debug + Serialize + DeserializeOwned + Send + Sync + 'static;
 }
 
-/// A call that the scheduler of one hall answers.
+/// A call to the scheduler of one hall.
 pub trait HallCall: PeerCall {
-    /// The hall.
+    /// The hall whose scheduler answers the call.
     fn hall(&self) -> &ids::HallName;
 
-    /// Where the reply says that another instance schedules the hall: that instance, if known.
+    /// `Some` if the reply says that another instance schedules the hall, with the address of that
+    /// instance if it is known. `None` if the scheduler of the hall answered.
     fn redirect(reply: &Self::Reply) -> Option<Option<&ids::PeerAddress>>;
 }
 
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that carries calls to peers and to the platform's services.
+//! The HTTP client for calls to peers and to the platform's services.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::link;
 use crate::wire;
 
-/// How a client behaves.
+/// Settings of a [`PeerClient`].
 #[derive(Clone, Debug, Default)]
 pub struct ClientConfig {
-    /// Sent with every call; absent towards the platform, which must not learn it.
+    /// Sent with every call. `None` for calls to the platform, which must not learn the key.
     pub cluster_key: Option<key::ClusterKey>,
-    /// How connections are made and kept.
+    /// Timeouts and limits of the connections.
     pub http: http_client::HttpConfig,
 }
 
@@ -32,11 +32,11 @@
     key: Option<HeaderValue>,
 }
 
-/// Longest refusal that an error quotes, in bytes.
+/// Most bytes of an error response that an error message quotes.
 const MAX_DETAIL_BYTES: usize = 512;
 
 impl PeerClient {
-    /// A client without connections. A key that no HTTP header can hold is an error.
+    /// Creates a client that connects on its first call. Fails if an HTTP header can't hold the key.
     pub fn new(config: ClientConfig) -> Result<PeerClient, header::InvalidHeaderValue> {
         let key = config.cluster_key.as_ref().map(|it| HeaderValue::from_bytes(it.as_bytes()));
         let mut key = key.transpose()?;
@@ -46,7 +46,7 @@
         Ok(PeerClient { http: http_client::HttpClient::new(config.http), key })
     }
 
-    /// A client that shares the connections of `http` and sends no key.
+    /// Creates a client that uses the connections of `http` and sends no cluster key.
     pub fn without_key(http: http_client::HttpClient) -> PeerClient {
         PeerClient { http, key: None }
     }
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,19 +1,20 @@
-//! MessagePack of the messages, with named fields so that a newer version may add some.
+//! MessagePack encoding of messages. Fields are written with their names, so that a newer version can
+//! add fields.
 
 use bytes::Bytes;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Deepest nesting that is read. Without a bound a small message of nested arrays would overflow
-/// the stack and end the process.
+/// Deepest nesting that the decoder accepts. Without a limit, a small message of nested arrays would
+/// overflow the stack and abort the process.
 const MAX_DEPTH: usize = 64;
 
-/// Writes a message.
+/// Encodes `message` with field names. Fails if its `Serialize` implementation does.
 pub fn encode<M: Serialize>(message: &M) -> Result<Bytes, rmp_serde::encode::Error> {
     rmp_serde::to_vec_named(message).map(Bytes::from)
 }
 
-/// Reads a message; bytes behind it are an error.
+/// Decodes a message. Bytes after the end of the message and nesting beyond the depth limit are errors.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, rmp_serde::decode::Error> {
     let mut reader = rmp_serde::Deserializer::new(bytes);
     reader.set_max_depth(MAX_DEPTH);
--- a/crates/peer/src/dispatch.rs
+++ b/crates/peer/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! What a [`link::PeerService`](crate::link::PeerService) answers its calls with.
+//! Decodes a call for a [`link::PeerService`](crate::link::PeerService), runs its handler and encodes
+//! the reply.
 //!
 //! ```
 //! use almondpass_peer::call::PeerCall;
@@ -28,7 +29,7 @@
 use crate::error;
 use crate::link;
 
-/// Reads the call in `body`, lets `handler` answer it, and writes the answer.
+/// Decodes the call in `body`, runs `handler` and encodes its reply. The result is always `Some`.
 pub async fn answer<C, H, F>(body: &[u8], handler: H) -> Option<link::ServedReply>
 where
     C: call::PeerCall,
@@ -38,7 +39,7 @@
     try_answer(body, async |call| Ok(handler(call).await)).await
 }
 
-/// Like [`answer`], for a handler that may refuse.
+/// Like [`answer`], for a handler that can return an error.
 pub async fn try_answer<C, H, F>(body: &[u8], handler: H) -> Option<link::ServedReply>
 where
     C: call::PeerCall,
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,72 +1,74 @@
-//! What can go wrong with a call.
+//! Errors of calls, on the side of the caller and of the service.
 
 use std::time::Duration;
 
 use almondpass_schema::ids;
 use thiserror::Error;
 
-/// A failed call, with the step and the peer at which it failed.
+/// A failed call with its path and peer.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{step} at {peer}: {fault}")]
 pub struct CallError {
-    /// What was being done; the path of the call.
+    /// Path of the call.
     pub step: &'static str,
-    /// Whom it was asked of.
+    /// Address to which the call was sent.
     pub peer: ids::PeerAddress,
-    /// What went wrong.
+    /// Why the call failed, and whether the peer may have acted.
     pub fault: CallFault,
 }
 
-/// Statuses of a refusal that may be over a moment later: too many calls, and unavailable.
-const REFUSED_FOR_NOW: [u16; 2] = [429, 503];
+/// HTTP statuses of refusals that may not recur on a retry: too many requests, service unavailable.
+const TEMPORARY_REFUSALS: [u16; 2] = [429, 503];
 
-/// What went wrong, told apart by what the peer may have done.
+/// Why a call failed. The variants differ in whether the peer may have acted on the call.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum CallFault {
-    /// Nothing reached the peer; the call had no effect.
+    /// The call was not sent to the peer and had no effect.
     #[error("expected a connection, found {0}")]
     NotSent(String),
-    /// The peer may or may not have acted: the answer is missing.
+    /// No complete answer arrived, or its status was neither success nor a refusal. The peer may have acted
+    /// on the call.
     #[error("expected an answer, found {0}")]
     NoAnswer(String),
-    /// No answer within the deadline; the peer may or may not have acted.
+    /// The answer did not arrive within the deadline; the peer may have acted on the call.
     #[error("expected an answer within {0:?}, found none")]
     TimedOut(Duration),
-    /// The peer refused before acting.
+    /// The peer refused the call without acting on it.
     #[error("refused with status {status}: {detail}")]
     Refused {
         /// HTTP status of the refusal.
         status: u16,
-        /// Its reason.
+        /// Reason given by the peer, the first 512 bytes of the response body.
         detail: String,
     },
-    /// The answer could not be understood; the peer may have acted.
+    /// The answer could not be decoded; the peer may have acted on the call.
     #[error("expected a valid answer, found {0}")]
     Malformed(String),
 }
 
 impl CallFault {
-    /// Whether the peer certainly did not act.
+    /// Whether it is certain that the peer did not act on the call.
     pub fn had_no_effect(&self) -> bool {
         matches!(self, CallFault::NotSent(_) | CallFault::Refused { .. })
     }
 
-    /// Whether the peer refused what it would refuse again: the call is at fault, and not the moment.
+    /// Whether the peer would refuse the same call again, because of the call and not of a temporary state.
     pub fn is_permanent(&self) -> bool {
-        matches!(self, CallFault::Refused { status, .. } if !REFUSED_FOR_NOW.contains(status))
+        matches!(self, CallFault::Refused { status, .. } if !TEMPORARY_REFUSALS.contains(status))
     }
 }
 
-/// Why a service gave no answer to a call that reached it.
+/// Why a service did not answer a call that it received.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ServeFault {
-    /// The call could not be read; it had no effect.
+    /// The call could not be decoded and had no effect.
     #[error("expected a valid call, found {0}")]
     Unreadable(String),
-    /// The service refuses for now; the call had no effect.
+    /// The service can't answer at present; the call had no effect.
     #[error("expected a ready service, found {0}")]
     Unavailable(String),
-    /// The connection ends without an answer; the call may have had an effect. Fakes use it.
+    /// The server closes the connection without an answer; the call may have had an effect. Test fakes
+    /// use this to simulate a broken connection.
     #[error("expected an answer, found none")]
     Silent,
 }
--- a/crates/peer/src/http_client.rs
+++ b/crates/peer/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 exchanges over pooled connections, told apart by what the peer may have done.
+//! HTTP/1.1 exchanges over pooled connections. Errors say whether the peer may have acted on the request.
 
 use std::fmt;
 use std::future::Future;
@@ -19,19 +19,19 @@
 use crate::meter;
 use crate::pool;
 
-/// How connections are made and kept.
+/// Timeouts and limits of an [`HttpClient`].
 #[derive(Clone, Debug)]
 pub struct HttpConfig {
-    /// For a connection to be established, within the deadline of the exchange.
+    /// Longest time to establish a connection; the deadline of the exchange applies as well.
     pub connect_timeout: Duration,
-    /// A connection unused for this long is closed. Below the servers' header timeout, or a call
-    /// could be written to a connection that is just being closed.
+    /// A connection that was unused for this long is not reused. Shorter than the header timeout of the
+    /// servers; otherwise a call could be written to a connection that the server is closing.
     pub idle_timeout: Duration,
-    /// Idle connections kept for each peer.
+    /// Most idle connections that are kept open for each peer.
     pub max_idle_per_peer: usize,
-    /// Largest answer.
+    /// Largest body of an answer.
     pub max_body_bytes: usize,
-    /// Under which side its bytes are counted, such as `workers`.
+    /// Label `side` of the byte counters of these connections, such as `workers`.
     pub side: &'static str,
 }
 
@@ -47,17 +47,17 @@
     }
 }
 
-/// A whole answer.
+/// An answer whose body was read completely.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
-    /// Its status.
+    /// Any HTTP status; errors of the peer are not errors of the exchange.
     pub status: StatusCode,
-    /// Its body.
+    /// The complete body, at most [`HttpConfig::max_body_bytes`] long.
     pub body: Bytes,
 }
 
-/// An answer that is given up sooner than this tells nothing about the peer.
-const TELLING_SILENCE: Duration = Duration::from_millis(200);
+/// Shortest wait after which a cancelled exchange counts as a sign that the peer is unresponsive.
+const MIN_CONCLUSIVE_WAIT: Duration = Duration::from_millis(200);
 
 /// Sends requests over pooled connections; clones share the pool.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client that connects to a peer when it first sends a request to that peer.
     pub fn new(config: HttpConfig) -> HttpClient {
         HttpClient {
             pool: pool::ConnectionPool::new(config.idle_timeout, config.max_idle_per_peer),
@@ -79,30 +79,30 @@
         }
     }
 
-    /// Sends `request` to `peer` and awaits the whole answer for at most `deadline`, whatever its
-    /// status.
+    /// Sends `request` to `peer` and waits at most `deadline` for the whole answer. An answer with an
+    /// error status is returned as `Ok`.
     pub async fn exchange(
         &self,
         peer: &ids::PeerAddress,
         mut request: Request<Full<Bytes>>,
         deadline: Duration,
     ) -> Result<HttpReply, error::CallFault> {
-        let expires = Instant::now() + deadline;
+        let expires_at = Instant::now() + deadline;
         loop {
-            let mut connection = self.connection(peer, expires).await?;
+            let mut connection = self.connection(peer, expires_at).await?;
             let reused = connection.reused;
-            let ready = time::timeout_at(expires, connection.sender.ready()).await;
+            let ready = time::timeout_at(expires_at, connection.sender.ready()).await;
             if !matches!(ready, Ok(Ok(()))) {
-                if reused && expires.elapsed().is_zero() {
+                if reused && expires_at.elapsed().is_zero() {
                     continue;
                 }
                 return Err(not_sent("one that closed before the call was sent"));
             }
             let sent = connection.sender.try_send_request(request);
-            let response = match self.within(peer, expires, deadline, sent).await? {
+            let response = match self.await_answer(peer, expires_at, deadline, sent).await? {
                 Ok(response) => response,
-                // A pooled connection that the peer closed meanwhile: the request comes back
-                // unsent, and a fresh connection may carry it.
+                // The peer closed the pooled connection while it was idle. The request was not sent
+                // and is tried again on another connection.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if reused => {
                         request = unsent;
@@ -113,9 +113,9 @@
                 },
             };
             let status = response.status();
-            let answer = self.read(response);
-            let body = self.within(peer, expires, deadline, answer).await??;
-            self.pool.give_back(connection);
+            let answer = self.read_body(response);
+            let body = self.await_answer(peer, expires_at, deadline, answer).await??;
+            self.pool.release(connection);
             return Ok(HttpReply { status, body });
         }
     }
@@ -123,64 +123,66 @@
     async fn connection(
         &self,
         peer: &ids::PeerAddress,
-        expires: Instant,
+        expires_at: Instant,
     ) -> Result<pool::PooledConnection, error::CallFault> {
-        if let Some(connection) = self.pool.take(peer) {
+        if let Some(connection) = self.pool.take_idle(peer) {
             return Ok(connection);
         }
-        let limit = expires.min(Instant::now() + self.connect_timeout);
+        let limit = expires_at.min(Instant::now() + self.connect_timeout);
         match time::timeout_at(limit, connect(peer, self.side)).await {
-            Ok(sender) => Ok(self.pool.adopt(peer, sender?)),
+            Ok(sender) => Ok(self.pool.register_in_use(peer, sender?)),
             Err(_) => {
-                self.pool.distrust(peer);
+                self.pool.discard_connections(peer);
                 Err(not_sent("none in time"))
             }
         }
     }
 
-    /// Awaits what follows the first byte sent: from here on the peer may have acted.
-    async fn within<T>(
+    /// Waits for a part of the answer until `expires_at`. The request may have been sent by now, so a
+    /// timeout here means that the peer may have acted on the request.
+    async fn await_answer<T>(
         &self,
         peer: &ids::PeerAddress,
-        expires: Instant,
+        expires_at: Instant,
         deadline: Duration,
         answer: impl Future<Output = T>,
     ) -> Result<T, error::CallFault> {
         let mut pending = PendingAnswer::new(&self.pool, peer);
-        let answer = time::timeout_at(expires, answer).await;
-        pending.is_over = true;
+        let answer = time::timeout_at(expires_at, answer).await;
+        pending.has_ended = true;
         answer.map_err(|_| {
-            self.pool.distrust(peer);
+            self.pool.discard_connections(peer);
             error::CallFault::TimedOut(deadline)
         })
     }
 
-    async fn read(&self, response: Response<Incoming>) -> Result<Bytes, error::CallFault> {
+    async fn read_body(&self, response: Response<Incoming>) -> Result<Bytes, error::CallFault> {
         let limited = Limited::new(response.into_body(), self.max_body_bytes);
         let body = limited.collect().await;
         body.map(|it| it.to_bytes()).map_err(|it| error::CallFault::NoAnswer(it.to_string()))
     }
 }
 
-/// An answer that is awaited. A caller whose own timeout comes first drops the exchange, and the
-/// deadline that would have told of a silent peer never passes.
+/// Guards the wait for an answer. A caller whose own timeout is shorter than the deadline drops the
+/// exchange, so the deadline never detects an unresponsive peer. Dropping this guard during the wait
+/// discards the peer's connections instead, unless the wait was too short to be conclusive.
 struct PendingAnswer<'a> {
     pool: &'a pool::ConnectionPool,
     peer: &'a ids::PeerAddress,
-    since: Instant,
-    is_over: bool,
+    started_at: Instant,
+    has_ended: bool,
 }
 
 impl<'a> PendingAnswer<'a> {
     fn new(pool: &'a pool::ConnectionPool, peer: &'a ids::PeerAddress) -> PendingAnswer<'a> {
-        PendingAnswer { pool, peer, since: Instant::now(), is_over: false }
+        PendingAnswer { pool, peer, started_at: Instant::now(), has_ended: false }
     }
 }
 
 impl Drop for PendingAnswer<'_> {
     fn drop(&mut self) {
-        if !self.is_over && self.since.elapsed() >= TELLING_SILENCE {
-            self.pool.distrust(self.peer);
+        if !self.has_ended && self.started_at.elapsed() >= MIN_CONCLUSIVE_WAIT {
+            self.pool.discard_connections(self.peer);
         }
     }
 }
@@ -195,8 +197,8 @@
     stream.set_nodelay(true).map_err(not_sent)?;
     let stream = TokioIo::new(meter::MeteredStream::new(stream, side));
     let (sender, connection) = http1::handshake(stream).await.map_err(not_sent)?;
-    // Drives the connection until its sender is dropped or the peer closes it; what goes wrong
-    // reaches the call through its sender.
+    // Drives the connection until its sender is dropped or the peer closes it. The sender reports
+    // errors of the connection to the call, so the result of this task is ignored.
     tokio::spawn(connection);
     Ok(sender)
 }
--- a/crates/peer/src/http_server.rs
+++ b/crates/peer/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 on a listener until it is to end, then finishes what was read.
+//! Serves HTTP/1.1 on a listener until shutdown, then finishes the requests in flight.
 
 use std::error::Error;
 use std::future::Future;
@@ -19,43 +19,43 @@
 
 use crate::meter;
 
-/// How connections are served.
+/// Limits and timeouts of a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpServerConfig {
-    /// For a caller to send a head, idle time before it included.
+    /// Longest time for a client to send the headers, including the idle time before them.
     pub header_timeout: Duration,
-    /// Largest head; at least 8 KiB.
+    /// Largest request line and headers; a limit below 8 KiB is raised to 8 KiB.
     pub max_head_bytes: usize,
-    /// Connections at a time.
+    /// Most connections that are open at the same time; further ones wait to be accepted.
     pub max_connections: usize,
-    /// Under which side the bytes are counted.
+    /// Label `side` of the byte counters and log lines of these connections.
     pub side: &'static str,
 }
 
-/// Answers requests.
+/// Answers the HTTP requests of a server.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Ends the connection without an answer.
+    /// An error that makes the server close the connection without an answer.
     type Error: Error + Send + Sync + 'static;
 
-    /// Answers one request. It runs to its end though the caller gives up: a call that had begun
-    /// to act would otherwise stop half-way.
+    /// Answers one request. The future runs to completion even if the client disconnects; otherwise a
+    /// request that has begun to take effect would stop half-way.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<Full<Bytes>>, Self::Error>> + Send;
 
-    /// Answers a request whose handler failed to the point of panic.
+    /// Answers a request whose handler panicked.
     fn after_panic(&self) -> Result<Response<Full<Bytes>>, Self::Error>;
 }
 
-/// Smallest buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Wait after a failed accept, which mostly means that no file descriptors are left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which usually means that the process has no file descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves `listener` until `shutdown` resolves; then accepts nothing more, finishes the requests in
-/// flight and returns.
+/// Serves requests on `listener` until `shutdown` resolves, then stops accepting connections, finishes
+/// the requests in flight and returns.
 pub async fn serve<H: RequestHandler>(
     listener: TcpListener,
     handler: Arc<H>,
@@ -79,7 +79,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!(%error, side = config.side, "connection can't be accepted");
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -100,12 +100,12 @@
     handler: Arc<H>,
     config: HttpServerConfig,
 ) -> impl GracefulConnection<Error = hyper::Error> + Send + 'static {
-    // Only a delay of small answers is at stake.
+    // A failure only delays small answers, so it is ignored.
     let _ = stream.set_nodelay(true);
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
     builder.header_read_timeout(config.header_timeout);
-    builder.max_buf_size(config.max_head_bytes.max(LEAST_BUFFER));
+    builder.max_buf_size(config.max_head_bytes.max(MIN_BUFFER_BYTES));
     let service = service::service_fn(move |request| {
         let handler = Arc::clone(&handler);
         let handled = tokio::spawn(Arc::clone(&handler).handle(request));
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls between our own processes: MessagePack over HTTP, typed by message.
+//! Calls between the processes of almondpass, and to the platform: typed MessagePack messages over HTTP.
 
 pub mod call;
 pub mod client;
--- a/crates/peer/src/meter.rs
+++ b/crates/peer/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of connections, heads included: control traffic has a budget.
+//! Counts the bytes of connections, including HTTP headers, because control traffic has a budget.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -7,7 +7,7 @@
 use metrics::Counter;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection whose bytes are counted.
+/// A connection that adds the bytes it sends and receives to metrics.
 #[derive(Debug)]
 pub(crate) struct MeteredStream<S> {
     stream: S,
@@ -16,7 +16,7 @@
 }
 
 impl<S> MeteredStream<S> {
-    /// Counts under `side`, such as `server` or `workers`.
+    /// Counts the bytes of `stream` with the label `side`, such as `server` or `workers`.
     pub(crate) fn new(stream: S, side: &'static str) -> MeteredStream<S> {
         let sent = metrics::counter!("almondpass_peer_sent_bytes_total", "side" => side);
         let received = metrics::counter!("almondpass_peer_received_bytes_total", "side" => side);
--- a/crates/peer/src/pool.rs
+++ b/crates/peer/src/pool.rs
@@ -1,4 +1,4 @@
-//! Open connections to peers, kept for reuse.
+//! A pool of open connections to peers.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,10 +10,10 @@
 use hyper::client::conn::http1;
 use tokio::time::Instant;
 
-/// One connection, ready for a request.
+/// Sends requests over one HTTP/1.1 connection, one at a time.
 pub(crate) type PeerSender = http1::SendRequest<Full<Bytes>>;
 
-/// Idle connections by peer.
+/// Keeps the idle connections to each peer for reuse; clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionPool {
     state: Arc<Mutex<PoolState>>,
@@ -21,7 +21,7 @@
     max_idle_per_peer: usize,
 }
 
-/// A connection in use, with what is needed to give it back.
+/// A connection in use, with the peer and the generation under which it returns to the pool.
 #[derive(Debug)]
 pub(crate) struct PooledConnection {
     pub(crate) sender: PeerSender,
@@ -33,22 +33,23 @@
 #[derive(Debug, Default)]
 struct PoolState {
     peers: HashMap<ids::PeerAddress, PeerConnections>,
-    returns: u64,
+    n_releases: u64,
 }
 
 #[derive(Debug, Default)]
 struct PeerConnections {
     idle: Vec<IdleConnection>,
+    /// Incremented when the connections are discarded; older ones then no longer return to the pool.
     generation: u64,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
     sender: PeerSender,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// The connections of peers that are gone are swept out every so many returns.
+/// After this many releases, the pool removes closed and expired connections and peers without any.
 const SWEEP_INTERVAL: u64 = 1024;
 
 impl ConnectionPool {
@@ -56,8 +57,8 @@
         ConnectionPool { state: Arc::default(), idle_timeout, max_idle_per_peer }
     }
 
-    /// Takes the connection to `peer` that was used last, if one is open.
-    pub(crate) fn take(&self, peer: &ids::PeerAddress) -> Option<PooledConnection> {
+    /// Takes the most recently used idle connection to `peer`, if there is a usable one.
+    pub(crate) fn take_idle(&self, peer: &ids::PeerAddress) -> Option<PooledConnection> {
         let mut state = self.lock();
         let connections = state.peers.get_mut(peer)?;
         let now = Instant::now();
@@ -72,32 +73,36 @@
         None
     }
 
-    /// Registers a new connection as in use.
-    pub(crate) fn adopt(&self, peer: &ids::PeerAddress, sender: PeerSender) -> PooledConnection {
+    /// Wraps a new connection to `peer`, which is in use until [`release`](Self::release).
+    pub(crate) fn register_in_use(
+        &self,
+        peer: &ids::PeerAddress,
+        sender: PeerSender,
+    ) -> PooledConnection {
         let mut state = self.lock();
         let generation = state.peers.entry(peer.clone()).or_default().generation;
         PooledConnection { sender, reused: false, peer: peer.clone(), generation }
     }
 
-    /// Gives a connection back after a whole answer.
-    pub(crate) fn give_back(&self, connection: PooledConnection) {
+    /// Returns a connection to the pool after its answer was read completely.
+    pub(crate) fn release(&self, connection: PooledConnection) {
         let mut state = self.lock();
         let now = Instant::now();
-        state.returns += 1;
-        if state.returns.is_multiple_of(SWEEP_INTERVAL) {
+        state.n_releases += 1;
+        if state.n_releases.is_multiple_of(SWEEP_INTERVAL) {
             state.sweep(now, self.idle_timeout);
         }
         let connections = state.peers.entry(connection.peer).or_default();
-        let current = connections.generation == connection.generation;
-        if current && connections.idle.len() < self.max_idle_per_peer {
-            connections.idle.push(IdleConnection { sender: connection.sender, since: now });
+        let is_current = connections.generation == connection.generation;
+        if is_current && connections.idle.len() < self.max_idle_per_peer {
+            connections.idle.push(IdleConnection { sender: connection.sender, idle_since: now });
         }
     }
 
-    /// Forgets every connection to `peer`, those in use included. A peer that died without
-    /// closing its connections would otherwise cost one deadline for each that is pooled; one
-    /// deadline missed is the sign, and new calls connect anew.
-    pub(crate) fn distrust(&self, peer: &ids::PeerAddress) {
+    /// Discards every connection to `peer` after a missed deadline; those in use are not pooled again,
+    /// and new calls open new connections. If a peer died without closing its connections, each pooled
+    /// connection would otherwise cost one deadline.
+    pub(crate) fn discard_connections(&self, peer: &ids::PeerAddress) {
         if let Some(connections) = self.lock().peers.get_mut(peer) {
             connections.generation += 1;
             connections.idle.clear();
@@ -120,6 +125,6 @@
 
 impl IdleConnection {
     fn is_fresh(&self, now: Instant, idle_timeout: Duration) -> bool {
-        !self.sender.is_closed() && now.duration_since(self.since) < idle_timeout
+        !self.sender.is_closed() && now.duration_since(self.idle_since) < idle_timeout
     }
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that hands calls to a [`link::PeerService`].
+//! The HTTP server that checks calls and dispatches them to a [`link::PeerService`].
 
 use std::future::Future;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 use crate::link;
 use crate::wire;
 
-/// How a server behaves.
+/// Key, size limits and timeouts of a server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Asked of every call; absent in stand-ins of the platform.
+    /// Every call must carry this key. `None` in stand-ins of the platform, which check no key.
     pub cluster_key: Option<key::ClusterKey>,
     /// Largest body of a call.
     pub max_body_bytes: usize,
-    /// Largest head of a call; at least 8 KiB.
+    /// Largest request line and headers of a call; a limit below 8 KiB is raised to 8 KiB.
     pub max_head_bytes: usize,
-    /// For a caller to send a head, idle time before it included.
+    /// Longest time for a caller to send the headers, including the idle time before them.
     pub header_timeout: Duration,
-    /// For a caller to send a body.
+    /// Longest time for a caller to send the body.
     pub body_timeout: Duration,
-    /// Connections at a time.
+    /// Most connections that are open at the same time; further ones wait to be accepted.
     pub max_connections: usize,
 }
 
@@ -48,13 +48,13 @@
     }
 }
 
-/// The service ends the connection without an answer.
+/// Makes the server close the connection without an answer.
 #[derive(Debug, Error)]
 #[error("no answer")]
-struct SilentEnd;
+struct ConnectionAborted;
 
-/// Serves `listener` until `shutdown` resolves; then accepts nothing more, finishes the calls in
-/// flight and returns.
+/// Serves calls on `listener` until `shutdown` resolves, then stops accepting connections, finishes the
+/// calls in flight and returns.
 pub async fn serve<S: link::PeerService>(
     listener: TcpListener,
     service: S,
@@ -77,17 +77,17 @@
 }
 
 impl<S: link::PeerService> http_server::RequestHandler for CallHandler<S> {
-    type Error = SilentEnd;
+    type Error = ConnectionAborted;
 
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Result<Response<Full<Bytes>>, SilentEnd> {
+    ) -> Result<Response<Full<Bytes>>, ConnectionAborted> {
         handle(request, &self.service, &self.config).await
     }
 
-    fn after_panic(&self) -> Result<Response<Full<Bytes>>, SilentEnd> {
-        Err(SilentEnd)
+    fn after_panic(&self) -> Result<Response<Full<Bytes>>, ConnectionAborted> {
+        Err(ConnectionAborted)
     }
 }
 
@@ -95,17 +95,17 @@
     request: Request<Incoming>,
     service: &S,
     config: &ServerConfig,
-) -> Result<Response<Full<Bytes>>, SilentEnd> {
-    if let Some(refusal) = refusal_of_head(&request, config) {
+) -> Result<Response<Full<Bytes>>, ConnectionAborted> {
+    if let Some(refusal) = check_head(&request, config) {
         return Ok(refusal);
     }
     let path = request.uri().path().to_owned();
-    let body = match read(request.into_body(), config).await {
+    let body = match read_body(request.into_body(), config).await {
         Ok(body) => body,
         Err(refusal) => return Ok(refusal),
     };
     match service.serve(&path, body).await {
-        Some(Ok(reply)) => Ok(message(reply)),
+        Some(Ok(reply)) => Ok(ok_response(reply)),
         Some(Err(fault @ error::ServeFault::Unreadable(_))) => {
             Ok(refusal(StatusCode::BAD_REQUEST, fault.to_string()))
         }
@@ -113,14 +113,11 @@
             Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, fault.to_string()))
         }
         None => Ok(refusal(StatusCode::NOT_FOUND, "expected a known path".to_owned())),
-        Some(Err(error::ServeFault::Silent)) => Err(SilentEnd),
+        Some(Err(error::ServeFault::Silent)) => Err(ConnectionAborted),
     }
 }
 
-fn refusal_of_head(
-    request: &Request<Incoming>,
-    config: &ServerConfig,
-) -> Option<Response<Full<Bytes>>> {
+fn check_head(request: &Request<Incoming>, config: &ServerConfig) -> Option<Response<Full<Bytes>>> {
     if let Some(key) = &config.cluster_key {
         let offered = request.headers().get(wire::CLUSTER_KEY);
         if !offered.is_some_and(|it| key.matches(it.as_bytes())) {
@@ -140,7 +137,7 @@
     None
 }
 
-async fn read(body: Incoming, config: &ServerConfig) -> Result<Bytes, Response<Full<Bytes>>> {
+async fn read_body(body: Incoming, config: &ServerConfig) -> Result<Bytes, Response<Full<Bytes>>> {
     let limited = Limited::new(body, config.max_body_bytes);
     let Ok(body) = time::timeout(config.body_timeout, limited.collect()).await else {
         let detail = format!("expected the body within {:?}", config.body_timeout);
@@ -155,7 +152,7 @@
     })
 }
 
-fn message(reply: Bytes) -> Response<Full<Bytes>> {
+fn ok_response(reply: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(reply));
     response.headers_mut().insert(header::CONTENT_TYPE, wire::MESSAGE_PACK);
     response
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over sockets: what reaches the peer, and what the caller learns of it.
+//! Calls over real sockets: which calls reach the service, and which error the caller gets.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -18,16 +18,16 @@
 
 const KEY: &str = "shared by all instances";
 
-/// Long enough never to expire in these tests.
-const PATIENT: Duration = Duration::from_secs(60);
+/// Does not expire in these tests.
+const LONG_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Short, for peers that never answer.
-const IMPATIENT: Duration = Duration::from_millis(300);
+/// For calls to peers that never answer.
+const SHORT_DEADLINE: Duration = Duration::from_millis(300);
 
-/// Answers hand-overs by the name of their hall.
+/// Answers `HandOver` calls; the name of the hall selects the answer. "gated" waits for a permit.
 #[derive(Clone)]
 struct HandOverService {
-    served: Arc<AtomicU32>,
+    n_served: Arc<AtomicU32>,
     gate: Arc<Semaphore>,
 }
 
@@ -35,7 +35,7 @@
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::HandOver::PATH => {
-                dispatch::try_answer(&body, async |call| self.take(call).await)
+                dispatch::try_answer(&body, async |call| self.answer_hand_over(call).await)
             }
             _ => return None,
         }
@@ -44,8 +44,11 @@
 }
 
 impl HandOverService {
-    async fn take(&self, call: model::HandOver) -> Result<model::Ack, error::ServeFault> {
-        self.served.fetch_add(1, Ordering::SeqCst);
+    async fn answer_hand_over(
+        &self,
+        call: model::HandOver,
+    ) -> Result<model::Ack, error::ServeFault> {
+        self.n_served.fetch_add(1, Ordering::SeqCst);
         match call.hall.as_str() {
             "busy" => Err(error::ServeFault::Unavailable("a busy one".to_owned())),
             "silent" => Err(error::ServeFault::Silent),
@@ -58,7 +61,7 @@
     }
 }
 
-struct PeerSite {
+struct TestServer {
     address: ids::PeerAddress,
     service: HandOverService,
     stop: oneshot::Sender<()>,
@@ -71,18 +74,18 @@
     (listener, address)
 }
 
-async fn start() -> PeerSite {
+async fn start_server() -> TestServer {
     let (listener, address) = listen().await;
-    let service = HandOverService { served: Arc::default(), gate: Arc::new(Semaphore::new(0)) };
+    let service = HandOverService { n_served: Arc::default(), gate: Arc::new(Semaphore::new(0)) };
     let config = server::ServerConfig {
         cluster_key: Some(key::ClusterKey::new(KEY)),
         max_body_bytes: 1024,
         ..server::ServerConfig::default()
     };
-    let (stop, stopping) = oneshot::channel::<()>();
-    let shutdown = async move { stopping.await.unwrap_or_default() };
+    let (stop, stop_requested) = oneshot::channel::<()>();
+    let shutdown = async move { stop_requested.await.unwrap_or_default() };
     let stopped = tokio::spawn(server::serve(listener, service.clone(), config, shutdown));
-    PeerSite { address, service, stop, stopped }
+    TestServer { address, service, stop, stopped }
 }
 
 fn client_with(key: &str) -> client::PeerClient {
@@ -94,14 +97,14 @@
     model::HandOver { hall: hall.to_owned(), epoch: 1 }
 }
 
-async fn check(client: &client::PeerClient, peer: &str, hall: &str) -> error::CallFault {
+async fn failed_call(client: &client::PeerClient, peer: &str, hall: &str) -> error::CallFault {
     let peer = ids::PeerAddress::from(peer);
-    let error = client.call(&peer, hand_over(hall), PATIENT).await.unwrap_err();
+    let error = client.call(&peer, hand_over(hall), LONG_DEADLINE).await.unwrap_err();
     assert_eq!(error.peer, peer);
     error.fault
 }
 
-fn refusal(fault: error::CallFault) -> u16 {
+fn refusal_status(fault: error::CallFault) -> u16 {
     assert!(fault.had_no_effect());
     match fault {
         error::CallFault::Refused { status, .. } => status,
@@ -111,23 +114,23 @@
 
 #[tokio::test]
 async fn call_is_answered() {
-    let site = start().await;
+    let test_server = start_server().await;
     let client = client_with(KEY);
     for _ in 0..3 {
-        let reply = client.call(&site.address, hand_over("vadodara"), PATIENT).await;
+        let reply = client.call(&test_server.address, hand_over("vadodara"), LONG_DEADLINE).await;
         assert_eq!(reply, Ok(model::Ack {}));
     }
-    assert_eq!(site.service.served.load(Ordering::SeqCst), 3);
+    assert_eq!(test_server.service.n_served.load(Ordering::SeqCst), 3);
 }
 
 macro_rules! refusals {
-    ($($name:ident: $key:expr, $hall:expr => $status:literal, $served:literal;)*) => {
+    ($($name:ident: $key:expr, $hall:expr => $status:literal, $n_served:literal;)*) => {
         $(#[tokio::test]
         async fn $name() {
-            let site = start().await;
-            let fault = check(&client_with($key), &site.address, $hall).await;
-            assert_eq!(refusal(fault), $status);
-            assert_eq!(site.service.served.load(Ordering::SeqCst), $served);
+            let test_server = start_server().await;
+            let fault = failed_call(&client_with($key), &test_server.address, $hall).await;
+            assert_eq!(refusal_status(fault), $status);
+            assert_eq!(test_server.service.n_served.load(Ordering::SeqCst), $n_served);
         })*
     };
 }
@@ -135,18 +138,19 @@
 refusals! {
     other_key_is_refused: "another", "vadodara" => 401, 0;
     oversized_call_is_refused: KEY, &"x".repeat(2000) => 413, 0;
-    unready_service_is_a_refusal: KEY, "busy" => 503, 1;
+    unavailable_service_is_a_refusal: KEY, "busy" => 503, 1;
 }
 
 #[tokio::test]
 async fn unknown_path_is_refused() {
-    let site = start().await;
+    let test_server = start_server().await;
     let query = model::HallQuery { hall: "vadodara".to_owned() };
-    let error = client_with(KEY).call(&site.address, query, PATIENT).await.unwrap_err();
-    assert_eq!(refusal(error.fault), 404);
+    let error =
+        client_with(KEY).call(&test_server.address, query, LONG_DEADLINE).await.unwrap_err();
+    assert_eq!(refusal_status(error.fault), 404);
 }
 
-/// Sends `head` and `body` by hand, for what the client never sends.
+/// Sends a request with `headers` and `body` that `PeerClient` would not send, and returns its status.
 async fn raw_status(address: &str, headers: &[(&str, &str)], body: &[u8]) -> u16 {
     let stream = TcpStream::connect(address).await.unwrap();
     let io = TokioIo::new(stream);
@@ -164,9 +168,9 @@
     ($($name:ident: $headers:expr, $body:expr => $status:literal;)*) => {
         $(#[tokio::test]
         async fn $name() {
-            let site = start().await;
-            assert_eq!(raw_status(&site.address, &$headers, $body).await, $status);
-            assert_eq!(site.service.served.load(Ordering::SeqCst), 0);
+            let test_server = start_server().await;
+            assert_eq!(raw_status(&test_server.address, &$headers, $body).await, $status);
+            assert_eq!(test_server.service.n_served.load(Ordering::SeqCst), 0);
         })*
     };
 }
@@ -187,20 +191,20 @@
 async fn refused_connection_is_not_sent() {
     let (listener, address) = listen().await;
     drop(listener);
-    let fault = check(&client_with(KEY), &address, "vadodara").await;
+    let fault = failed_call(&client_with(KEY), &address, "vadodara").await;
     assert!(matches!(fault, error::CallFault::NotSent(_)), "{fault}");
 }
 
 #[tokio::test]
-async fn name_instead_of_address_is_not_sent() {
-    let fault = check(&client_with(KEY), "localhost:80", "vadodara").await;
+async fn call_to_a_host_name_is_not_sent() {
+    let fault = failed_call(&client_with(KEY), "localhost:80", "vadodara").await;
     assert_eq!(fault, error::CallFault::NotSent("the address \"localhost:80\"".to_owned()));
 }
 
 #[tokio::test]
 async fn broken_connection_may_have_had_an_effect() {
-    let site = start().await;
-    let fault = check(&client_with(KEY), &site.address, "silent").await;
+    let test_server = start_server().await;
+    let fault = failed_call(&client_with(KEY), &test_server.address, "silent").await;
     assert!(matches!(fault, error::CallFault::NoAnswer(_)), "{fault}");
     assert!(!fault.had_no_effect());
 }
@@ -210,25 +214,24 @@
 }
 
 #[tokio::test]
-async fn answer_cut_short_is_no_answer() {
+async fn truncated_answer_is_no_answer() {
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         read_some(&mut stream).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n\x80").await.unwrap();
     });
-    let fault = check(&client_with(KEY), &address, "vadodara").await;
+    let fault = failed_call(&client_with(KEY), &address, "vadodara").await;
     assert!(matches!(fault, error::CallFault::NoAnswer(_)), "{fault}");
 }
 
-/// Symptom: every pooled connection to a peer costs one deadline after its machine died.
-/// Sequence: a call over a pooled connection gets no answer in time; the next call must not use
-/// another old connection. Cause: a dead machine closes nothing.
+/// Guards against one missed deadline for each pooled connection after the peer's machine died, which
+/// closes no connections. After a call timed out, the next call must open a new connection.
 #[tokio::test]
 async fn missed_deadline_discards_the_peers_connections() {
     let (listener, address) = listen().await;
-    let connected = Arc::new(AtomicU32::new(0));
-    let counter = Arc::clone(&connected);
+    let n_connected = Arc::new(AtomicU32::new(0));
+    let counter = Arc::clone(&n_connected);
     tokio::spawn(async move {
         let mut held = Vec::new();
         loop {
@@ -238,20 +241,21 @@
     });
     let client = client_with(KEY);
     for n in 1..=2 {
-        let error = client.call(&address, hand_over("vadodara"), IMPATIENT).await.unwrap_err();
-        assert_eq!(error.fault, error::CallFault::TimedOut(IMPATIENT));
-        assert_eq!(connected.load(Ordering::SeqCst), n);
+        let error = client.call(&address, hand_over("vadodara"), SHORT_DEADLINE).await.unwrap_err();
+        assert_eq!(error.fault, error::CallFault::TimedOut(SHORT_DEADLINE));
+        assert_eq!(n_connected.load(Ordering::SeqCst), n);
     }
 }
 
-/// Serves calls on every connection until the first `n_old` go silent for good.
-async fn serve_until_silent(listener: TcpListener, n_old: usize, silent: Arc<AtomicBool>) {
+/// Answers calls on all connections. Once `silent` is set, the first `n_silenced` connections no longer
+/// answer.
+async fn serve_until_silent(listener: TcpListener, n_silenced: usize, silent: Arc<AtomicBool>) {
     for nth in 0.. {
         let (mut stream, _) = listener.accept().await.unwrap();
         let silent = Arc::clone(&silent);
         tokio::spawn(async move {
             while stream.read(&mut [0; 1024]).await.is_ok_and(|it| it > 0) {
-                if nth < n_old && silent.load(Ordering::SeqCst) {
+                if nth < n_silenced && silent.load(Ordering::SeqCst) {
                     continue;
                 }
                 let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n\x80";
@@ -261,26 +265,25 @@
     }
 }
 
-/// Guards against silent connections that cost one timeout each where the caller's own timeout comes before
-/// the deadline of the call.
+/// Guards against one timeout for each unresponsive pooled connection when the caller's own timeout is
+/// shorter than the deadline of the call.
 #[tokio::test]
-async fn call_given_up_by_its_caller_discards_the_peers_connections() {
+async fn call_cancelled_by_its_caller_discards_the_peers_connections() {
     let (listener, address) = listen().await;
     let silent = Arc::new(AtomicBool::new(false));
     tokio::spawn(serve_until_silent(listener, 3, Arc::clone(&silent)));
     let client = client_with(KEY);
-    let call = || client.call(&address, hand_over("vadodara"), PATIENT);
+    let call = || client.call(&address, hand_over("vadodara"), LONG_DEADLINE);
     let pooled = tokio::join!(call(), call(), call());
     assert_eq!(pooled, (Ok(model::Ack {}), Ok(model::Ack {}), Ok(model::Ack {})));
     silent.store(true, Ordering::SeqCst);
-    assert!(time::timeout(IMPATIENT, call()).await.is_err());
-    let next = time::timeout(IMPATIENT, call()).await;
+    assert!(time::timeout(SHORT_DEADLINE, call()).await.is_err());
+    let next = time::timeout(SHORT_DEADLINE, call()).await;
     assert_eq!(next, Ok(Ok(model::Ack {})));
 }
 
-/// Symptom: the first call after a peer's restart fails though the peer is up. Sequence: a call
-/// pools its connection, the peer closes it, the next call takes it from the pool. Cause: a
-/// connection that is closed already carries nothing.
+/// Guards against a failure of the first call after a peer's restart: the peer closed the connection
+/// while it was pooled, and the next call takes that connection from the pool.
 #[tokio::test]
 async fn connection_closed_while_idle_is_replaced() {
     let (listener, address) = listen().await;
@@ -292,47 +295,47 @@
             read_some(&mut stream).await;
             stream.write_all(answer).await.unwrap();
         };
-        let call = client.call(&address, hand_over("vadodara"), PATIENT);
+        let call = client.call(&address, hand_over("vadodara"), LONG_DEADLINE);
         let (reply, ()) = tokio::join!(call, serve);
         assert_eq!(reply, Ok(model::Ack {}));
     }
 }
 
-/// Symptom: a caller that gave up leaves a hand-over half done. Sequence: the call is being
-/// answered, its deadline passes, the connection closes. Cause: hyper drops the handler then.
+/// Guards against a hand-over that stops half-way: hyper drops the handler when the connection closes,
+/// for example because the caller's deadline passed while the call was being answered.
 #[tokio::test]
-async fn handler_outlives_its_caller() {
-    let site = start().await;
+async fn handler_finishes_after_its_caller_gives_up() {
+    let test_server = start_server().await;
     let client = client_with(KEY);
-    let address = site.address.clone();
+    let address = test_server.address.clone();
     let call =
-        tokio::spawn(async move { client.call(&address, hand_over("gated"), PATIENT).await });
-    while site.service.served.load(Ordering::SeqCst) == 0 {
+        tokio::spawn(async move { client.call(&address, hand_over("gated"), LONG_DEADLINE).await });
+    while test_server.service.n_served.load(Ordering::SeqCst) == 0 {
         tokio::task::yield_now().await;
     }
     call.abort();
     assert!(call.await.is_err());
-    site.service.gate.add_permits(1);
-    while site.service.gate.available_permits() != 0 {
+    test_server.service.gate.add_permits(1);
+    while test_server.service.gate.available_permits() != 0 {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
 async fn shutdown_finishes_calls_in_flight() {
-    let site = start().await;
+    let test_server = start_server().await;
     let client = client_with(KEY);
-    let address = site.address.clone();
+    let address = test_server.address.clone();
     let call =
-        tokio::spawn(async move { client.call(&address, hand_over("gated"), PATIENT).await });
-    while site.service.served.load(Ordering::SeqCst) == 0 {
+        tokio::spawn(async move { client.call(&address, hand_over("gated"), LONG_DEADLINE).await });
+    while test_server.service.n_served.load(Ordering::SeqCst) == 0 {
         tokio::task::yield_now().await;
     }
-    site.stop.send(()).unwrap();
+    test_server.stop.send(()).unwrap();
     tokio::task::yield_now().await;
-    site.service.gate.add_permits(1);
+    test_server.service.gate.add_permits(1);
     assert_eq!(call.await.unwrap(), Ok(model::Ack {}));
-    site.stopped.await.unwrap();
-    let fault = check(&client_with(KEY), &site.address, "vadodara").await;
+    test_server.stopped.await.unwrap();
+    let fault = failed_call(&client_with(KEY), &test_server.address, "vadodara").await;
     assert!(matches!(fault, error::CallFault::NotSent(_)), "{fault}");
 }
--- a/crates/peer/tests/decoders/generator.rs
+++ b/crates/peer/tests/decoders/generator.rs
@@ -1,38 +1,38 @@
-//! Makes random values of any type that serde can read, from a seed.
+//! Generates random values of any type that implements `Deserialize`, from a seeded generator.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use serde::de::value::{BytesDeserializer, StrDeserializer};
 use serde::de::{self, DeserializeSeed, Deserializer, IntoDeserializer, Visitor};
 
-/// Error of the generator; none is expected.
+/// Error of the generator, such as a value that violates a bound of the type.
 pub(crate) type GenerateError = de::value::Error;
 
-/// Fabricates what it is asked for.
+/// A deserializer that produces a random value of each requested type.
 pub(crate) struct ValueGenerator<'a> {
     pub(crate) rng: &'a mut ChaCha8Rng,
     pub(crate) depth: u32,
 }
 
-/// Longest list, map, string or run of bytes.
-const LONGEST: usize = 4;
+/// Most elements of a list or map.
+const MAX_LENGTH: usize = 4;
 
-/// Below this depth lists are empty and options absent.
-const DEEPEST: u32 = 12;
+/// Lists and maps nested deeper than this are empty, and options are absent.
+const MAX_DEPTH: u32 = 12;
 
-/// Texts that strings are made of: plain, empty, long in bytes, with control characters.
-const TEXTS: [&str; 6] = ["", "vadodara-a-01", "გორი", "a/b/c", "\u{0}\n\"", "job/1/0/0"];
+/// Values of strings: plain, empty, with multi-byte characters, with control characters.
+const SAMPLE_STRINGS: [&str; 6] = ["", "vadodara-a-01", "გორი", "a/b/c", "\u{0}\n\"", "job/1/0/0"];
 
 impl ValueGenerator<'_> {
     fn length(&mut self) -> usize {
-        if DEEPEST < self.depth { 0 } else { self.rng.random_range(0..=LONGEST) }
+        if MAX_DEPTH < self.depth { 0 } else { self.rng.random_range(0..=MAX_LENGTH) }
     }
 
-    fn deeper(&mut self) -> ValueGenerator<'_> {
+    fn nested(&mut self) -> ValueGenerator<'_> {
         ValueGenerator { rng: self.rng, depth: self.depth + 1 }
     }
 
-    /// Small and extreme numbers more often than others.
+    /// Draws small numbers, `u64::MAX` and powers of two more often than other numbers.
     fn number(&mut self) -> u64 {
         match self.rng.random_range(0..4) {
             0 => self.rng.random_range(0..10),
@@ -54,14 +54,16 @@
 macro_rules! strings {
     ($($method:ident)*) => {
         $(fn $method<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, GenerateError> {
-            visitor.visit_string(TEXTS[self.rng.random_range(0..TEXTS.len())].to_owned())
+            visitor.visit_string(
+                SAMPLE_STRINGS[self.rng.random_range(0..SAMPLE_STRINGS.len())].to_owned(),
+            )
         })*
     };
 }
 
-macro_rules! byte_runs {
+macro_rules! byte_strings {
     ($($method:ident)*) => {
-        // Sixteen bytes make a UUID, and are as good as any for a blob.
+        // Sixteen bytes are a valid UUID; any other byte string can have this length as well.
         $(fn $method<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, GenerateError> {
             visitor.visit_byte_buf(self.rng.random::<[u8; 16]>().to_vec())
         })*
@@ -86,7 +88,7 @@
 
     strings! { deserialize_str deserialize_string deserialize_identifier deserialize_any }
 
-    byte_runs! { deserialize_bytes deserialize_byte_buf }
+    byte_strings! { deserialize_bytes deserialize_byte_buf }
 
     fn deserialize_bool<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, GenerateError> {
         visitor.visit_bool(self.rng.random())
@@ -97,7 +99,7 @@
     }
 
     fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, GenerateError> {
-        if DEEPEST < self.depth || self.rng.random() {
+        if MAX_DEPTH < self.depth || self.rng.random() {
             return visitor.visit_none();
         }
         visitor.visit_some(self)
@@ -124,30 +126,30 @@
     }
 
     fn deserialize_seq<V: Visitor<'de>>(mut self, visitor: V) -> Result<V::Value, GenerateError> {
-        let left = self.length();
-        visitor.visit_seq(ElementGenerator { generator: self, left })
+        let n_left = self.length();
+        visitor.visit_seq(ElementGenerator { generator: self, n_left })
     }
 
     fn deserialize_tuple<V: Visitor<'de>>(
         self,
-        left: usize,
+        n_left: usize,
         visitor: V,
     ) -> Result<V::Value, GenerateError> {
-        visitor.visit_seq(ElementGenerator { generator: self, left })
+        visitor.visit_seq(ElementGenerator { generator: self, n_left })
     }
 
     fn deserialize_tuple_struct<V: Visitor<'de>>(
         self,
         _name: &'static str,
-        left: usize,
+        n_left: usize,
         visitor: V,
     ) -> Result<V::Value, GenerateError> {
-        visitor.visit_seq(ElementGenerator { generator: self, left })
+        visitor.visit_seq(ElementGenerator { generator: self, n_left })
     }
 
     fn deserialize_map<V: Visitor<'de>>(mut self, visitor: V) -> Result<V::Value, GenerateError> {
-        let left = self.length();
-        visitor.visit_map(EntryGenerator { generator: self, left })
+        let n_left = self.length();
+        visitor.visit_map(EntryGenerator { generator: self, n_left })
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -183,7 +185,7 @@
 
 struct ElementGenerator<'a> {
     generator: ValueGenerator<'a>,
-    left: usize,
+    n_left: usize,
 }
 
 impl<'de> de::SeqAccess<'de> for ElementGenerator<'_> {
@@ -193,15 +195,15 @@
         &mut self,
         seed: T,
     ) -> Result<Option<T::Value>, GenerateError> {
-        let Some(left) = self.left.checked_sub(1) else { return Ok(None) };
-        self.left = left;
-        seed.deserialize(self.generator.deeper()).map(Some)
+        let Some(n_left) = self.n_left.checked_sub(1) else { return Ok(None) };
+        self.n_left = n_left;
+        seed.deserialize(self.generator.nested()).map(Some)
     }
 }
 
 struct EntryGenerator<'a> {
     generator: ValueGenerator<'a>,
-    left: usize,
+    n_left: usize,
 }
 
 impl<'de> de::MapAccess<'de> for EntryGenerator<'_> {
@@ -211,16 +213,16 @@
         &mut self,
         seed: K,
     ) -> Result<Option<K::Value>, GenerateError> {
-        let Some(left) = self.left.checked_sub(1) else { return Ok(None) };
-        self.left = left;
-        seed.deserialize(self.generator.deeper()).map(Some)
+        let Some(n_left) = self.n_left.checked_sub(1) else { return Ok(None) };
+        self.n_left = n_left;
+        seed.deserialize(self.generator.nested()).map(Some)
     }
 
     fn next_value_seed<V: DeserializeSeed<'de>>(
         &mut self,
         seed: V,
     ) -> Result<V::Value, GenerateError> {
-        seed.deserialize(self.generator.deeper())
+        seed.deserialize(self.generator.nested())
     }
 }
 
@@ -246,7 +248,7 @@
         &mut self,
         seed: V,
     ) -> Result<V::Value, GenerateError> {
-        seed.deserialize(self.generator.deeper())
+        seed.deserialize(self.generator.nested())
     }
 }
 
@@ -282,7 +284,7 @@
         mut self,
         seed: T,
     ) -> Result<T::Value, GenerateError> {
-        seed.deserialize(self.0.deeper())
+        seed.deserialize(self.0.nested())
     }
 
     fn tuple_variant<V: Visitor<'de>>(
--- a/crates/peer/tests/decoders/main.rs
+++ b/crates/peer/tests/decoders/main.rs
@@ -1,7 +1,7 @@
-//! Every message that is read from a socket, against bytes that no honest peer sends.
+//! Fuzz tests of the decoding of all messages and rows that are read from sockets, with corrupted bytes.
 //!
-//! `ALMONDPASS_FUZZ_CASES=1000000 cargo test --release -p almondpass-peer --test decoders` runs
-//! for longer.
+//! `ALMONDPASS_FUZZ_CASES=1000000 cargo test --release -p almondpass-peer --test decoders` runs more
+//! cases for each message.
 
 mod generator;
 
@@ -15,80 +15,82 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Cases for each message by default.
-const CASES: u64 = 300;
+/// Cases for each message if `ALMONDPASS_FUZZ_CASES` is not set.
+const DEFAULT_CASES: u64 = 300;
 
-/// Most bytes that one mutation adds.
-const LONGEST_GARBAGE: usize = 64;
+/// Exclusive upper limit of the random bytes that one mutation inserts.
+const MAX_GARBAGE_BYTES: usize = 64;
 
-/// First bytes of lists, maps, strings and runs of bytes that claim 4 GiB of content.
-const HUGE_CLAIMS: [&[u8]; 4] = [
+/// MessagePack headers of an array, a map, a string and a byte string with a length of 2^32 - 1.
+const OVERSIZED_LENGTHS: [&[u8]; 4] = [
     b"\xdd\xff\xff\xff\xff",
     b"\xdf\xff\xff\xff\xff",
     b"\xdb\xff\xff\xff\xff",
     b"\xc6\xff\xff\xff\xff",
 ];
 
-/// Draws of one message; each fails by a bound seldom.
-const MOST_DRAWS: u32 = 16;
+/// Most attempts to generate one message; an attempt seldom violates a bound of a field.
+const MAX_DRAWS: u32 = 16;
 
 fn n_cases() -> u64 {
     let cases = std::env::var("ALMONDPASS_FUZZ_CASES").ok();
-    cases.map_or(CASES, |it| it.parse().expect("ALMONDPASS_FUZZ_CASES is a number"))
+    cases.map_or(DEFAULT_CASES, |it| it.parse().expect("ALMONDPASS_FUZZ_CASES is a number"))
 }
 
-/// A random message. The generator knows types, not their bounds, such as that of a number that is
-/// never zero: what breaks one is drawn again.
+/// Generates a random message. The generator knows the types of fields but not their bounds, such as a
+/// number that must not be zero; a message that violates a bound is generated again.
 fn generate<M: DeserializeOwned>(rng: &mut ChaCha8Rng) -> M {
     let draw = |_| M::deserialize(generator::ValueGenerator { rng, depth: 0 }).ok();
-    (0..MOST_DRAWS).find_map(draw).expect("a generated message")
+    (0..MAX_DRAWS).find_map(draw).expect("a generated message")
 }
 
-/// What was written is read back, and nothing that is read panics, claims memory that the message
-/// does not have, or comes out different when written again.
-fn check<M: Clone + Debug + PartialEq + Serialize + DeserializeOwned>(name: &str) {
-    let mut read = 0;
+/// Checks that an encoded message decodes to the same message, and that decoding corrupted bytes neither
+/// panics nor allocates memory for content that the bytes don't have. A corrupted message that is accepted
+/// must survive encoding and decoding unchanged.
+fn check_round_trip<M: Clone + Debug + PartialEq + Serialize + DeserializeOwned>(name: &str) {
+    let mut n_accepted = 0;
     for seed in 0..n_cases() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let message = generate::<M>(&mut rng);
         let bytes = codec::encode(&message).expect("a written message");
-        let back = codec::decode::<M>(&bytes).unwrap_or_else(|it| panic!("{name} {seed}: {it}"));
-        assert_eq!(back, message, "{name} {seed}");
+        let decoded = codec::decode::<M>(&bytes).unwrap_or_else(|it| panic!("{name} {seed}: {it}"));
+        assert_eq!(decoded, message, "{name} {seed}");
         let mutated = mutate(&bytes, &mut rng);
-        if let Ok(odd) = codec::decode::<M>(&mutated) {
-            read += 1;
-            let again = codec::encode(&odd).expect("a message that was read is written");
-            let again = codec::decode::<M>(&again).expect("and read again");
-            assert_eq!(format!("{again:?}"), format!("{odd:?}"), "{name} {seed}");
+        if let Ok(accepted) = codec::decode::<M>(&mutated) {
+            n_accepted += 1;
+            let encoded = codec::encode(&accepted).expect("a message that was read is written");
+            let decoded_again = codec::decode::<M>(&encoded).expect("and read again");
+            assert_eq!(format!("{decoded_again:?}"), format!("{accepted:?}"), "{name} {seed}");
         }
     }
-    for claim in HUGE_CLAIMS {
-        let _ = hint::black_box(codec::decode::<M>(claim));
+    for oversized_length in OVERSIZED_LENGTHS {
+        let _ = hint::black_box(codec::decode::<M>(oversized_length));
     }
-    // Mutations that never leave a readable message would test the first bytes only.
-    assert!(0 < read, "{name}");
+    // If no mutated message were accepted, the test would exercise only the first bytes of messages.
+    assert!(0 < n_accepted, "{name}");
 }
 
 fn mutate(bytes: &[u8], rng: &mut ChaCha8Rng) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     for _ in 0..rng.random_range(1..=3) {
-        let at = rng.random_range(0..=bytes.len());
+        let position = rng.random_range(0..=bytes.len());
         match rng.random_range(0..5) {
-            0 => bytes.truncate(at),
+            0 => bytes.truncate(position),
             1 => {
-                let n = rng.random_range(0..LONGEST_GARBAGE);
-                bytes.splice(at..at, (0..n).map(|_| rng.random::<u8>()));
+                let n = rng.random_range(0..MAX_GARBAGE_BYTES);
+                bytes.splice(position..position, (0..n).map(|_| rng.random::<u8>()));
             }
             2 => {
-                let end = (at + rng.random_range(0..8)).min(bytes.len());
-                bytes.drain(at..end);
+                let end = (position + rng.random_range(0..8)).min(bytes.len());
+                bytes.drain(position..end);
             }
             3 => {
-                let claim = HUGE_CLAIMS[rng.random_range(0..HUGE_CLAIMS.len())];
-                bytes.splice(at..at, claim.iter().copied());
+                let oversized_length =
+                    OVERSIZED_LENGTHS[rng.random_range(0..OVERSIZED_LENGTHS.len())];
+                bytes.splice(position..position, oversized_length.iter().copied());
             }
             _ => {
-                if let Some(byte) = bytes.get_mut(at) {
+                if let Some(byte) = bytes.get_mut(position) {
                     *byte ^= 1 << rng.random_range(0..8);
                 }
             }
@@ -101,8 +103,8 @@
 where
     C::Reply: PartialEq,
 {
-    check::<C>(C::PATH);
-    check::<C::Reply>(C::PATH);
+    check_round_trip::<C>(C::PATH);
+    check_round_trip::<C::Reply>(C::PATH);
 }
 
 macro_rules! calls {
@@ -112,9 +114,9 @@
             $(check_call::<model::$call>();)*
         })*
 
-        /// Every call that stands in the schema's list is among those above.
+        /// Guards against a new call in the path lists that these tests don't cover.
         #[test]
-        fn no_call_is_missing() {
+        fn every_call_is_fuzzed() {
             let mut fuzzed = vec![$($(<model::$call as call::PeerCall>::PATH,)*)*];
             let mut known = [call::PLATFORM_PATHS, call::INSTANCE_PATHS].concat();
             fuzzed.sort_unstable();
@@ -128,7 +130,7 @@
     ($($name:ident: $row:ident;)*) => {
         $(#[test]
         fn $name() {
-            check::<model::$row>(stringify!($row));
+            check_round_trip::<model::$row>(stringify!($row));
         })*
     };
 }
