--- a/crates/fleet-tests/src/storm.rs
+++ b/crates/fleet-tests/src/storm.rs
@@ -259,8 +259,8 @@
             5 => {
                 let (seed, rates) = (self.rng.random(), self.rates());
                 self.note(format!("table and objects {rates:?}"));
-                self.world.site.fakes.table().faults().sample(seed, rates);
-                self.world.site.fakes.objects().faults().sample(seed, rates);
+                self.world.site.fakes.table().faults().inject_at_random(seed, rates);
+                self.world.site.fakes.objects().faults().inject_at_random(seed, rates);
                 self.schedule(Heal::Table);
                 self.schedule(Heal::Objects);
             }
@@ -302,7 +302,7 @@
         let (id, place) = (node.id.clone(), place_of(&node.address));
         self.note(format!("leave {id}"));
         self.world.enter(|it| {
-            it.site.fakes.instances().mark(&id, model::InstanceState::Leaving);
+            it.site.fakes.instances().set_state(&id, model::InstanceState::Leaving);
         });
         self.schedule(Heal::Start(place));
     }
@@ -333,9 +333,9 @@
         }
         self.note(format!("partition {a} {b}, one way: {one_way}"));
         self.world.enter(|it| {
-            it.net.path(&a, &b).set(fault::Condition::Silent);
+            it.net.path_faults(&a, &b).set(fault::Condition::Dropping);
             if !one_way {
-                it.net.path(&b, &a).set(fault::Condition::Silent);
+                it.net.path_faults(&b, &a).set(fault::Condition::Dropping);
             }
         });
         self.schedule(Heal::Net(a, b));
@@ -367,7 +367,7 @@
             _ => {
                 let (seed, rates) = (self.rng.random(), self.rates());
                 self.note(format!("{name} {rates:?}"));
-                worker.faults().sample(seed, rates);
+                worker.faults().inject_at_random(seed, rates);
             }
         }
         self.schedule(Heal::Worker(index));
@@ -379,7 +379,7 @@
         let late = Duration::from_millis(self.rng.random_range(100..12_000));
         let misbehaviours = [
             upstream::Misbehaviour::Refuse,
-            upstream::Misbehaviour::Hang,
+            upstream::Misbehaviour::Disconnect,
             upstream::Misbehaviour::Late(late),
             upstream::Misbehaviour::CrossedId,
             upstream::Misbehaviour::MissingId,
@@ -387,17 +387,17 @@
             upstream::Misbehaviour::ExtraBytes,
             upstream::Misbehaviour::Duplicate,
             upstream::Misbehaviour::Slow(late / 8),
-            upstream::Misbehaviour::Silent,
+            upstream::Misbehaviour::NoAnswer,
             upstream::Misbehaviour::Error,
         ];
         let misbehaviour = misbehaviours[self.rng.random_range(0..misbehaviours.len())];
         let times = self.rng.random_range(1..4);
         self.note(format!("upstream {index} {misbehaviour:?}, {times} times"));
         for _ in 0..times {
-            upstreams[index].next(misbehaviour);
+            upstreams[index].misbehave_next(misbehaviour);
         }
         if self.rng.random_bool(0.2) {
-            upstreams[index].always(Some(misbehaviour));
+            upstreams[index].set_misbehaviour(Some(misbehaviour));
             self.schedule(Heal::Upstream(index));
         }
     }
@@ -406,7 +406,7 @@
         let span = Duration::from_millis(self.rng.random_range(100..3000));
         match self.rng.random_range(0..4) {
             0 => fault::Condition::Refusing,
-            1 => fault::Condition::Silent,
+            1 => fault::Condition::Dropping,
             2 => fault::Condition::Slow(span),
             _ => fault::Condition::Flapping { up: span, down: span },
         }
@@ -420,7 +420,7 @@
             answer_lost: 0.1,
             delayed_effect: 0.1,
             slow: 0.1,
-            longest: Duration::from_millis(self.rng.random_range(50..4000)),
+            max_delay: Duration::from_millis(self.rng.random_range(50..4000)),
         }
     }
 
@@ -459,16 +459,16 @@
                 }
             }
             Heal::Net(a, b) => {
-                self.calm_down(|it| it.net.path(&a, &b));
-                self.calm_down(|it| it.net.path(&b, &a));
+                self.calm_down(|it| it.net.path_faults(&a, &b));
+                self.calm_down(|it| it.net.path_faults(&b, &a));
             }
             Heal::Worker(index) => self.world.enter(|it| {
                 let worker = &it.workers()[index];
                 worker.resume();
-                worker.set_health(worker::WorkerHealth::Sound);
-                worker.faults().sample(0, fault::FaultRates::default());
+                worker.set_health(worker::WorkerHealth::Healthy);
+                worker.faults().inject_at_random(0, fault::FaultRates::default());
             }),
-            Heal::Upstream(index) => self.world.upstreams()[index].always(None),
+            Heal::Upstream(index) => self.world.upstreams()[index].set_misbehaviour(None),
         }
     }
 
@@ -476,7 +476,7 @@
         self.world.enter(|it| {
             let plan = plan(it);
             plan.set(fault::Condition::Up);
-            plan.sample(0, fault::FaultRates::default());
+            plan.inject_at_random(0, fault::FaultRates::default());
         });
     }
 
@@ -502,7 +502,7 @@
             self.heal(start);
         }
         for index in 0..self.world.upstreams().len() {
-            self.world.upstreams()[index].forgive();
+            self.world.upstreams()[index].clear_misbehaviours();
         }
     }
 
--- a/crates/hall/tests/hall/outage.rs
+++ b/crates/hall/tests/hall/outage.rs
@@ -13,7 +13,7 @@
         let holder = site.start_holder("a").await;
         let other = site.start("b");
         let job = holder.run_gang(&site, support::REPEATABLE_JOB, 2).await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(7200)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(7200)));
         let long = holder.run_gang(&site, support::REPEATABLE_JOB, 1).await;
         site.table.faults().set(Condition::Refusing);
         for _ in 0..60 {
@@ -45,7 +45,7 @@
     keyed_requests_go_on_by_the_object_store(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         support::advance(support::secs(60)).await;
         let key = site.key();
         let grant = holder.expect_grant(support::request_with_key(&site, key)).await;
@@ -65,7 +65,7 @@
     /// Cause: a grant before the intent is durable, or a withdrawn intent that blocks its key.
     without_both_stores_keyed_requests_wait(site) {
         let holder = site.start_holder("a").await;
-        site.table.faults().set(Condition::Silent);
+        site.table.faults().set(Condition::Dropping);
         site.objects.faults().set(Condition::Refusing);
         support::advance(support::secs(30)).await;
         let key = site.key();
--- a/crates/pool/tests/pool/rooms.rs
+++ b/crates/pool/tests/pool/rooms.rs
@@ -13,7 +13,7 @@
 /// Two workers that refuse nothing.
 async fn unguarded_bench() -> support::PoolBench {
     let bench = support::PoolBench::start(2, 2).await;
-    bench.fleet.unguard();
+    bench.fleet.disable_capacity_check();
     bench.start_heartbeats();
     bench.set_document_unguarded(2).await;
     time::sleep(Duration::from_secs(2)).await;
@@ -21,7 +21,7 @@
 }
 
 fn assert_none_overfull(bench: &support::PoolBench) {
-    assert_eq!(bench.fleet.overfull(), []);
+    assert_eq!(bench.fleet.oversubscribed_starts(), []);
 }
 
 /// Work goes where there is room now, and back once the room has grown again.
@@ -69,7 +69,7 @@
         let bench = unguarded_bench().await;
         bench.submit(0, 1, support::job(160, 1_000)).await;
         time::sleep(Duration::from_millis(100)).await;
-        bench.store.faults().set(fault::Condition::Silent);
+        bench.store.faults().set(fault::Condition::Dropping);
         bench.set_accelerators(&support::worker_id(0), 2);
         bench.set_accelerators(&support::worker_id(1), 2);
         time::sleep(Duration::from_secs(8)).await;
--- a/crates/pool/tests/pool/sessions.rs
+++ b/crates/pool/tests/pool/sessions.rs
@@ -14,12 +14,12 @@
 async fn check_a_panic_in(step: &'static str, before: Duration) {
     let bench = support::PoolBench::start(1, 1).await;
     if before.is_zero() {
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.submit(0, 1, support::job(1, 2_000)).await;
     if !before.is_zero() {
         time::sleep(before).await;
-        bench.instances[0].worker_faults.next(step, fault::Fault::CallerPanics);
+        bench.instances[0].worker_faults.inject_next(step, fault::Fault::CallerPanics);
     }
     bench.await_state(0, 1, model::GraphState::Completed, SOON).await;
     bench.assert_nothing_ran_twice();
@@ -34,5 +34,5 @@
 /// A worker was never looked at again behind a look that had failed, and the end of its task never heard of.
 #[test]
 fn looks_go_on_behind_one_that_panics() {
-    support::run(check_a_panic_in(pool_fleet::HOLD, Duration::from_millis(500)));
+    support::run(check_a_panic_in(pool_fleet::POLL, Duration::from_millis(500)));
 }
--- a/crates/standin/src/execution.rs
+++ b/crates/standin/src/execution.rs
@@ -77,7 +77,7 @@
     }
 
     /// How often a request with this idempotency key was executed.
-    pub fn count_key(&self, key: &str) -> usize {
+    pub fn count_by_idempotency_key(&self, key: &str) -> usize {
         let state = state::lock(&self.state);
         state.executions.iter().filter(|it| it.idempotency.as_deref() == Some(key)).count()
     }
@@ -91,11 +91,11 @@
         state::lock(&self.state).executions.push(execution);
     }
 
-    pub(crate) fn connection(&self, worker: &ids::WorkerId) -> CountGuard {
+    pub(crate) fn track_connection(&self, worker: &ids::WorkerId) -> CountGuard {
         self.count_up(worker, ServicePeak { connections: 1, requests: 0 })
     }
 
-    pub(crate) fn request(&self, worker: &ids::WorkerId) -> CountGuard {
+    pub(crate) fn track_request(&self, worker: &ids::WorkerId) -> CountGuard {
         self.count_up(worker, ServicePeak { connections: 0, requests: 1 })
     }
 
