--- a/crates/peer/src/dispatch.rs
+++ b/crates/peer/src/dispatch.rs
@@ -1,5 +1,4 @@
-//! Decodes a call for a [`link::PeerService`](crate::link::PeerService), runs its handler and encodes
-//! the reply.
+//! Decodes a call for a [`link::PeerService`], runs its handler and encodes the reply.
 //!
 //! ```
 //! use almondpass_peer::call::PeerCall;
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -38,7 +38,7 @@
     Refused {
         /// HTTP status of the refusal.
         status: u16,
-        /// Reason given by the peer, the first 512 bytes of the response body.
+        /// Reason given by the peer, from the start of the response body.
         detail: String,
     },
     /// The answer could not be decoded; the peer may have acted on the call.
--- a/crates/peer/tests/decoders/generator.rs
+++ b/crates/peer/tests/decoders/generator.rs
@@ -63,7 +63,7 @@
 
 macro_rules! byte_strings {
     ($($method:ident)*) => {
-        // Sixteen bytes are a valid UUID; any other byte string can have this length as well.
+        // Sixteen bytes, because a UUID has this length and all other fields of bytes accept it.
         $(fn $method<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, GenerateError> {
             visitor.visit_byte_buf(self.rng.random::<[u8; 16]>().to_vec())
         })*
