--- a/crates/membership/src/content.rs
+++ b/crates/membership/src/content.rs
@@ -1,15 +1,15 @@
-//! What the rest of an instance puts into its beats and takes out of others'.
+//! Interface for the parts of an instance that add data to its beats and read the beats of others.
 
 use almondpass_schema::{ids, model};
 
-/// Content of beats that membership itself does not know.
+/// Source of the beat fields that membership does not maintain, and receiver of other instances' beats.
 pub trait BeatContent: Clone + Send + Sync + 'static {
-    /// Number of the configuration in force here.
+    /// Configuration version in force on this instance.
     fn config_version(&self) -> ids::ConfigVersion;
 
-    /// Halls that this instance schedules.
+    /// Status of each hall that this instance schedules.
     fn halls(&self) -> Vec<model::HallBeat>;
 
-    /// A beat of another instance arrived; must not block.
+    /// Called for each beat received from another instance; must not block.
     fn on_beat(&self, beat: &model::PeerBeat);
 }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,4 +1,4 @@
-//! Finds the scheduler of a hall and keeps asking until it answers.
+//! Finds the scheduler of a hall and repeats a call until the scheduler answers or the deadline passes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,43 +14,44 @@
 use crate::holders;
 use crate::local;
 
-/// First pause before the holder is looked for again; doubles up to the longest.
+/// First pause before the next search for the holder; doubles up to `MAX_PAUSE`.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
-
-/// No call is made with less time than this: it would end without an answer, and take the place of the last
-/// one, which is certain.
-const LEAST_CALL: Duration = Duration::from_millis(20);
-/// Redirects followed without a pause; two instances that name each other would otherwise spin.
-const FREE_REDIRECTS: u32 = 3;
-/// A hall's row is read at most this often; the beats usually say it before.
+/// Upper bound of the pause between two searches for the holder.
+const MAX_PAUSE: Duration = Duration::from_millis(250);
+
+/// No call is made with less time left than this: it would probably time out, and its uncertain outcome would
+/// replace that of the previous call, which is known to have had no effect.
+const MIN_CALL_TIME: Duration = Duration::from_millis(20);
+/// Number of retries without a pause. Without this bound, two instances that redirect to each other would
+/// cause a busy loop.
+const IMMEDIATE_RETRIES: u32 = 3;
+/// Minimum interval between two reads of a hall's row; beats usually report the holder earlier.
 const ROW_INTERVAL: Duration = Duration::from_millis(250);
 /// Deadline of one read of a row.
 const ROW_DEADLINE: Duration = Duration::from_secs(1);
-/// What stands for the peer where there is none yet.
+/// Peer name in errors when no holder is known.
 const NO_PEER: &str = "-";
 
-/// Sends calls to the scheduler of their hall, on this instance or another.
+/// Sends each call to the scheduler of its hall, on this instance or another. Clones share their state.
 #[derive(Debug)]
 pub struct HallDirectory<L, T, S> {
     parts: Arc<DirectoryParts<L, T, S>>,
 }
 
-/// What a directory is made of.
+/// Dependencies and shared state of a `HallDirectory`.
 #[derive(Debug)]
 pub struct DirectoryParts<L, T, S> {
     /// Peer address of this instance.
     pub own: ids::PeerAddress,
-    /// Calls other instances.
+    /// Sends calls to other instances.
     pub link: L,
-    /// Has the rows that name the schedulers.
+    /// Store that contains the scheduler row of each hall.
     pub table: T,
-    /// Answers the calls of halls that this instance schedules.
+    /// Answers calls to halls that this instance schedules.
     pub local: S,
-    /// Filled by beats.
+    /// Last known holders: from beats, and from the redirects and rows that the directory reads.
     pub holders: holders::HolderTable,
-    /// When each hall's row was last read.
+    /// Time of the latest read of each hall's row, or of the attempt.
     pub read_at: Mutex<BTreeMap<ids::HallName, Instant>>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl<L, T, S> HallDirectory<L, T, S> {
-    /// A directory over these parts.
+    /// Creates a directory that owns `parts`.
     pub fn new(parts: DirectoryParts<L, T, S>) -> HallDirectory<L, T, S> {
         HallDirectory { parts: Arc::new(parts) }
     }
@@ -88,26 +89,26 @@
                 }
                 continue;
             };
-            match self.parts.send(&address, call.clone(), search.left()).await {
+            match self.parts.send(&address, call.clone(), search.time_left()).await {
                 Ok(reply) => match C::redirect(&reply).map(|it| it.cloned()) {
                     None => return Ok(reply),
                     Some(holder) => {
                         answer = Ok(reply);
                         count_repeat("redirect");
-                        self.parts.follow(call.hall(), &address, holder);
+                        self.parts.apply_redirect(call.hall(), &address, holder);
                     }
                 },
-                // Only a call that certainly had no effect is sent again: the scheduler may have
-                // acted on any other, and what it then granted has to be settled by the asker.
+                // Only a call that certainly had no effect is sent again. The scheduler may have acted on any
+                // other call, and the caller has to settle what it granted.
                 Err(error) if error.fault.had_no_effect() => {
-                    debug!(%error, hall = call.hall(), "the holder of a hall is not reached");
-                    self.parts.miss(call.hall(), &address, &error.fault);
+                    debug!(%error, hall = call.hall(), "a call to a hall holder had no effect");
+                    self.parts.handle_failure(call.hall(), &address, &error.fault);
                     answer = Err(error);
                     count_repeat("unreached");
                 }
                 Err(error) => return Err(error),
             }
-            if !search.next().await {
+            if !search.wait_for_retry().await {
                 return answer;
             }
         }
@@ -124,7 +125,8 @@
     T: table::TableService,
     S: local::LocalHalls,
 {
-    /// Where the hall's scheduler is: here, where beats say, or where the table's row says.
+    /// Returns the address of the hall's scheduler: this instance, else the last known holder, else the one
+    /// in the hall's row.
     async fn find(&self, hall: &ids::HallName) -> Option<ids::PeerAddress> {
         if self.local.holds(hall) {
             return Some(self.own.clone());
@@ -154,27 +156,33 @@
         }
     }
 
-    fn follow(
+    fn apply_redirect(
         &self,
         hall: &ids::HallName,
-        asked: &ids::PeerAddress,
+        called: &ids::PeerAddress,
         holder: Option<ids::PeerAddress>,
     ) {
         match holder {
-            Some(address) if address != *asked => self.holders.apply_redirect(hall, &address),
-            _ => self.holders.forget(hall, asked),
+            Some(address) if address != *called => self.holders.apply_redirect(hall, &address),
+            _ => self.holders.forget(hall, called),
         }
     }
 
-    /// A holder that refuses is there and may be ready soon; one without a connection is not.
-    fn miss(&self, hall: &ids::HallName, asked: &ids::PeerAddress, fault: &error::CallFault) {
+    /// Removes the holder if the call was not sent. A holder that rejected the call stays recorded: it is
+    /// reachable and may be ready soon.
+    fn handle_failure(
+        &self,
+        hall: &ids::HallName,
+        called: &ids::PeerAddress,
+        fault: &error::CallFault,
+    ) {
         if matches!(fault, error::CallFault::NotSent(_)) {
-            self.holders.forget(hall, asked);
+            self.holders.forget(hall, called);
         }
     }
 
     async fn read_row(&self, hall: &ids::HallName) -> Option<ids::PeerAddress> {
-        if !self.may_read(hall) {
+        if !self.may_read_row(hall) {
             return None;
         }
         let get = model::TableGet { keys: vec![keys::scheduler(hall)] };
@@ -185,8 +193,9 @@
         (!row.released).then_some(row.address)
     }
 
-    /// Callers of a hall without a scheduler would otherwise read its row in a loop together.
-    fn may_read(&self, hall: &ids::HallName) -> bool {
+    /// Whether the hall's row may be read now; records the time if so. Without this limit, all callers of a
+    /// hall without a scheduler would read its row in a loop.
+    fn may_read_row(&self, hall: &ids::HallName) -> bool {
         let now = Instant::now();
         let mut read_at = self.read_at.lock().unwrap_or_else(PoisonError::into_inner);
         let due = read_at.get(hall).is_none_or(|it| ROW_INTERVAL <= now - *it);
@@ -197,37 +206,39 @@
     }
 }
 
-/// How long and how often the holder is still looked for.
+/// Time and pauses left for one call's search for the holder.
 struct HolderSearch {
-    until: Instant,
+    expires_at: Instant,
     pause: Duration,
-    redirects: u32,
+    attempts: u32,
 }
 
 impl HolderSearch {
     fn new(deadline: Duration) -> HolderSearch {
-        HolderSearch { until: Instant::now() + deadline, pause: FIRST_PAUSE, redirects: 0 }
+        HolderSearch { expires_at: Instant::now() + deadline, pause: FIRST_PAUSE, attempts: 0 }
     }
 
-    fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    fn time_left(&self) -> Duration {
+        self.expires_at.saturating_duration_since(Instant::now())
     }
 
-    /// Goes on at once for the first few times, then after a pause; false when time is up.
-    async fn next(&mut self) -> bool {
-        self.redirects += 1;
-        if self.redirects <= FREE_REDIRECTS {
-            return self.left() > LEAST_CALL;
+    /// Allows the first `IMMEDIATE_RETRIES` repetitions at once, later ones after a pause. Returns false if
+    /// too little time is left.
+    async fn wait_for_retry(&mut self) -> bool {
+        self.attempts += 1;
+        if self.attempts <= IMMEDIATE_RETRIES {
+            return self.time_left() > MIN_CALL_TIME;
         }
         self.pause().await
     }
 
-    /// Waits, with jitter so that those who wait together do not ask together.
+    /// Waits with jitter, so that callers that began to wait together don't repeat their calls together.
+    /// Returns false, without waiting, if too little time would be left.
     async fn pause(&mut self) -> bool {
-        let share = rand::rng().random_range(0.5..1.0);
-        let pause = self.pause.mul_f64(share);
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        if self.left() <= pause + LEAST_CALL {
+        let jitter = rand::rng().random_range(0.5..1.0);
+        let pause = self.pause.mul_f64(jitter);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        if self.time_left() <= pause + MIN_CALL_TIME {
             return false;
         }
         time::sleep(pause).await;
@@ -235,7 +246,7 @@
     }
 }
 
-/// A call of a hall is tried again.
+/// Counts a repeated call or search, by cause.
 fn count_repeat(cause: &'static str) {
     metrics::counter!("almondpass_hall_asks_repeated_total", "cause" => cause).increment(1);
 }
--- a/crates/membership/src/holders.rs
+++ b/crates/membership/src/holders.rs
@@ -1,38 +1,39 @@
-//! Which instance schedules which hall, as far as heard; the table's row decides.
+//! Last known scheduler of each hall. Only a cache: the hall's row in the store is authoritative.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use almondpass_schema::{ids, model};
 
-/// Holders of halls; shared between the beats that fill it and the calls that use it.
+/// Holders (scheduling instances) of halls; updated by received beats and read by calls to halls. Clones
+/// share their content.
 #[derive(Clone, Debug, Default)]
 pub struct HolderTable {
     holders: Arc<Mutex<BTreeMap<ids::HallName, HallHolder>>>,
 }
 
-/// Who holds a hall.
+/// The instance that schedules a hall.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HallHolder {
-    /// Its peer address.
+    /// Peer address of the holder.
     pub address: ids::PeerAddress,
-    /// Its tenure; 0 where only a redirect told of it.
+    /// Epoch of the holder's tenure; 0 if the holder is known only from a redirect.
     pub epoch: ids::Epoch,
-    /// What it last said of the hall.
+    /// Hall status from the holder's latest beat; `None` before the first.
     pub beat: Option<model::HallBeat>,
 }
 
 impl HolderTable {
-    /// Takes what an instance says of the halls it holds, and drops those it holds no more. A beat
-    /// that was overtaken by a newer tenure changes nothing.
+    /// Records the halls that the sender of `beat` holds and removes those it no longer holds. A hall status
+    /// with an older epoch than the recorded one is ignored.
     pub fn apply_beat(&self, beat: &model::PeerBeat) {
         let mut holders = self.lock();
         holders.retain(|hall, it| {
             it.address != beat.address || beat.halls.iter().any(|held| held.hall == *hall)
         });
         for hall in &beat.halls {
-            let older = holders.get(&hall.hall).is_none_or(|it| it.epoch <= hall.epoch);
-            if older {
+            let replaces = holders.get(&hall.hall).is_none_or(|it| it.epoch <= hall.epoch);
+            if replaces {
                 let holder = HallHolder {
                     address: beat.address.clone(),
                     epoch: hall.epoch,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Takes the table's row.
+    /// Records the holder named by a hall's row in the store, unless the row is released or its epoch is
+    /// not newer than the recorded one.
     pub fn apply_row(&self, row: &model::SchedulerRow) {
         let mut holders = self.lock();
         let known = holders.get(&row.hall).filter(|it| row.epoch <= it.epoch);
@@ -54,7 +56,8 @@
         holders.insert(row.hall.clone(), holder);
     }
 
-    /// Takes a redirect.
+    /// Records the holder named by a redirect, with epoch 0, so that any beat or row replaces it. Keeps the
+    /// entry if it already names `address`.
     pub fn apply_redirect(&self, hall: &ids::HallName, address: &ids::PeerAddress) {
         let mut holders = self.lock();
         if holders.get(hall).is_some_and(|it| it.address == *address) {
@@ -64,7 +67,7 @@
         holders.insert(hall.clone(), holder);
     }
 
-    /// Forgets that `address` holds `hall`.
+    /// Removes the holder of `hall` if it is `address`.
     pub fn forget(&self, hall: &ids::HallName, address: &ids::PeerAddress) {
         let mut holders = self.lock();
         if holders.get(hall).is_some_and(|it| it.address == *address) {
@@ -72,17 +75,17 @@
         }
     }
 
-    /// Forgets everything about an instance that is taken for dead.
+    /// Removes all entries of an instance that is considered dead.
     pub fn remove_instance(&self, address: &ids::PeerAddress) {
         self.lock().retain(|_, it| it.address != *address);
     }
 
-    /// Who holds the hall, as far as known.
+    /// Peer address of the last known holder of `hall`.
     pub fn holder(&self, hall: &ids::HallName) -> Option<ids::PeerAddress> {
         self.lock().get(hall).map(|it| it.address.clone())
     }
 
-    /// What the holders last said.
+    /// Hall status from the latest beat of each known holder.
     pub fn summaries(&self) -> Vec<model::HallBeat> {
         self.lock().values().filter_map(|it| it.beat.clone()).collect()
     }
--- a/crates/membership/src/home.rs
+++ b/crates/membership/src/home.rs
@@ -1,4 +1,4 @@
-//! Which hall keeps the record of an idempotency key.
+//! Selects the hall that keeps the record of an idempotency key (its home hall).
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use crate::rendezvous;
 
-/// Hall whose scheduler keeps the record of `key`, by rendezvous over the halls that the upstream
-/// had when the key was made. The key carries that time itself, so every instance and every
-/// retry finds the same hall whatever its own clock says; the halls of today would otherwise send
-/// a retry across a change of configuration to a hall that never heard of the key, where it would
-/// run a second time. `None` where the key is no UUIDv7 or the upstream has no hall.
+/// Returns the hall whose scheduler keeps the record of `key`, by rendezvous hashing over the halls that
+/// the upstream had when the key was created. The creation time is part of the key, so every instance and
+/// every retry selects the same hall, whatever the local clock. If the current halls were used, a retry
+/// after a configuration change could go to a hall without a record of the key, and the request would run
+/// a second time. `None` if the key is not a UUIDv7 or the upstream has no hall.
 pub fn home_hall<'a>(
     upstream: &'a model::UpstreamSpec,
     key: &ids::IdempotencyKey,
@@ -19,13 +19,13 @@
     rendezvous::preferred(&key.to_string(), halls.iter().map(String::as_str))
 }
 
-/// Halls among which keys made at `made_at` have their home.
+/// Halls from which the home hall of a key created at `made_at` is selected.
 pub fn halls_at(upstream: &model::UpstreamSpec, made_at: time::WallTime) -> &[ids::HallName] {
-    let former = upstream.former_halls.iter().filter(|it| made_at < it.until);
-    former.min_by_key(|it| it.until).map_or(&upstream.halls, |it| &it.halls)
+    let replaced_later = upstream.former_halls.iter().filter(|it| made_at < it.until);
+    replaced_later.min_by_key(|it| it.until).map_or(&upstream.halls, |it| &it.halls)
 }
 
-/// When a key was made; `None` where it is no UUIDv7.
+/// Creation time of a key; `None` if the key is not a UUIDv7.
 pub fn key_time(key: &ids::IdempotencyKey) -> Option<time::WallTime> {
     if key.get_version_num() != UUID_V7 {
         return None;
--- a/crates/membership/src/known_member.rs
+++ b/crates/membership/src/known_member.rs
@@ -1,39 +1,39 @@
-//! What is remembered of one other instance.
+//! State that this instance keeps for each other instance.
 
 use std::time::Duration;
 
 use almondpass_schema::{ids, model};
 use tokio::time::Instant;
 
-/// One other instance, live or lost.
+/// Another instance, live or lost.
 #[derive(Clone, Debug)]
 pub struct KnownMember {
-    /// Its id; the list's name for it until it was heard.
+    /// Instance id: from the instance list until the first beat or rumour, which has the current one.
     pub id: ids::InstanceId,
-    /// Where it is.
+    /// Data centre in which the instance runs.
     pub data_center: ids::DataCenter,
-    /// Whether the latest list has it.
+    /// Whether the latest instance list contains the instance.
     pub listed: bool,
-    /// Whether the latest list says that it leaves.
+    /// Whether the latest instance list marks the instance as leaving.
     pub listed_leaving: bool,
-    /// Whether it said itself that it leaves; never taken back.
+    /// Whether the instance itself reported that it is leaving; never reset.
     pub leaving: bool,
-    /// Newest beat of it that was heard or heard of; 0 while there was none.
+    /// Number of the newest beat of the instance, received directly or reported by others; 0 if none.
     pub number: u64,
-    /// Latest sign of life, or when it first stood on the list.
+    /// Time of the latest sign of life, or when the instance first appeared on the list.
     pub alive_at: Instant,
-    /// Calls in a row that did not reach it, since the latest sign of life.
+    /// Calls that did not reach the instance since its latest sign of life.
     pub failed_calls: u32,
-    /// Whether it is taken for dead.
+    /// Whether the instance is considered dead.
     pub lost: bool,
-    /// Configuration in force there when it last said so; 0 where it never did.
+    /// Newest configuration version that the instance reported; 0 before its first beat.
     pub config_version: ids::ConfigVersion,
-    /// Beats that told of its latest change.
+    /// Number of this instance's beats that have reported the latest change of that instance.
     pub change_reports: u32,
 }
 
 impl KnownMember {
-    /// An instance of the list that was not heard yet.
+    /// Creates the state of a listed instance from which no beat has arrived yet.
     pub fn from_listing(entry: &model::InstanceEntry, now: Instant) -> KnownMember {
         KnownMember {
             id: entry.id.clone(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An instance that a beat told of, by itself or through another.
+    /// Creates the state of an instance first seen in a beat: its own or a rumour in another instance's.
     pub fn from_rumour(rumour: &model::PeerRumour, now: Instant) -> KnownMember {
         KnownMember {
             id: rumour.from.clone(),
@@ -67,28 +67,31 @@
         }
     }
 
-    /// It said itself that it lives. A beat that was overtaken by a newer one changes nothing.
-    pub fn apply_own_beat(&mut self, word: &model::PeerRumour, now: Instant) {
-        self.note_leaving(word.leaving);
-        if self.number < word.number {
-            self.revive(word.number, now);
+    /// Applies a beat sent by the instance itself. A beat older than the newest known one can set `leaving`
+    /// but doesn't count as a sign of life.
+    pub fn apply_own_beat(&mut self, own_beat: &model::PeerRumour, now: Instant) {
+        self.note_leaving(own_beat.leaving);
+        if self.number < own_beat.number {
+            self.revive(own_beat.number, now);
         }
     }
 
-    /// Another instance said that it lived when it sent beat `number`. Such news may have gone
-    /// round for a while; taken for a sign of life of this moment it would keep a dead instance
-    /// alive. It sends one beat an interval, so the number tells about when that was.
-    pub fn apply_sign_of_life(&mut self, number: u64, beat: Duration, now: Instant) {
+    /// Applies another instance's report that this member sent beat `number`. The report may have been
+    /// forwarded several times; counted as a sign of life at the time of arrival, it would keep a dead
+    /// member alive. A member sends one beat per interval, so the time of sending is estimated from the
+    /// beat number.
+    pub fn apply_sign_of_life(&mut self, number: u64, beat_interval: Duration, now: Instant) {
         if number <= self.number {
             return;
         }
         let n_beats = u32::try_from(number - self.number).unwrap_or(u32::MAX);
-        let sent_at = self.alive_at.checked_add(beat.saturating_mul(n_beats)).unwrap_or(now);
+        let sent_at =
+            self.alive_at.checked_add(beat_interval.saturating_mul(n_beats)).unwrap_or(now);
         let alive_at = if self.lost || self.number == 0 { now } else { sent_at.min(now) };
         self.revive(number, alive_at);
     }
 
-    /// It leaves, by its own word.
+    /// Records the member's own report that it is leaving; `false` doesn't reset it.
     pub fn note_leaving(&mut self, leaving: bool) {
         if leaving && !self.leaving {
             self.leaving = true;
@@ -106,15 +109,16 @@
         self.lost = false;
     }
 
-    /// Whether it shuts down, by its own word or the platform's.
+    /// Whether the instance is shutting down, as reported by itself or by the platform's list.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.listed_leaving
     }
 
-    /// Whether it has been silent for so long that it is taken for dead.
-    pub fn is_silent(&self, lapse: Duration, now: Instant) -> bool {
+    /// Whether the time since the latest sign of life is enough to consider the instance dead:
+    /// `silence_limit`, or half of it after two failed calls (one if the instance is leaving).
+    pub fn is_silent(&self, silence_limit: Duration, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.alive_at);
-        let refused = 2 <= self.failed_calls || (1 <= self.failed_calls && self.is_leaving());
-        lapse <= silence || (refused && lapse / 2 <= silence)
+        let unreachable = 2 <= self.failed_calls || (1 <= self.failed_calls && self.is_leaving());
+        silence_limit <= silence || (unreachable && silence_limit / 2 <= silence)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,5 +1,5 @@
-//! Who is live: the platform's lagging list joined with the instances' own beats; and where each
-//! hall's scheduler is.
+//! Membership: which instances and workers are live, from the platform's delayed instance list and the
+//! beats (heartbeats) that instances exchange; and which instance schedules each hall.
 
 pub mod content;
 pub mod directory;
--- a/crates/membership/src/local.rs
+++ b/crates/membership/src/local.rs
@@ -1,16 +1,16 @@
-//! The halls that this very instance schedules.
+//! Calls to halls whose scheduler runs in this process.
 
 use std::future::Future;
 
 use almondpass_peer::{call, error};
 use almondpass_schema::ids;
 
-/// Answers calls of halls that this instance schedules, without a socket.
+/// Answers calls to halls that this instance schedules, in process and without a socket.
 pub trait LocalHalls: Clone + Send + Sync + 'static {
-    /// Whether this instance believes that it schedules `hall`.
+    /// Whether this instance schedules `hall`, as far as it knows; its tenure may have expired since.
     fn holds(&self, hall: &ids::HallName) -> bool;
 
-    /// Answers a call.
+    /// Passes `call` to this instance's scheduler of the hall. Has no deadline: the caller sets one.
     fn answer<C: call::HallCall>(
         &self,
         call: C,
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,25 +1,26 @@
-//! Rendezvous hashing: each key has the candidates in an order of its own, and the loss of one
-//! candidate moves only what it was first for.
+//! Rendezvous hashing: each key ranks the candidates in its own order, so the loss of a candidate moves only
+//! the keys that ranked it first.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3;
 
-/// Candidates, most preferred for `key` first.
+/// Returns the candidates in the order of preference of `key`, most preferred first.
 pub fn ranked<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let mut ranked = candidates.into_iter().collect::<Vec<_>>();
     ranked.sort_by_cached_key(|it| (std::cmp::Reverse(weight(key, it)), *it));
     ranked
 }
 
-/// The most preferred candidate for `key`.
+/// Returns the candidate that `key` prefers most; `None` without candidates.
 pub fn preferred<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     candidates.into_iter().max_by_key(|it| (weight(key, it), std::cmp::Reverse(*it)))
 }
 
-/// The candidate for `key` when all `keys` are shared out evenly: each takes its most preferred
-/// candidate that does not yet have its share. By preference alone a few keys may well all fall to
-/// the same candidate.
+/// Returns the candidate for `key` when all `keys` are distributed evenly: in sorted order, each key is
+/// assigned to its most preferred candidate that has less than its share of keys. By preference alone, a
+/// small number of keys could all be assigned to the same candidate. `None` if `keys` lacks `key` or there
+/// are no candidates.
 pub fn balanced_candidate<'a>(
     key: &str,
     keys: impl IntoIterator<Item = &'a str>,
@@ -28,14 +29,15 @@
     let mut keys = keys.into_iter().collect::<Vec<_>>();
     keys.sort_unstable();
     let share = keys.len().div_ceil(candidates.len().max(1));
-    let mut taken = BTreeMap::new();
+    let mut n_assigned = BTreeMap::new();
     for it in keys {
         let ranked = ranked(it, candidates.iter().copied());
-        let with_room = ranked.into_iter().find(|it| taken.get(it).is_none_or(|n| *n < share))?;
+        let below_share =
+            ranked.into_iter().find(|it| n_assigned.get(it).is_none_or(|n| *n < share))?;
         if it == key {
-            return Some(with_room);
+            return Some(below_share);
         }
-        *taken.entry(with_room).or_insert(0) += 1;
+        *n_assigned.entry(below_share).or_insert(0) += 1;
     }
     None
 }
--- a/crates/membership/src/service.rs
+++ b/crates/membership/src/service.rs
@@ -1,4 +1,4 @@
-//! Sends and answers beats, polls the list, and publishes what is believed.
+//! Sends and answers beats, polls the instance list, and publishes snapshots of the member table.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::members;
 use crate::snapshot;
 
-/// For one look at the instance list.
+/// Deadline of one poll of the instance list.
 const LIST_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Intervals of membership.
+/// Intervals at which a member service sends beats and polls.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberTiming {
-    /// Between beats.
+    /// Interval between beats; also the deadline of each beat.
     pub beat: Duration,
-    /// Between looks at the instance list.
+    /// Interval between polls of the instance list.
     pub poll: Duration,
 }
 
-/// Membership of one instance.
+/// Membership service of one instance; clones share its state.
 #[derive(Debug)]
 pub struct MemberService<L, C> {
     shared: Arc<SharedState<L, C>>,
@@ -42,10 +42,10 @@
     holders: holders::HolderTable,
     table: Mutex<members::MemberTable>,
     published: watch::Sender<Arc<snapshot::MemberSnapshot>>,
-    held: Mutex<Vec<HallTenure>>,
+    held_halls: Mutex<Vec<HallTenure>>,
 }
 
-/// A hall and the tenure in which it is held.
+/// A hall that this instance schedules, and the epoch of its tenure.
 type HallTenure = (ids::HallName, ids::Epoch);
 
 impl<L, C> Clone for MemberService<L, C> {
@@ -55,7 +55,7 @@
 }
 
 impl<L: link::PeerLink, C: content::BeatContent> MemberService<L, C> {
-    /// Membership that knows only of the instance itself; `run` makes it go.
+    /// Creates a service that knows only this instance; `run` starts beats and polling.
     pub fn new(
         own: members::MemberIdentity,
         timing: MemberTiming,
@@ -72,56 +72,57 @@
             holders: holders::HolderTable::default(),
             table: Mutex::new(table),
             published,
-            held: Mutex::default(),
+            held_halls: Mutex::default(),
         };
         MemberService { shared: Arc::new(shared) }
     }
 
-    /// What is believed; changes only when something changed.
+    /// Subscribes to snapshots of the member table; a new one is published only if it differs from the last.
     pub fn subscribe(&self) -> watch::Receiver<Arc<snapshot::MemberSnapshot>> {
         self.shared.published.subscribe()
     }
 
-    /// Holders of halls, as far as heard.
+    /// Table of the hall holders reported by beats; shared with this service, which updates it.
     pub fn holders(&self) -> holders::HolderTable {
         self.shared.holders.clone()
     }
 
-    /// Takes another instance's beat and answers with our own.
+    /// Applies another instance's beat and returns this instance's beat as the reply.
     pub fn receive_beat(&self, beat: &model::PeerBeat) -> model::PeerBeat {
         self.shared.apply_beat(beat);
         self.shared.beat(Some(&beat.address))
     }
 
-    /// Beats and polls until dropped.
+    /// Sends beats and polls `list` until the future is dropped.
     pub async fn run<I: instances::InstanceList>(&self, list: I) {
         tokio::join!(self.poll_list(&list), self.send_beats());
     }
 
-    /// Tells everyone that this instance leaves, and waits for them to know or for one beat to
-    /// pass. Halls then go elsewhere, and nobody prefers this instance any more.
+    /// Announces to all live instances that this instance is leaving, and waits until each has answered or
+    /// the call has failed, at most one beat interval. The others then stop preferring this instance, and its
+    /// halls are scheduled elsewhere.
     pub async fn leave(&self) {
         self.shared.lock().leave();
         self.shared.publish();
         self.announce().await;
     }
 
-    /// Beats to everyone at once.
+    /// Sends a beat to all live instances at once and waits until each call has ended.
     pub async fn announce(&self) {
         let everyone = self.shared.lock().live_addresses();
         self.send_to(everyone).await;
     }
 
-    /// Looks at the list, and makes this instance known to all on it once it was read. The list
-    /// may not show this instance for a while, so nobody would come to it by themselves.
+    /// Polls the instance list, and sends a beat to all instances after the first successful poll. The list
+    /// may not show this instance to the others for a while, so they wouldn't send beats to it by themselves.
     async fn poll_list<I: instances::InstanceList>(&self, list: &I) {
         let mut interval = time::interval(self.shared.timing.poll);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut announced = false;
         loop {
             interval.tick().await;
-            let read = self.shared.look(list).await;
-            if read && !announced {
+            let succeeded = self.shared.poll_once(list).await;
+            if succeeded && !announced {
                 announced = true;
                 self.announce().await;
             }
@@ -154,8 +155,9 @@
 }
 
 impl<L: link::PeerLink, C: content::BeatContent> SharedState<L, C> {
-    /// Begins a beat and tells whom it goes to: to everyone when a hall was just taken, or callers
-    /// would be sent to the former holder until the rotation comes round.
+    /// Starts a beat and returns the addresses to send it to. These are all live instances if this instance
+    /// has just acquired a hall; otherwise callers would be sent to the previous holder until the rotation
+    /// has reached every instance.
     fn tick(&self) -> Vec<ids::PeerAddress> {
         let own = self.beat(None);
         self.holders.apply_beat(&own);
@@ -166,18 +168,18 @@
             metrics::counter!("almondpass_membership_lost_total").increment(1);
         }
         self.publish();
-        if self.took_hall(&own.halls) {
+        if self.acquired_hall(&own.halls) {
             return self.lock().live_addresses();
         }
         self.lock().targets()
     }
 
-    fn took_hall(&self, halls: &[model::HallBeat]) -> bool {
+    fn acquired_hall(&self, halls: &[model::HallBeat]) -> bool {
         let now_held = halls.iter().map(|it| (it.hall.clone(), it.epoch)).collect::<Vec<_>>();
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        let took = now_held.iter().any(|it| !held.contains(it));
-        *held = now_held;
-        took
+        let mut held_halls = self.held_halls.lock().unwrap_or_else(PoisonError::into_inner);
+        let acquired = now_held.iter().any(|it| !held_halls.contains(it));
+        *held_halls = now_held;
+        acquired
     }
 
     async fn exchange(&self, peer: ids::PeerAddress) {
@@ -185,7 +187,7 @@
         match self.link.call(&peer, beat, self.timing.beat).await {
             Ok(reply) => self.apply_beat(&reply),
             Err(error) => {
-                debug!(%error, "a beat was not answered");
+                debug!(%error, "a beat failed or was not answered");
                 metrics::counter!("almondpass_membership_beats_unanswered_total").increment(1);
                 if error.fault.had_no_effect() {
                     self.lock().count_failed_call(&peer);
@@ -201,8 +203,9 @@
         self.publish();
     }
 
-    /// Reads the list and tells whether that went well; where it fails the last one stays in use.
-    async fn look<I: instances::InstanceList>(&self, list: &I) -> bool {
+    /// Polls the instance list and returns whether that succeeded. After a failure the last list stays in
+    /// use.
+    async fn poll_once<I: instances::InstanceList>(&self, list: &I) -> bool {
         let query = model::InstanceQuery { known: self.lock().revision() };
         match time::timeout(LIST_DEADLINE, list.list(query)).await {
             Ok(Ok(listing)) => {
--- a/crates/membership/src/snapshot.rs
+++ b/crates/membership/src/snapshot.rs
@@ -1,50 +1,50 @@
-//! What is known of instances and workers at one moment.
+//! Snapshot of the known instances and workers.
 
 use std::collections::BTreeMap;
 
 use almondpass_schema::{ids, model};
 
-/// Instances and workers as this instance believes them to be; published on a watch channel.
+/// Instances and workers as known to this instance; `MemberService` publishes each change on a watch channel.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberSnapshot {
-    /// Instances of ours that are not known to be gone, by id; this instance included.
+    /// Scheduler instances that are not marked lost, by id, including this instance.
     pub instances: BTreeMap<ids::InstanceId, MemberEntry>,
-    /// Workers of the list, by name.
+    /// Workers in the latest instance list, by id.
     pub workers: BTreeMap<ids::WorkerId, WorkerEntry>,
 }
 
-/// One instance of ours.
+/// One scheduler instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
-    /// Its peer address.
+    /// Address at which the instance answers its peers.
     pub address: ids::PeerAddress,
-    /// Where it is.
+    /// Data centre in which the instance runs.
     pub data_center: ids::DataCenter,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// Configuration in force there when it last said so; 0 where it never did.
+    /// Newest configuration version that the instance reported; 0 before its first beat.
     pub config_version: ids::ConfigVersion,
 }
 
-/// One worker.
+/// One worker of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Its control address.
+    /// Control address of the worker (not that of its services).
     pub address: ids::PeerAddress,
-    /// Whether it leaves.
+    /// Whether the worker is shutting down.
     pub leaving: bool,
-    /// Services on it.
+    /// Upstream services that run on the worker.
     pub upstreams: Vec<UpstreamEntry>,
 }
 
 /// One upstream's service on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// Which upstream.
+    /// Upstream that the service belongs to.
     pub upstream: ids::UpstreamName,
-    /// Where it answers.
+    /// Address at which the service answers requests.
     pub address: ids::PeerAddress,
-    /// Whether it leaves.
+    /// Whether the service is shutting down.
     pub leaving: bool,
 }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of memberships in one process, on the paused clock.
+//! A fleet of member services in one process, on tokio's paused clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-/// Timing of the fleets.
+/// Beat and poll intervals of all fleets.
 pub(crate) const TIMING: service::MemberTiming =
     service::MemberTiming { beat: Duration::from_secs(1), poll: Duration::from_secs(2) };
 
-/// Names each case and runs it on the paused clock.
+/// Defines a test for each case, run on tokio's paused clock.
 macro_rules! cases {
     ($($(#[$note:meta])* $name:ident => $case:expr;)*) => {
         $($(#[$note])* #[tokio::test(start_paused = true)]
@@ -29,7 +29,7 @@
 }
 pub(crate) use cases;
 
-/// Beats without a configuration or halls.
+/// Beat content with configuration version 1 and no halls.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlainContent;
 
@@ -45,10 +45,10 @@
     fn on_beat(&self, _beat: &model::PeerBeat) {}
 }
 
-/// Membership of one instance of the fleet.
+/// Member service of one instance of the fleet.
 pub(crate) type TestMember = service::MemberService<net::FakeLink, PlainContent>;
 
-/// Answers beats.
+/// Answers beats sent to a `TestMember`.
 #[derive(Clone)]
 pub(crate) struct BeatService(pub(crate) TestMember);
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Instances that beat to each other, and the list that lags.
+/// Instances that exchange beats over a fake network, and a delayed instance list.
 pub(crate) struct Fleet {
     pub(crate) net: net::FakeNet,
     pub(crate) list: instance::InstanceFake,
@@ -76,20 +76,22 @@
 pub(crate) struct FleetNode {
     pub(crate) member: TestMember,
     paused: watch::Sender<bool>,
-    running: JoinHandle<()>,
-    /// How often each other instance came into its view or went out of it.
-    changes: JoinHandle<()>,
+    run_task: JoinHandle<()>,
+    /// Task that updates `counts`.
+    count_task: JoinHandle<()>,
+    /// How often each other instance appeared in this instance's view or disappeared from it.
     pub(crate) counts: watch::Receiver<BTreeMap<ids::PeerAddress, u32>>,
 }
 
 impl Fleet {
-    /// An empty fleet whose list lags by `lag`.
+    /// Creates an empty fleet whose instance list is delayed by `lag`.
     pub(crate) fn new(lag: Duration) -> Fleet {
         let list = instance::InstanceFake::new(lag);
         Fleet { net: net::FakeNet::new(), list, nodes: BTreeMap::new(), starts: 0 }
     }
 
-    /// A fleet of settled instances `dc1-0`, `dc1-1` and so on, in each of the data centres.
+    /// Creates a fleet of `n_each` instances per data centre, named `dc1-0`, `dc1-1` and so on, that has run
+    /// for 20 s; only then is the list delayed by `lag`.
     pub(crate) async fn settled(lag: Duration, data_centers: &[&str], n_each: usize) -> Fleet {
         let mut fleet = Fleet::new(Duration::ZERO);
         for data_center in data_centers {
@@ -102,7 +104,7 @@
         fleet
     }
 
-    /// Starts an instance at the address of its name.
+    /// Starts an instance whose address is its name.
     pub(crate) fn start(&mut self, name: &str, data_center: &str) {
         self.starts += 1;
         let own = members::MemberIdentity {
@@ -124,17 +126,17 @@
         self.nodes.insert(name.to_owned(), FleetNode::run(member, self.list.clone()));
     }
 
-    /// Kills an instance; the list shows it after its lag.
+    /// Kills an instance; the list drops it after its delay.
     pub(crate) fn crash(&mut self, name: &str) {
         let Some(node) = self.nodes.remove(name) else { return };
         self.net.crash(name);
-        node.running.abort();
-        node.changes.abort();
+        node.run_task.abort();
+        node.count_task.abort();
         let id = self.id_of(name, &node);
         self.list.remove(&id);
     }
 
-    /// Stops an instance for a while: nothing of it runs and nothing reaches it.
+    /// Pauses an instance for `span`: its tasks don't run and messages to it are held back.
     pub(crate) async fn pause(&self, name: &str, span: Duration) {
         self.nodes[name].paused.send_replace(true);
         self.net.process(name).set(fault::Condition::Held);
@@ -143,17 +145,18 @@
         self.nodes[name].paused.send_replace(false);
     }
 
-    /// Names of the instances that run.
+    /// Names of the running instances.
     pub(crate) fn live(&self) -> BTreeSet<String> {
         self.nodes.keys().cloned().collect()
     }
 
-    /// What an instance believes to be live.
+    /// Addresses that the instance `name` considers live.
     pub(crate) fn view(&self, name: &str) -> BTreeSet<String> {
         self.nodes[name].view()
     }
 
-    /// Waits until every instance believes what is so, and tells how long that took.
+    /// Waits until the view of every instance equals the running instances; returns the time taken. Panics
+    /// after `limit`.
     pub(crate) async fn agree(&self, limit: Duration) -> Duration {
         let started = time::Instant::now();
         let live = self.live();
@@ -174,10 +177,10 @@
 impl FleetNode {
     fn run(member: TestMember, list: instance::InstanceFake) -> FleetNode {
         let (paused, pauses) = watch::channel(false);
-        let running = tokio::spawn(run_unless_paused(member.clone(), list, pauses));
-        let (counting, counts) = watch::channel(BTreeMap::new());
-        let changes = tokio::spawn(count_changes(member.subscribe(), counting));
-        FleetNode { member, paused, running, changes, counts }
+        let run_task = tokio::spawn(run_unless_paused(member.clone(), list, pauses));
+        let (counts_sender, counts) = watch::channel(BTreeMap::new());
+        let count_task = tokio::spawn(count_changes(member.subscribe(), counts_sender));
+        FleetNode { member, paused, run_task, count_task, counts }
     }
 
     fn view(&self) -> BTreeSet<String> {
@@ -209,12 +212,12 @@
 
 async fn count_changes(
     mut views: watch::Receiver<Arc<snapshot::MemberSnapshot>>,
-    counting: watch::Sender<BTreeMap<ids::PeerAddress, u32>>,
+    counts_sender: watch::Sender<BTreeMap<ids::PeerAddress, u32>>,
 ) {
     let mut last = addresses(&views.borrow_and_update());
     while views.changed().await.is_ok() {
         let view = addresses(&views.borrow_and_update());
-        counting.send_modify(|counts| {
+        counts_sender.send_modify(|counts| {
             for address in last.symmetric_difference(&view) {
                 *counts.entry(address.clone()).or_default() += 1;
             }
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -1,4 +1,4 @@
-//! How the scheduler of a hall is found while halls move and answers are lost.
+//! Finding the scheduler of a hall while halls move between instances and answers are lost.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -18,44 +18,44 @@
 const HALL: &str = "vadodara";
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// An instance that answers hall queries as told.
+/// Fake instance that answers hall queries according to `mode`.
 #[derive(Clone)]
-struct SeatFake {
+struct FakeScheduler {
     name: String,
-    behaviour: Arc<Mutex<SeatBehaviour>>,
+    mode: Arc<Mutex<SchedulerMode>>,
     calls: Arc<AtomicU32>,
 }
 
 #[derive(Clone)]
-enum SeatBehaviour {
+enum SchedulerMode {
     Holds,
     Redirects(Option<String>),
     Starting,
     LosesAnswer,
 }
 
-impl link::PeerService for SeatFake {
+impl link::PeerService for FakeScheduler {
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         assert_eq!(path, model::HallQuery::PATH);
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let behaviour = self.behaviour.lock().unwrap().clone();
-        dispatch::try_answer(&body, async |query: model::HallQuery| match behaviour {
-            SeatBehaviour::Holds => Ok(picture(&query.hall, &self.name)),
-            SeatBehaviour::Redirects(holder) => Ok(model::HallReply::NotHolder { holder }),
-            SeatBehaviour::Starting => Err(error::ServeFault::Unavailable("starting".to_owned())),
-            SeatBehaviour::LosesAnswer => Err(error::ServeFault::Silent),
+        let mode = self.mode.lock().unwrap().clone();
+        dispatch::try_answer(&body, async |query: model::HallQuery| match mode {
+            SchedulerMode::Holds => Ok(picture(&query.hall, &self.name)),
+            SchedulerMode::Redirects(holder) => Ok(model::HallReply::NotHolder { holder }),
+            SchedulerMode::Starting => Err(error::ServeFault::Unavailable("starting".to_owned())),
+            SchedulerMode::LosesAnswer => Err(error::ServeFault::Silent),
         })
         .await
     }
 }
 
-/// Holds the hall itself where told.
+/// Fake of this instance's own schedulers; holds the hall while `holds` is set.
 #[derive(Clone, Default)]
-struct LocalFake {
+struct FakeLocalHalls {
     holds: Arc<AtomicBool>,
 }
 
-impl local::LocalHalls for LocalFake {
+impl local::LocalHalls for FakeLocalHalls {
     fn holds(&self, _hall: &ids::HallName) -> bool {
         self.holds.load(Ordering::Relaxed)
     }
@@ -66,20 +66,20 @@
     }
 }
 
-struct Site {
+struct DirectoryFixture {
     net: net::FakeNet,
     table: table::TableFake,
     holders: holders::HolderTable,
-    local: LocalFake,
-    directory: directory::HallDirectory<net::FakeLink, table::TableFake, LocalFake>,
+    local: FakeLocalHalls,
+    directory: directory::HallDirectory<net::FakeLink, table::TableFake, FakeLocalHalls>,
 }
 
-impl Site {
-    fn new() -> Site {
+impl DirectoryFixture {
+    fn new() -> DirectoryFixture {
         let net = net::FakeNet::new();
         let table = table::TableFake::default();
         let holders = holders::HolderTable::default();
-        let local = LocalFake::default();
+        let local = FakeLocalHalls::default();
         let directory = directory::HallDirectory::new(directory::DirectoryParts {
             own: "own".to_owned(),
             link: net.link("own"),
@@ -88,20 +88,20 @@
             holders: holders.clone(),
             read_at: Mutex::default(),
         });
-        Site { net, table, holders, local, directory }
+        DirectoryFixture { net, table, holders, local, directory }
     }
 
-    fn seat(&self, name: &str, behaviour: SeatBehaviour) -> SeatFake {
-        let seat = SeatFake {
+    fn add_scheduler(&self, name: &str, mode: SchedulerMode) -> FakeScheduler {
+        let scheduler = FakeScheduler {
             name: name.to_owned(),
-            behaviour: Arc::new(Mutex::new(behaviour)),
+            mode: Arc::new(Mutex::new(mode)),
             calls: Arc::default(),
         };
-        self.net.register(name, seat.clone());
-        seat
+        self.net.register(name, scheduler.clone());
+        scheduler
     }
 
-    fn beat(&self, from: &str, epoch: ids::Epoch) {
+    fn apply_beat(&self, from: &str, epoch: ids::Epoch) {
         let hall = model::HallBeat {
             hall: HALL.to_owned(),
             epoch,
@@ -140,7 +140,7 @@
         self.table.transact(transaction).await.expect("a row written");
     }
 
-    async fn ask(&self) -> Result<String, String> {
+    async fn query_holder(&self) -> Result<String, String> {
         let query = model::HallQuery { hall: HALL.to_owned() };
         match self.directory.ask(query, DEADLINE).await {
             Ok(model::HallReply::Picture { picture }) => Ok(picture.holder),
@@ -165,111 +165,111 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_hall_of_this_instance_needs_no_socket() {
-    let site = Site::new();
-    site.local.holds.store(true, Ordering::Relaxed);
-    assert_eq!(site.ask().await, Ok("own".to_owned()));
-    assert_eq!(site.net.calls(), 0);
+    let fixture = DirectoryFixture::new();
+    fixture.local.holds.store(true, Ordering::Relaxed);
+    assert_eq!(fixture.query_holder().await, Ok("own".to_owned()));
+    assert_eq!(fixture.net.calls(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_beat_or_a_redirect_names_the_holder() {
-    let site = Site::new();
-    site.seat("a", SeatBehaviour::Redirects(Some("b".to_owned())));
-    site.seat("b", SeatBehaviour::Holds);
-    site.beat("a", 3);
-    assert_eq!(site.ask().await, Ok("b".to_owned()));
-    assert_eq!(site.ask().await, Ok("b".to_owned()));
-    assert_eq!(site.net.calls(), 3);
+    let fixture = DirectoryFixture::new();
+    fixture.add_scheduler("a", SchedulerMode::Redirects(Some("b".to_owned())));
+    fixture.add_scheduler("b", SchedulerMode::Holds);
+    fixture.apply_beat("a", 3);
+    assert_eq!(fixture.query_holder().await, Ok("b".to_owned()));
+    assert_eq!(fixture.query_holder().await, Ok("b".to_owned()));
+    assert_eq!(fixture.net.calls(), 3);
 }
 
-/// Symptom: callers of a hall fail for as long as its dead holder is believed in. Sequence: the
-/// holder dies, another takes the hall, no beat says so yet. Cause: only beats are asked.
+/// Guards against calls to a hall failing while its dead holder is still recorded: another instance has
+/// acquired the hall and no beat has reported it yet. The directory must read the row, not only beats.
 #[tokio::test(start_paused = true)]
-async fn the_row_names_the_holder_where_the_known_one_is_gone() {
-    let site = Site::new();
-    site.seat("b", SeatBehaviour::Holds);
-    site.beat("a", 3);
-    site.write_row("b", 4).await;
-    assert_eq!(site.ask().await, Ok("b".to_owned()));
+async fn the_row_names_the_holder_if_the_known_holder_is_gone() {
+    let fixture = DirectoryFixture::new();
+    fixture.add_scheduler("b", SchedulerMode::Holds);
+    fixture.apply_beat("a", 3);
+    fixture.write_row("b", 4).await;
+    assert_eq!(fixture.query_holder().await, Ok("b".to_owned()));
 }
 
-/// Symptom: a processor busy with calls that lead nowhere. Sequence: two instances each name the
-/// other as holder. Cause: redirects followed without bound or pause.
+/// Guards against a busy loop of calls when two instances each name the other as holder and redirects are
+/// followed without bound or pause.
 #[tokio::test(start_paused = true)]
-async fn a_ring_of_redirects_ends_at_the_deadline() {
-    let site = Site::new();
-    site.seat("a", SeatBehaviour::Redirects(Some("b".to_owned())));
-    site.seat("b", SeatBehaviour::Redirects(Some("a".to_owned())));
-    site.beat("a", 3);
+async fn a_redirect_loop_ends_at_the_deadline() {
+    let fixture = DirectoryFixture::new();
+    fixture.add_scheduler("a", SchedulerMode::Redirects(Some("b".to_owned())));
+    fixture.add_scheduler("b", SchedulerMode::Redirects(Some("a".to_owned())));
+    fixture.apply_beat("a", 3);
     let started = Instant::now();
-    assert!(site.ask().await.is_err_and(|it| it.starts_with("not holder")));
+    assert!(fixture.query_holder().await.is_err_and(|it| it.starts_with("not holder")));
     assert!(started.elapsed() <= DEADLINE);
-    assert!(site.net.calls() < 60, "found {} calls", site.net.calls());
+    assert!(fixture.net.calls() < 60, "found {} calls", fixture.net.calls());
 }
 
-/// A call that is made when hardly any time is left ends without an answer, and the certain one before it
-/// is lost.
+/// Guards against a call with hardly any time left, which would time out and replace the certain answer of
+/// the previous call.
 #[tokio::test(start_paused = true)]
-async fn no_call_is_made_that_has_no_time_for_an_answer() {
+async fn no_call_is_made_without_time_for_an_answer() {
     for _ in 0..200 {
-        let site = Site::new();
-        site.net.set_latency(Duration::from_millis(5));
-        site.seat("a", SeatBehaviour::Redirects(Some("b".to_owned())));
-        site.seat("b", SeatBehaviour::Redirects(Some("a".to_owned())));
-        site.beat("a", 3);
-        assert!(site.ask().await.is_err_and(|it| it.starts_with("not holder")));
+        let fixture = DirectoryFixture::new();
+        fixture.net.set_latency(Duration::from_millis(5));
+        fixture.add_scheduler("a", SchedulerMode::Redirects(Some("b".to_owned())));
+        fixture.add_scheduler("b", SchedulerMode::Redirects(Some("a".to_owned())));
+        fixture.apply_beat("a", 3);
+        assert!(fixture.query_holder().await.is_err_and(|it| it.starts_with("not holder")));
     }
 }
 
-/// Symptom: work granted twice. Sequence: the scheduler grants, its answer is lost, the directory
-/// asks again. Cause: a call that may have had an effect is taken for one that had none.
+/// Guards against work granted twice: the scheduler grants it, its answer is lost, and the directory repeats
+/// the call because it assumes that a call without an answer had no effect.
 #[tokio::test(start_paused = true)]
 async fn a_call_whose_answer_is_lost_is_not_sent_again() {
-    let site = Site::new();
-    let seat = site.seat("a", SeatBehaviour::LosesAnswer);
-    site.beat("a", 3);
-    assert!(site.ask().await.is_err_and(|it| it.contains("broken connection")));
-    assert_eq!(seat.calls.load(Ordering::Relaxed), 1);
+    let fixture = DirectoryFixture::new();
+    let scheduler = fixture.add_scheduler("a", SchedulerMode::LosesAnswer);
+    fixture.apply_beat("a", 3);
+    assert!(fixture.query_holder().await.is_err_and(|it| it.contains("broken connection")));
+    assert_eq!(scheduler.calls.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_starts_is_asked_again() {
-    let site = Site::new();
-    let seat = site.seat("a", SeatBehaviour::Starting);
-    site.beat("a", 3);
-    let behaviour = seat.behaviour.clone();
+async fn a_call_to_a_starting_holder_is_repeated() {
+    let fixture = DirectoryFixture::new();
+    let scheduler = fixture.add_scheduler("a", SchedulerMode::Starting);
+    fixture.apply_beat("a", 3);
+    let mode = scheduler.mode.clone();
     tokio::spawn(async move {
         time::sleep(Duration::from_secs(2)).await;
-        *behaviour.lock().unwrap() = SeatBehaviour::Holds;
+        *mode.lock().unwrap() = SchedulerMode::Holds;
     });
-    assert_eq!(site.ask().await, Ok("a".to_owned()));
+    assert_eq!(fixture.query_holder().await, Ok("a".to_owned()));
 }
 
-/// Symptom: the table's read budget used up while a hall has no scheduler. Sequence: a hundred
-/// callers wait for it. Cause: each reads the row in a loop.
+/// Guards against using up the store's read budget while a hall has no scheduler, when a hundred waiting
+/// callers each read the row in a loop.
 #[tokio::test(start_paused = true)]
-async fn callers_that_wait_together_read_the_row_seldom() {
-    let site = Site::new();
-    let asks = (0..100).map(|_| {
-        let directory = site.directory.clone();
+async fn waiting_callers_read_the_row_at_a_limited_rate() {
+    let fixture = DirectoryFixture::new();
+    let calls = (0..100).map(|_| {
+        let directory = fixture.directory.clone();
         let query = model::HallQuery { hall: HALL.to_owned() };
         tokio::spawn(async move { directory.ask(query, DEADLINE).await })
     });
-    for ask in asks.collect::<Vec<_>>() {
-        assert!(ask.await.expect("an answer").is_err());
+    for call in calls.collect::<Vec<_>>() {
+        assert!(call.await.expect("an answer").is_err());
     }
-    let reads = site.table.faults().calls(model::TableGet::PATH);
+    let reads = fixture.table.faults().calls(model::TableGet::PATH);
     assert!(reads <= 20, "expected at most 4 reads a second, found {reads} in {DEADLINE:?}");
 }
 
-/// Symptom: callers sent back to a holder of the past. Sequence: a beat of the old tenure arrives
-/// after one of the new. Cause: the latest arrival counts, not the newest tenure.
+/// Guards against calls being sent to an earlier holder when a beat of the old tenure arrives after one of
+/// the new tenure and the order of arrival decides instead of the epoch.
 #[tokio::test(start_paused = true)]
-async fn a_late_beat_of_an_old_tenure_changes_nothing() {
-    let site = Site::new();
-    site.seat("b", SeatBehaviour::Holds);
-    site.net.path("own", "a").set(fault::Condition::Silent);
-    site.beat("b", 4);
-    site.beat("a", 3);
-    assert_eq!(site.ask().await, Ok("b".to_owned()));
+async fn a_late_beat_of_an_old_tenure_is_ignored() {
+    let fixture = DirectoryFixture::new();
+    fixture.add_scheduler("b", SchedulerMode::Holds);
+    fixture.net.path("own", "a").set(fault::Condition::Silent);
+    fixture.apply_beat("b", 4);
+    fixture.apply_beat("a", 3);
+    assert_eq!(fixture.query_holder().await, Ok("b".to_owned()));
 }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What instances believe of each other while things go wrong.
+//! Member tables of a fleet of instances during restarts, pauses, partitions and message loss.
 
 use std::time::Duration;
 
@@ -11,53 +11,53 @@
 
 use common::cases;
 
-/// How far the platform's list lags in these tests.
+/// Delay of the platform's instance list.
 const LAG: Duration = Duration::from_secs(30);
-/// A new instance is known by then.
-const KNOWN: Duration = Duration::from_secs(2);
-/// A dead one is dropped by then, in a fleet of nine.
-const DROPPED: Duration = Duration::from_secs(10);
+/// Time within which all instances know a new instance.
+const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which a fleet of nine drops a dead instance.
+const DROPPED_WITHIN: Duration = Duration::from_secs(10);
 
 cases! {
-    /// Symptom: a new instance gets no work for half a minute. Sequence: it starts, the list lags.
-    /// Cause: the others wait for the list.
+    /// Guards against a new instance getting no work for half a minute because the others learn of it
+    /// only from the delayed list.
     a_new_instance_is_known_before_the_list_shows_it => new_instance();
-    /// Symptom: two instances that start together do not know each other. Sequence: both start, the
-    /// list shows neither. Cause: each tells only those that the list shows.
+    /// Guards against two instances that start together not knowing each other because the list contains
+    /// neither and each announces itself only to listed instances.
     new_instances_know_each_other_before_the_list_shows_them => two_new_instances();
-    /// Symptom: work goes to an instance that shuts down. Sequence: it begins to leave. Cause: the
-    /// others learn it from the list only.
+    /// Guards against work being sent to an instance that is shutting down because the others learn of the
+    /// shutdown only from the list.
     a_leaving_instance_is_known_at_once => leaving_instance();
-    /// Symptom: a dead instance stays in the view for the list's lag. Sequence: crash. Cause: the
-    /// list counts for more than the silence.
+    /// Guards against a crashed instance staying in the view until the delayed list drops it because the
+    /// list takes precedence over missing beats.
     a_dead_instance_is_dropped_before_the_list_drops_it => dead_instance();
-    /// Symptom: views hold the old processes, or lack the new. Sequence: nine instances replaced
-    /// one by one at the same addresses. Cause: old beats passed on as rumours.
-    instances_replaced_one_by_one_are_told_apart => replaced_one_by_one();
-    /// Symptom: the fleet falls apart into islands. Sequence: all nine replaced at new addresses
-    /// within a minute while the list lags. Cause: the list shows only processes that are gone.
+    /// Guards against views that contain replaced processes or lack new ones when nine instances are
+    /// replaced one by one at the same addresses, because old beats are still forwarded as rumours.
+    instances_replaced_one_by_one_are_distinguished => replaced_one_by_one();
+    /// Guards against the fleet splitting into groups that don't know each other when all nine instances
+    /// are replaced at new addresses within a minute, while the list contains only stopped processes.
     all_replaced_within_a_minute_still_know_each_other => all_replaced();
-    /// Symptom: a paused instance wakes and takes everyone for dead, so it prefers itself for each
-    /// hall. Sequence: pause, wake. Cause: the pause is taken for the others' silence.
+    /// Guards against an instance that resumes after a pause considering all others dead, and so preferring
+    /// itself for each hall, because it counts its own pause as their silence.
     a_paused_instance_keeps_its_view_and_is_known_again => paused_instance();
-    /// Symptom: views come and go while a partition lasts, or stay split after it. Sequence: two data
-    /// centres lose each other for two minutes. Cause: lost ones are forgotten, or revived by the list.
+    /// Guards against views that change repeatedly during a partition of two data centres for two minutes,
+    /// or stay split after it, because lost instances are forgotten or marked live by the list.
     a_partition_changes_each_view_once_and_heals => partition();
-    /// Symptom: an instance is dropped although it lives. Sequence: its messages to one other are
-    /// lost. Cause: only what is heard directly counts.
+    /// Guards against a live instance being dropped when its messages to one other instance are lost,
+    /// because only directly received beats count as signs of life.
     one_way_loss_changes_no_view => one_way_loss();
-    /// Symptom: everyone is forgotten. Sequence: the list cannot be read. Cause: an empty view is
-    /// taken from the failure.
-    views_outlive_the_list => list_unavailable();
-    /// Symptom: control traffic over its budget. Sequence: 30 instances idle. Cause: beats to
-    /// everyone, or too much in each.
+    /// Guards against all instances being removed when the list can't be read, because a failed read is
+    /// treated as an empty list.
+    views_stay_while_the_list_is_unavailable => list_unavailable();
+    /// Guards against control traffic above its budget with 30 idle instances, because beats are sent to
+    /// everyone or contain too much.
     beats_of_thirty_instances_stay_small => thirty_instances();
 }
 
 async fn new_instance() {
     let mut fleet = common::Fleet::settled(LAG, &["dc1"], 8).await;
     fleet.start("dc1-8", "dc1");
-    fleet.agree(KNOWN).await;
+    fleet.agree(KNOWN_WITHIN).await;
 }
 
 async fn two_new_instances() {
@@ -82,7 +82,7 @@
 async fn dead_instance() {
     let mut fleet = common::Fleet::settled(LAG, &["dc1"], 9).await;
     fleet.crash("dc1-3");
-    let took = fleet.agree(DROPPED).await;
+    let took = fleet.agree(DROPPED_WITHIN).await;
     time::sleep(LAG * 2).await;
     fleet.agree(Duration::from_secs(1)).await;
     assert!(Duration::from_secs(1) < took, "one lost beat must not drop an instance");
@@ -95,11 +95,11 @@
         fleet.nodes[&name].member.leave().await;
         fleet.crash(&name);
         fleet.start(&name, "dc1");
-        fleet.agree(KNOWN).await;
+        fleet.agree(KNOWN_WITHIN).await;
         time::sleep(Duration::from_secs(3)).await;
     }
-    time::sleep(DROPPED).await;
-    fleet.agree(KNOWN).await;
+    time::sleep(DROPPED_WITHIN).await;
+    fleet.agree(KNOWN_WITHIN).await;
     for node in fleet.nodes.values() {
         let snapshot = node.member.subscribe().borrow().clone();
         let leaving = snapshot.instances.values().filter(|it| it.leaving).count();
@@ -115,7 +115,7 @@
         fleet.start(&format!("dc1-new-{n}"), "dc1");
         time::sleep(Duration::from_millis(6_600)).await;
     }
-    fleet.agree(DROPPED).await;
+    fleet.agree(DROPPED_WITHIN).await;
 }
 
 async fn paused_instance() {
@@ -129,13 +129,13 @@
 
 async fn partition() {
     let fleet = common::Fleet::settled(LAG, &["dc1", "dc2"], 4).await;
-    let here = ["dc1-0", "dc1-1", "dc1-2", "dc1-3"];
-    let there = ["dc2-0", "dc2-1", "dc2-2", "dc2-3"];
-    fleet.net.partition(&here, &there, fault::Condition::Silent);
+    let dc1_names = ["dc1-0", "dc1-1", "dc1-2", "dc1-3"];
+    let dc2_names = ["dc2-0", "dc2-1", "dc2-2", "dc2-3"];
+    fleet.net.partition(&dc1_names, &dc2_names, fault::Condition::Silent);
     time::sleep(Duration::from_secs(120)).await;
-    assert_eq!(fleet.view("dc1-0"), here.iter().map(|it| (*it).to_owned()).collect());
-    fleet.net.partition(&here, &there, fault::Condition::Up);
-    fleet.agree(DROPPED).await;
+    assert_eq!(fleet.view("dc1-0"), dc1_names.iter().map(|it| (*it).to_owned()).collect());
+    fleet.net.partition(&dc1_names, &dc2_names, fault::Condition::Up);
+    fleet.agree(DROPPED_WITHIN).await;
     time::sleep(Duration::from_secs(30)).await;
     for (name, node) in &fleet.nodes {
         let changes = node.counts.borrow().clone();
@@ -178,31 +178,31 @@
     }
 }
 
-/// Symptom: a process that is gone comes back into the view. Sequence: it is replaced at its address,
-/// the new one is quiet for a moment, a third still passes the old one's last beat on. Cause: the old
-/// id is not remembered, so its word counts as that of a yet newer process.
+/// Guards against a replaced process returning to the view: the new process at its address sends nothing for
+/// a moment while a third instance still forwards the old process's last beat. If the old id is not recorded,
+/// the rumour is treated as a report of an even newer process.
 #[tokio::test(start_paused = true)]
 async fn a_replaced_process_does_not_come_back() {
     let mut table = table();
     table.apply_beat(&beat("b", 10), Instant::now());
     table.apply_beat(&model::PeerBeat { from: "b#2".to_owned(), ..beat("b", 1) }, Instant::now());
     time::advance(Duration::from_secs(3)).await;
-    let word = model::PeerRumour {
+    let rumour = model::PeerRumour {
         from: "b#1".to_owned(),
         address: "b".to_owned(),
         data_center: "dc1".to_owned(),
         leaving: false,
         number: 12,
     };
-    table.apply_beat(&model::PeerBeat { rumours: vec![word], ..beat("c", 5) }, Instant::now());
+    table.apply_beat(&model::PeerBeat { rumours: vec![rumour], ..beat("c", 5) }, Instant::now());
     let ids = table.snapshot(1).instances.into_keys().collect::<Vec<_>>();
     assert_eq!(ids, ["a#1", "b#2", "c#1"]);
 }
 
-/// Symptom: a wrong view right after a long pause of the process. Sequence: the table is not
-/// ticked for a minute, then once. Cause: see `members::MemberTable::tick`.
+/// Guards against a wrong view right after a long pause of the process: the table is not ticked for a minute,
+/// then once. Without compensation for the pause, `members::MemberTable::tick` would mark the others as lost.
 #[tokio::test(start_paused = true)]
-async fn a_late_tick_loses_nobody() {
+async fn a_late_tick_marks_no_instance_lost() {
     let mut table = table();
     table.apply_beat(&beat("b", 1), Instant::now());
     table.tick(Instant::now());
