--- a/crates/daemon/src/demo/cluster.rs
+++ b/crates/daemon/src/demo/cluster.rs
@@ -44,7 +44,7 @@
 impl DemoCluster {
     /// Starts the platform with the workers of `document`.
     pub async fn start(document: &model::ConfigDocument) -> anyhow::Result<DemoCluster> {
-        let workers = plan::workers_of(document);
+        let workers = plan::configured_workers(document);
         let platform =
             standin::SiteServer::start(&workers, LIST_LAG).await.context("stand-in platform")?;
         Ok(DemoCluster {
@@ -98,7 +98,7 @@
 
     /// The platform begins to replace an instance.
     pub fn mark_leaving(&self, id: &str) {
-        self.platform.fakes.instances().mark(id, model::InstanceState::Leaving);
+        self.platform.fakes.instances().set_state(id, model::InstanceState::Leaving);
     }
 
     /// The instance is gone.
--- a/crates/hall/tests/fuzz/world.rs
+++ b/crates/hall/tests/fuzz/world.rs
@@ -73,7 +73,7 @@
 async fn run(steps: &[Step]) -> Vec<String> {
     let site = TestSite::new();
     site.change_config(|it| it.bounds.job_retention = time::TimeSpan::from_secs(1_000_000));
-    site.fleet.scripts().set_usual(support::task_script(Duration::from_secs(7)));
+    site.fleet.scripts().set_default(support::task_script(Duration::from_secs(7)));
     let keys = (0..5).map(|_| site.key()).collect();
     let mut world = World {
         site,
@@ -269,10 +269,10 @@
             answer_lost: rate,
             delayed_effect: rate,
             slow: rate,
-            longest: Duration::from_secs(4),
+            max_delay: Duration::from_secs(4),
         };
         for way in [Way::Table, Way::Objects, Way::Workers] {
-            self.way(instance, way).sample(seed, rates);
+            self.way(instance, way).inject_at_random(seed, rates);
         }
     }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -139,9 +139,9 @@
     /// Pauses an instance for `span`: its tasks don't run and messages to it are held back.
     pub(crate) async fn pause(&self, name: &str, span: Duration) {
         self.nodes[name].paused.send_replace(true);
-        self.net.process(name).set(fault::Condition::Held);
+        self.net.process_faults(name).set(fault::Condition::Paused);
         time::sleep(span).await;
-        self.net.process(name).set(fault::Condition::Up);
+        self.net.process_faults(name).set(fault::Condition::Up);
         self.nodes[name].paused.send_replace(false);
     }
 
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -268,7 +268,7 @@
 async fn a_late_beat_of_an_old_tenure_is_ignored() {
     let fixture = DirectoryFixture::new();
     fixture.add_scheduler("b", SchedulerMode::Holds);
-    fixture.net.path("own", "a").set(fault::Condition::Silent);
+    fixture.net.path_faults("own", "a").set(fault::Condition::Dropping);
     fixture.apply_beat("b", 4);
     fixture.apply_beat("a", 3);
     assert_eq!(fixture.query_holder().await, Ok("b".to_owned()));
--- a/crates/pool/tests/pool/accepted_work.rs
+++ b/crates/pool/tests/pool/accepted_work.rs
@@ -329,7 +329,7 @@
     fn draw_condition(&mut self) -> fault::Condition {
         match self.rng.random_range(0..4) {
             0 => fault::Condition::Refusing,
-            1 => fault::Condition::Silent,
+            1 => fault::Condition::Dropping,
             2 => fault::Condition::Slow(self.millis(50..1_200)),
             _ => {
                 fault::Condition::Flapping { up: self.millis(50..600), down: self.millis(50..600) }
@@ -344,12 +344,12 @@
             request_lost: 0.1,
             answer_lost: 0.2,
             slow: 0.3,
-            longest: Duration::from_secs(4),
+            max_delay: Duration::from_secs(4),
             ..fault::FaultRates::default()
         };
         let seed = self.rng.random();
         let plan = &self.bench.instances[index].store_faults;
-        plan.sample_step(table::FOLLOW, seed, rates);
+        plan.inject_step_at_random(table::FOLLOW_STEP, seed, rates);
     }
 
     /// Nothing passes between an instance and its peers.
@@ -385,9 +385,9 @@
     /// Nothing of an instance moves: what it has under way goes on when it wakes up.
     fn stand_still(&mut self, index: usize) {
         let instance = &self.bench.instances[index];
-        instance.store_faults.set(fault::Condition::Held);
-        instance.worker_faults.set(fault::Condition::Held);
-        self.bench.net.process(&instance.address).set(fault::Condition::Held);
+        instance.store_faults.set(fault::Condition::Paused);
+        instance.worker_faults.set(fault::Condition::Paused);
+        self.bench.net.process_faults(&instance.address).set(fault::Condition::Paused);
     }
 
     async fn restart_worker(&mut self) {
@@ -428,7 +428,7 @@
         bench.store.faults().set(fault::Condition::Up);
         for instance in &bench.instances {
             instance.store_faults.set(fault::Condition::Up);
-            instance.store_faults.sample(0, none);
+            instance.store_faults.inject_at_random(0, none);
             instance.worker_faults.set(fault::Condition::Up);
         }
         for faults in bench.fleet.all_faults() {
@@ -437,7 +437,7 @@
         let addresses = self.addresses.iter().map(String::as_str).collect::<Vec<_>>();
         bench.net.partition(&addresses, &addresses, fault::Condition::Up);
         for address in addresses {
-            bench.net.process(address).set(fault::Condition::Up);
+            bench.net.process_faults(address).set(fault::Condition::Up);
         }
     }
 
@@ -445,9 +445,9 @@
         let since = |it: Instant| it - self.bench.started;
         let records = self.bench.fleet.records().into_iter();
         let run = |it: pool_worker::RunRecord| {
-            (it.task, it.attempt, it.worker, since(it.began), since(it.ended))
+            (it.task, it.attempt, it.worker, since(it.started), since(it.ended))
         };
-        let n_writes = self.bench.store.committed();
+        let n_writes = self.bench.store.committed_transactions();
         PlayedStorm { n_writes, runs: records.map(run).collect() }
     }
 
--- a/crates/pool/tests/pool/support.rs
+++ b/crates/pool/tests/pool/support.rs
@@ -124,7 +124,7 @@
         token: ids::FencingToken,
         ask: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
-        self.panics.panic_if_due(pool_fleet::HOLD);
+        self.panics.panic_if_due(pool_fleet::POLL);
         self.fleet.poll(target, token, ask).await
     }
 
@@ -293,9 +293,9 @@
         let (store_faults, worker_faults) = (fault::FaultPlan::new(), fault::FaultPlan::new());
         let panics = PanicPlan::default();
         let site = BenchAdapters {
-            store: self.store.seen_through(store_faults.clone()),
+            store: self.store.with_path_faults(store_faults.clone()),
             control: BenchControl {
-                fleet: self.fleet.seen_through(worker_faults.clone()),
+                fleet: self.fleet.with_path_faults(worker_faults.clone()),
                 panics: panics.clone(),
             },
             peers: self.net.link(address),
@@ -324,8 +324,8 @@
         tracing::info!(address = dead.address, "instance is killed");
         self.net.crash(&dead.address);
         // What the dead process had under way does not reach anybody any more.
-        dead.store_faults.set(fault::Condition::Silent);
-        dead.worker_faults.set(fault::Condition::Silent);
+        dead.store_faults.set(fault::Condition::Dropping);
+        dead.worker_faults.set(fault::Condition::Dropping);
         dead.running.abort();
         let _ = dead.running.await;
         dead.address
@@ -339,7 +339,7 @@
     ) {
         let here = self.instances[index].address.as_str();
         let others = addresses.filter(|it| *it != here).collect::<Vec<_>>();
-        self.net.partition(&[here], &others, fault::Condition::Silent);
+        self.net.partition(&[here], &others, fault::Condition::Dropping);
     }
 
     /// Whoever holds the tenure, by the latest epoch.
@@ -389,7 +389,7 @@
 
     /// When the store ended an evacuation of a data centre, whoever had asked for it.
     pub(crate) fn evacuation_removals(&self, data_center: &str) -> Vec<Instant> {
-        self.store.removals(&evacuation_key(data_center))
+        self.store.removal_times(&evacuation_key(data_center))
     }
 
     /// Somebody else writes over the entry of a worker.
@@ -571,10 +571,10 @@
             by_task.entry(record.task).or_default().push(record);
         }
         for (task, mut records) in by_task {
-            records.sort_by_key(|it| it.began);
+            records.sort_by_key(|it| it.started);
             for pair in records.windows(2) {
-                assert!(pair[0].ended <= pair[1].began, "{task} ran twice: {pair:?}");
-                let stands = pair[0].how == order::EndKind::Done && pair[0].is_noted;
+                assert!(pair[0].ended <= pair[1].started, "{task} ran twice: {pair:?}");
+                let stands = pair[0].end_kind == order::EndKind::Done && pair[0].is_acknowledged;
                 assert!(!stands, "{task} ran again: {pair:?}");
             }
         }
@@ -640,7 +640,7 @@
 /// An id that no worker had, of the same rack.
 fn unused_id(fleet: &pool_fleet::PoolFleet, worker: &str) -> ids::WorkerId {
     let mut index = index_of(worker) + N_IDS;
-    while fleet.was_up(&worker_id(index)) {
+    while fleet.was_ever_up(&worker_id(index)) {
         index += N_IDS;
     }
     worker_id(index)
@@ -666,7 +666,7 @@
     let incarnation = fleet.incarnation(&worker);
     let incarnation = incarnation.map(|it| it.to_string()).unwrap_or_default();
     let accelerators = fleet.capacity(&worker).map_or(0, |it| it.accelerators);
-    let (address, sequence) = (fleet.address_of(&worker), fleet.number_entry());
+    let (address, sequence) = (fleet.address_of(&worker), fleet.next_entry_number());
     format!("r{}@{incarnation}#{address}~{accelerators}+{sequence}", index / 8)
 }
 
--- a/crates/standin/src/instance.rs
+++ b/crates/standin/src/instance.rs
@@ -49,7 +49,7 @@
     }
 
     /// The same list behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> InstanceFake {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> InstanceFake {
         InstanceFake { path, ..self.clone() }
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// An instance is leaving, or stays after all.
-    pub fn mark(&self, id: &str, state: model::InstanceState) {
+    pub fn set_state(&self, id: &str, state: model::InstanceState) {
         self.change(ListChange::Mark(id.to_owned(), state));
     }
 
     /// An upstream on a worker is leaving, or stays after all.
-    pub fn mark_upstream(&self, worker: &str, upstream: &str, state: model::InstanceState) {
+    pub fn set_upstream_state(&self, worker: &str, upstream: &str, state: model::InstanceState) {
         let change = ListChange::MarkUpstream(worker.to_owned(), upstream.to_owned(), state);
         self.change(change);
     }
@@ -98,7 +98,8 @@
     ) -> Result<model::InstanceListing, error::CallError> {
         let list = Arc::clone(&self.list);
         let effect = move || state::lock(&list).show(query.known, Instant::now());
-        fault::pass(&[&self.path, &self.plan], PEER, model::InstanceQuery::PATH, effect).await
+        fault::call_through(&[&self.path, &self.plan], PEER, model::InstanceQuery::PATH, effect)
+            .await
     }
 }
 
