--- a/crates/ports/src/boot_clock.rs
+++ b/crates/ports/src/boot_clock.rs
@@ -1,20 +1,21 @@
-//! Time since the machine started, which goes on while the process or the machine stands still.
+//! Time since the machine booted, which also advances while the process or the machine is suspended.
 
 use std::time::{Duration, SystemTime};
 
 use tokio::time::Instant;
 
-/// Reads the time. A tenure is judged by it: the monotonic clock stands still while a machine is
-/// suspended, so that a holder that wakes up would believe in a term that has long run out.
+/// A clock that counts suspended time. The validity of a tenure is checked against it: the monotonic
+/// clock stops while a machine is suspended, so a holder that resumes would take an expired term for
+/// valid.
 pub trait BootClock: Clone + Send + Sync + 'static {
-    /// Time since some fixed moment.
+    /// Time since a fixed but unspecified moment; never decreases.
     fn now(&self) -> Duration;
 
-    /// Time since 1970 by the clock of the day, which may be set forth and back.
+    /// Time since the Unix epoch by the wall clock, which may be set forward and back.
     fn wall(&self) -> Duration;
 }
 
-/// The system's clock that counts suspended time.
+/// The system's `CLOCK_BOOTTIME`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemBootClock;
 
@@ -31,17 +32,17 @@
     }
 }
 
-/// What the clock of the day shows when a runtime's clock begins; some moment in 2030.
-const START_OF_TESTS: Duration = Duration::from_secs(1_900_000_000);
+/// Wall-clock time at the creation of a [`RuntimeClock`]; a moment in 2030.
+const RUNTIME_CLOCK_WALL_ORIGIN: Duration = Duration::from_secs(1_900_000_000);
 
-/// The runtime's clock, which tests pause and advance.
+/// The clock of the tokio runtime, which tests pause and advance.
 #[derive(Clone, Copy, Debug)]
 pub struct RuntimeClock {
     origin: Instant,
 }
 
 impl RuntimeClock {
-    /// Counts from now.
+    /// Creates a clock that starts at zero now.
     pub fn new() -> RuntimeClock {
         RuntimeClock { origin: Instant::now() }
     }
@@ -59,6 +60,6 @@
     }
 
     fn wall(&self) -> Duration {
-        START_OF_TESTS + self.now()
+        RUNTIME_CLOCK_WALL_ORIGIN + self.now()
     }
 }
--- a/crates/ports/src/circuit.rs
+++ b/crates/ports/src/circuit.rs
@@ -1,38 +1,38 @@
-//! A circuit that stops calls to a service that is down or slow.
+//! Circuit breaker that stops calls to a service that is down or slow.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Opens after some failures in a row; while it is open calls fail at once, but for one probe each
-/// time it has been open for a while. Without it every caller of a store that is down would wait
-/// out its own deadline, holding memory and connections, and all would return together.
+/// Opens after a number of consecutive failures. While the circuit is open, calls fail at once, except
+/// for one probe after each open period. Without the breaker, every caller of a store that is down would
+/// wait for its own deadline, holding memory and connections, and all callers would return together.
 #[derive(Debug)]
 pub struct CircuitBreaker {
     config: CircuitConfig,
     state: Mutex<CircuitState>,
 }
 
-/// How a circuit behaves.
+/// Thresholds and open periods of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CircuitConfig {
-    /// Failures in a row that open it.
+    /// Consecutive failures that open the circuit.
     pub failures: u32,
-    /// Open for this after it opened; doubles with each failed probe.
+    /// Time from opening to the first probe; doubles with each failed probe.
     pub first_open: Duration,
-    /// Never open for longer than this without a probe, so that recovery is noticed.
+    /// Longest time without a probe while the circuit is open, so that recovery is noticed.
     pub longest_open: Duration,
 }
 
-/// Leave to make one call.
+/// Permission to make one call. Dropping it without reporting a result abandons a probe.
 #[derive(Debug)]
-pub struct CircuitPass<'a> {
+pub struct CircuitPermit<'a> {
     circuit: &'a CircuitBreaker,
-    judged: bool,
+    is_reported: bool,
 }
 
-/// The circuit is open.
+/// Error of a call that was not admitted because the circuit is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CircuitOpen {
     /// Time until the next probe.
@@ -57,13 +57,13 @@
 }
 
 impl CircuitBreaker {
-    /// A closed circuit.
+    /// Creates a breaker with a closed circuit.
     pub fn new(config: CircuitConfig) -> CircuitBreaker {
         CircuitBreaker { config, state: Mutex::new(CircuitState::Closed { failures: 0 }) }
     }
 
-    /// Asks to make a call.
-    pub fn admit(&self) -> Result<CircuitPass<'_>, CircuitOpen> {
+    /// Admits a call, or fails if the circuit is open and no probe is due.
+    pub fn admit(&self) -> Result<CircuitPermit<'_>, CircuitOpen> {
         let mut state = self.lock();
         match *state {
             CircuitState::Closed { .. } => {}
@@ -78,10 +78,10 @@
                 return Err(CircuitOpen { retry_after: open_for });
             }
         }
-        Ok(CircuitPass { circuit: self, judged: false })
+        Ok(CircuitPermit { circuit: self, is_reported: false })
     }
 
-    /// Whether calls fail at once.
+    /// Whether the circuit is open, also while a probe is in progress.
     pub fn is_open(&self) -> bool {
         !matches!(*self.lock(), CircuitState::Closed { .. })
     }
@@ -100,12 +100,12 @@
             CircuitState::Probing { open_for } => {
                 opened((open_for * 2).min(self.config.longest_open))
             }
-            // A call from before it opened.
+            // The call was admitted before the circuit opened.
             CircuitState::Open { until, open_for } => CircuitState::Open { until, open_for },
         };
     }
 
-    /// A probe that nobody waited for tells nothing; the next call probes.
+    /// Handles a probe that was dropped before it had a result: the next call becomes the probe.
     fn abandon(&self) {
         let mut state = self.lock();
         if let CircuitState::Probing { open_for } = *state {
@@ -118,23 +118,23 @@
     }
 }
 
-impl CircuitPass<'_> {
-    /// The service answered.
+impl CircuitPermit<'_> {
+    /// Reports that the service answered; closes the circuit.
     pub fn succeed(mut self) {
-        self.judged = true;
+        self.is_reported = true;
         self.circuit.succeed();
     }
 
-    /// The service failed or was too slow.
+    /// Reports that the service failed or was too slow.
     pub fn fail(mut self) {
-        self.judged = true;
+        self.is_reported = true;
         self.circuit.fail();
     }
 }
 
-impl Drop for CircuitPass<'_> {
+impl Drop for CircuitPermit<'_> {
     fn drop(&mut self) {
-        if !self.judged {
+        if !self.is_reported {
             self.circuit.abandon();
         }
     }
--- a/crates/ports/src/coalesce.rs
+++ b/crates/ports/src/coalesce.rs
@@ -1,4 +1,4 @@
-//! Reads that several callers want at the same time, made once.
+//! Coalesces identical reads: concurrent callers of one key share a single call.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -7,8 +7,8 @@
 
 use tokio::sync::oneshot;
 
-/// Shares reads by key. A reader never joins a read that was under way before it asked: that one
-/// may have looked before a write which the reader knows of.
+/// Shares reads by key. A caller never joins a read that had started before the caller asked: that
+/// read may have seen the state before a write that the caller knows to be committed.
 #[derive(Debug)]
 pub(crate) struct ReadCoalescer<K, R> {
     waiting: Arc<Mutex<HashMap<K, Vec<oneshot::Sender<R>>>>>,
@@ -31,8 +31,8 @@
     K: Clone + Eq + Hash + Send + 'static,
     R: Clone + Send + 'static,
 {
-    /// Reads `key` by `read`, together with whoever else waits for it. `None` where the read
-    /// panicked.
+    /// Returns the result of `read` for `key`, shared with all callers that wait for the key. `None` if
+    /// the read panicked.
     pub(crate) async fn read<F, N>(&self, key: K, read: N) -> Option<R>
     where
         F: Future<Output = R> + Send + 'static,
@@ -40,12 +40,13 @@
     {
         let (sender, answer) = oneshot::channel();
         if self.enqueue(&key, sender) {
-            tokio::spawn(self.clone().run(key, read));
+            tokio::spawn(self.clone().serve_readers(key, read));
         }
         answer.await.ok()
     }
 
-    /// Adds a reader; tells whether it is the first, so that nobody reads the key yet.
+    /// Adds a waiting reader. Returns whether the key had no entry, so that the caller has to start the
+    /// task that reads it.
     fn enqueue(&self, key: &K, sender: oneshot::Sender<R>) -> bool {
         let mut waiting = self.lock();
         let readers = waiting.get_mut(key);
@@ -59,24 +60,25 @@
         first
     }
 
-    async fn run<F, N>(self, key: K, read: N)
+    async fn serve_readers<F, N>(self, key: K, read: N)
     where
         F: Future<Output = R> + Send + 'static,
         N: Fn() -> F + Send + 'static,
     {
-        let mut entry = KeyEntry { coalescer: self.clone(), key: key.clone(), stands: true };
-        while let Some(readers) = self.take(&key) {
+        let mut key_guard =
+            KeyGuard { coalescer: self.clone(), key: key.clone(), is_registered: true };
+        while let Some(readers) = self.take_readers(&key) {
             let answer = read().await;
             for reader in readers {
-                // A reader may have given up.
+                // Sending fails if the reader was dropped, which is not an error.
                 let _ = reader.send(answer.clone());
             }
         }
-        entry.stands = false;
+        key_guard.is_registered = false;
     }
 
-    /// The readers that wait now; ends the key's reading where there are none.
-    fn take(&self, key: &K) -> Option<Vec<oneshot::Sender<R>>> {
+    /// Takes the readers that wait now. Removes the entry of the key if there are none.
+    fn take_readers(&self, key: &K) -> Option<Vec<oneshot::Sender<R>>> {
         let mut waiting = self.lock();
         let readers = waiting.get_mut(key)?;
         if readers.is_empty() {
@@ -91,17 +93,17 @@
     }
 }
 
-/// Removes the key when its reading ends. A read that panicked would otherwise leave it behind,
-/// and every later reader of the key would wait for ever.
-struct KeyEntry<K: Eq + Hash, R> {
+/// Removes the entry of a key if the task that reads it panics. Otherwise the entry would remain, and
+/// every later reader of the key would wait forever.
+struct KeyGuard<K: Eq + Hash, R> {
     coalescer: ReadCoalescer<K, R>,
     key: K,
-    stands: bool,
+    is_registered: bool,
 }
 
-impl<K: Eq + Hash, R> Drop for KeyEntry<K, R> {
+impl<K: Eq + Hash, R> Drop for KeyGuard<K, R> {
     fn drop(&mut self) {
-        if self.stands {
+        if self.is_registered {
             let waiting = self.coalescer.waiting.lock();
             waiting.unwrap_or_else(PoisonError::into_inner).remove(&self.key);
         }
--- a/crates/ports/src/group.rs
+++ b/crates/ports/src/group.rs
@@ -1,4 +1,4 @@
-//! Transactions of several callers committed as one.
+//! Group commit: merges the transactions of several callers into one transaction of the platform.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 use crate::commit;
 use crate::table;
 
-/// How transactions are grouped.
+/// Limits for grouping transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupConfig {
-    /// Wait for company of the first transaction.
+    /// How long the first transaction of a group waits for others to join.
     pub window: Duration,
-    /// Rows that one transaction of the platform takes, conditions and writes together.
-    pub rows: usize,
-    /// Bytes that one transaction of the platform takes.
-    pub bytes: usize,
-    /// Groups under way at a time.
-    pub flights: usize,
-    /// Transactions that wait at a time; more are refused.
-    pub queue: usize,
+    /// Most rows that the platform accepts in one transaction, counting conditions and writes.
+    pub max_rows: usize,
+    /// Most bytes that the platform accepts in one transaction.
+    pub max_bytes: usize,
+    /// Most groups that are being committed at a time.
+    pub max_in_flight: usize,
+    /// Most transactions that wait to be received by the grouping task; further ones are rejected.
+    pub max_waiting: usize,
 }
 
-/// A transaction that waits for its group.
+/// A transaction that waits to be committed in a group.
 #[derive(Debug)]
 pub(crate) struct WaitingTransaction {
     pub(crate) transaction: model::TableTransaction,
@@ -35,51 +35,51 @@
     pub(crate) reply: TransactionReply,
 }
 
-/// Where the outcome goes; its caller may have given up.
+/// Channel for the outcome of a transaction. The receiver may have been dropped by the caller.
 pub(crate) type TransactionReply = oneshot::Sender<Result<model::TableOutcome, error::CallError>>;
 
-/// A group in the making.
+/// Rows and sizes of the transactions added to a group so far.
 #[derive(Debug, Default)]
-struct GroupShape {
+struct GroupContents {
     conditions: BTreeMap<ids::RowKey, ids::RowVersion>,
     writes: BTreeSet<ids::RowKey>,
     rows: usize,
     bytes: usize,
 }
 
-/// Every so often the use of the cap is measured while there is any.
+/// Interval at which the use of the write cap is recorded while the cap is in use but no transaction waits.
 const MEASURE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Default for GroupConfig {
     fn default() -> GroupConfig {
         GroupConfig {
             window: Duration::from_millis(2),
-            rows: 100,
-            bytes: 1 << 20,
-            flights: 8,
-            queue: 4096,
+            max_rows: 100,
+            max_bytes: 1 << 20,
+            max_in_flight: 8,
+            max_waiting: 4096,
         }
     }
 }
 
-/// Groups what arrives until every sender is gone.
+/// Groups and commits arriving transactions until all senders are dropped.
 pub(crate) async fn run<T: table::TableService>(
     committer: Arc<commit::TableCommitter<T>>,
     config: GroupConfig,
     mut arrivals: mpsc::Receiver<WaitingTransaction>,
 ) {
-    let flights = Arc::new(Semaphore::new(config.flights));
+    let in_flight = Arc::new(Semaphore::new(config.max_in_flight));
     let mut waiting = VecDeque::new();
     loop {
         if waiting.is_empty() {
-            match next(&committer, &mut arrivals).await {
+            match next_arrival(&committer, &mut arrivals).await {
                 Some(first) => waiting.push_back(first),
                 None => return,
             }
             time::sleep(config.window).await;
         }
-        let Ok(flight) = Arc::clone(&flights).acquire_owned().await else { return };
-        if !admit(&committer, &mut waiting).await {
+        let Ok(permit) = Arc::clone(&in_flight).acquire_owned().await else { return };
+        if !wait_for_cap(&committer, &mut waiting).await {
             continue;
         }
         while let Ok(arrival) = arrivals.try_recv() {
@@ -87,36 +87,36 @@
         }
         let group = take_group(&mut waiting, config);
         metrics::histogram!("almondpass_store_group_size").record(group.len() as f64);
-        measure(&committer);
+        record_cap_use(&committer);
         let committer = Arc::clone(&committer);
         tokio::spawn(async move {
             commit_group(&committer, group).await;
-            drop(flight);
+            drop(permit);
         });
     }
 }
 
-/// The next arrival; keeps the use of the cap current meanwhile.
-async fn next<T: table::TableService>(
+/// Waits for the next transaction, recording the use of the write cap at intervals meanwhile.
+async fn next_arrival<T: table::TableService>(
     committer: &commit::TableCommitter<T>,
     arrivals: &mut mpsc::Receiver<WaitingTransaction>,
 ) -> Option<WaitingTransaction> {
-    while 0.0 < committer.cap.used() {
+    while 0.0 < committer.cap.used_ratio() {
         if let Ok(arrival) = time::timeout(MEASURE_INTERVAL, arrivals.recv()).await {
             return arrival;
         }
-        measure(committer);
+        record_cap_use(committer);
     }
     arrivals.recv().await
 }
 
-fn measure<T: table::TableService>(committer: &commit::TableCommitter<T>) {
-    metrics::gauge!("almondpass_store_write_cap_used_ratio").set(committer.cap.used());
+fn record_cap_use<T: table::TableService>(committer: &commit::TableCommitter<T>) {
+    metrics::gauge!("almondpass_store_write_cap_used_ratio").set(committer.cap.used_ratio());
 }
 
-/// Waits for the cap to admit one group; those that can't wait so long are refused. `false` where
-/// none is left.
-async fn admit<T: table::TableService>(
+/// Waits until the write cap admits one group. Rejects transactions that would expire before that;
+/// returns `false` if none is left.
+async fn wait_for_cap<T: table::TableService>(
     committer: &commit::TableCommitter<T>,
     waiting: &mut VecDeque<WaitingTransaction>,
 ) -> bool {
@@ -132,17 +132,17 @@
     false
 }
 
-/// Takes the first that waits, and whatever can be committed together with it.
+/// Removes the first waiting transaction and all others that can be committed together with it.
 fn take_group(
     waiting: &mut VecDeque<WaitingTransaction>,
     config: GroupConfig,
 ) -> Vec<WaitingTransaction> {
-    let mut shape = GroupShape::default();
+    let mut contents = GroupContents::default();
     let mut group = Vec::new();
     let mut rest = VecDeque::new();
     for it in waiting.drain(..) {
-        if shape.takes(&it.transaction, config) {
-            shape.add(&it.transaction);
+        if contents.can_add(&it.transaction, config) {
+            contents.add(&it.transaction);
             group.push(it);
         } else {
             rest.push_back(it);
@@ -152,42 +152,43 @@
     group
 }
 
-impl GroupShape {
-    /// Whether the transaction can join: no row is written twice, and no two conditions on a row
-    /// differ. The group then equals its members made one after the other.
-    fn takes(&self, transaction: &model::TableTransaction, config: GroupConfig) -> bool {
+impl GroupContents {
+    /// Whether the transaction can join the group: it stays within the limits, no row is written twice,
+    /// and no two conditions on a row differ. Committing the group then has the same effect as
+    /// committing its members one after the other. An empty group accepts any transaction.
+    fn can_add(&self, transaction: &model::TableTransaction, config: GroupConfig) -> bool {
         if self.rows == 0 {
             return true;
         }
-        let agrees = |it: &model::TableCondition| {
+        let condition_agrees = |it: &model::TableCondition| {
             self.conditions.get(&it.key).is_none_or(|version| *version == it.version)
         };
-        self.rows + rows_of(transaction) <= config.rows
-            && self.bytes + bytes_of(transaction) <= config.bytes
-            && transaction.conditions.iter().all(agrees)
+        self.rows + row_count(transaction) <= config.max_rows
+            && self.bytes + byte_count(transaction) <= config.max_bytes
+            && transaction.conditions.iter().all(condition_agrees)
             && !transaction.writes.iter().any(|it| self.writes.contains(&it.key))
     }
 
     fn add(&mut self, transaction: &model::TableTransaction) {
-        self.rows += rows_of(transaction);
-        self.bytes += bytes_of(transaction);
+        self.rows += row_count(transaction);
+        self.bytes += byte_count(transaction);
         let conditions = transaction.conditions.iter();
         self.conditions.extend(conditions.map(|it| (it.key.clone(), it.version)));
         self.writes.extend(transaction.writes.iter().map(|it| it.key.clone()));
     }
 }
 
-fn rows_of(transaction: &model::TableTransaction) -> usize {
+fn row_count(transaction: &model::TableTransaction) -> usize {
     transaction.conditions.len() + transaction.writes.len()
 }
 
-fn bytes_of(transaction: &model::TableTransaction) -> usize {
+fn byte_count(transaction: &model::TableTransaction) -> usize {
     let written = transaction.writes.iter();
     written.map(|it| it.key.len() + it.value.as_ref().map_or(0, |it| it.len())).sum()
 }
 
-/// Commits a group. A member whose condition fails gets its conflict, and the others are committed
-/// without it.
+/// Commits a group. A member whose condition fails is answered with a conflict, and the others are
+/// committed without it.
 async fn commit_group<T: table::TableService>(
     committer: &commit::TableCommitter<T>,
     mut group: Vec<WaitingTransaction>,
@@ -200,11 +201,11 @@
                 return answer_committed(group, &versions);
             }
             Ok(model::TableOutcome::Conflict { rows }) => {
-                let (lost, rest) = group.into_iter().partition(|it| conflicts(it, &rows));
+                let (conflicting, rest) = group.into_iter().partition(|it| conflicts(it, &rows));
                 group = rest;
-                answer_conflict(lost, &rows, &mut group);
+                answer_conflict(conflicting, &rows, &mut group);
             }
-            // Nothing was written, and one member may be the reason: each is tried alone.
+            // Nothing was written, and a single member may be the cause: commit each on its own.
             Err(error)
                 if error.fault.had_no_effect() && error.fault.is_for_good() && 1 < group.len() =>
             {
@@ -252,15 +253,15 @@
     }
 }
 
-/// Answers those that lost. Where the rows name none of the group, all of it lost: going on would
-/// repeat the same conflict for ever.
+/// Answers the conflicting members. If the rows belong to no member, all members are answered with a
+/// conflict: committing them again would meet the same conflict forever.
 fn answer_conflict(
-    lost: Vec<WaitingTransaction>,
+    conflicting: Vec<WaitingTransaction>,
     rows: &[model::TableRow],
     rest: &mut Vec<WaitingTransaction>,
 ) {
-    let lost = if lost.is_empty() { std::mem::take(rest) } else { lost };
-    for it in lost {
+    let conflicting = if conflicting.is_empty() { std::mem::take(rest) } else { conflicting };
+    for it in conflicting {
         let own = |row: &&model::TableRow| {
             it.transaction.conditions.iter().any(|condition| condition.key == row.key)
         };
--- a/crates/ports/src/guard.rs
+++ b/crates/ports/src/guard.rs
@@ -1,4 +1,4 @@
-//! Deadline, circuit, retries and metrics around the calls of one service.
+//! Deadline, circuit breaker, retries and metrics for the calls to one service.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::circuit;
 use crate::retry;
 
-/// Guards the calls to one service.
+/// Applies the deadline, circuit breaker and retry budget of one service to the calls to it.
 #[derive(Debug)]
 pub(crate) struct CallGuard {
     service: &'static str,
@@ -18,11 +18,11 @@
     budget: retry::RetryBudget,
 }
 
-/// HTTP status of a service that refuses for now.
-const UNAVAILABLE: u16 = 503;
+/// HTTP status of a service that rejects calls temporarily.
+const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// HTTP status of a service that refuses because of too many calls.
-const TOO_MANY: u16 = 429;
+/// HTTP status of a service that rejects calls because of their rate.
+const TOO_MANY_REQUESTS: u16 = 429;
 
 impl CallGuard {
     pub(crate) fn new(
@@ -35,20 +35,20 @@
         CallGuard { service, deadline, circuit, budget: retry::RetryBudget::new(retry) }
     }
 
-    /// Counts a call that is about to be attempted, and prepares its retries.
+    /// Credits a new call to the retry budget and returns the waits between its attempts.
     pub(crate) fn begin(&self) -> retry::RetryWaits {
         self.budget.earn();
         self.budget.waits()
     }
 
-    /// Makes one attempt.
+    /// Makes one attempt of a call, which fails at once if the circuit is open, or after the deadline.
     pub(crate) async fn attempt<R>(
         &self,
         step: &'static str,
         call: impl Future<Output = Result<R, error::CallError>>,
     ) -> Result<R, error::CallError> {
-        let pass = match self.circuit.admit() {
-            Ok(pass) => pass,
+        let permit = match self.circuit.admit() {
+            Ok(permit) => permit,
             Err(open) => {
                 let reason = format!("an open circuit, closed again in {:?}", open.retry_after);
                 return Err(self.error(step, error::CallFault::NotSent(reason)));
@@ -56,18 +56,19 @@
         };
         let started = Instant::now();
         let answer = time::timeout(self.deadline, call).await;
-        let late = error::CallFault::TimedOut(self.deadline);
-        let answer = answer.unwrap_or_else(|_| Err(self.error(step, late)));
+        let timed_out = error::CallFault::TimedOut(self.deadline);
+        let answer = answer.unwrap_or_else(|_| Err(self.error(step, timed_out)));
         match &answer {
-            Err(error) if is_outage(&error.fault) => pass.fail(),
-            _ => pass.succeed(),
+            Err(error) if is_outage(&error.fault) => permit.fail(),
+            _ => permit.succeed(),
         }
-        self.measure(step, started, outcome_of(&answer));
+        self.record_metrics(step, started, outcome_of(&answer));
         answer
     }
 
-    /// Waits before a retry; `false` where none is allowed, or none can end by `expires`.
-    pub(crate) async fn may_retry(
+    /// Waits before a retry. Returns `false` without waiting if the fault or the circuit rules out a retry,
+    /// the budget is empty, or the wait would not end before `expires`.
+    pub(crate) async fn wait_for_retry(
         &self,
         waits: &mut retry::RetryWaits,
         error: &error::CallError,
@@ -85,8 +86,8 @@
         true
     }
 
-    /// Makes a call that changes nothing until it succeeds or no retry is left.
-    pub(crate) async fn repeat<R, F: Future<Output = Result<R, error::CallError>>>(
+    /// Makes a read-only call, with retries until it succeeds or no retry is left.
+    pub(crate) async fn call_with_retries<R, F: Future<Output = Result<R, error::CallError>>>(
         &self,
         step: &'static str,
         expires: Instant,
@@ -98,18 +99,18 @@
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
-            if !self.may_retry(&mut waits, &error, expires).await {
+            if !self.wait_for_retry(&mut waits, &error, expires).await {
                 return Err(error);
             }
         }
     }
 
-    /// An error of our own about the service.
+    /// Creates an error of a call to the service that the client itself detected.
     pub(crate) fn error(&self, step: &'static str, fault: error::CallFault) -> error::CallError {
         error::CallError { step, peer: self.service.to_owned(), fault }
     }
 
-    fn measure(&self, step: &'static str, started: Instant, outcome: &'static str) {
+    fn record_metrics(&self, step: &'static str, started: Instant, outcome: &'static str) {
         let labels = [("service", self.service), ("step", step)];
         metrics::histogram!("almondpass_store_call_seconds", &labels).record(started.elapsed());
         let labels = [("service", self.service), ("step", step), ("outcome", outcome)];
@@ -119,10 +120,12 @@
     }
 }
 
-/// Whether the fault is the service's, rather than the call's.
+/// Whether the fault shows that the service is unavailable, rather than that the call was invalid.
 fn is_outage(fault: &error::CallFault) -> bool {
     match fault {
-        error::CallFault::Refused { status, .. } => matches!(*status, UNAVAILABLE | TOO_MANY),
+        error::CallFault::Refused { status, .. } => {
+            matches!(*status, SERVICE_UNAVAILABLE | TOO_MANY_REQUESTS)
+        }
         error::CallFault::Malformed(_) => false,
         error::CallFault::NotSent(_)
         | error::CallFault::NoAnswer(_)
--- a/crates/ports/src/instances.rs
+++ b/crates/ports/src/instances.rs
@@ -1,13 +1,13 @@
-//! The platform's lagging instance list.
+//! Interface of the platform's instance list, which lags behind the actual state.
 
 use std::future::Future;
 
 use almondpass_peer::error;
 use almondpass_schema::model;
 
-/// Tells which instances are live and which are leaving, as of a while ago.
+/// Lists which instances are live and which are leaving, as of some time ago.
 pub trait InstanceList: Clone + Send + Sync + 'static {
-    /// Reads the list, unless the asker has its newest revision.
+    /// Reads the list, unless the query names its newest revision.
     fn list(
         &self,
         query: model::InstanceQuery,
--- a/crates/ports/src/keys.rs
+++ b/crates/ports/src/keys.rs
@@ -1,8 +1,8 @@
-//! Keys of our rows in the table service and of our objects in the object store.
+//! Keys of the scheduler's rows in the table service and of its objects in the object store.
 
 use almondpass_schema::{ids, time};
 
-/// Row that names the scheduler of a hall.
+/// Row that names the current scheduler of a hall.
 pub fn scheduler(hall: &str) -> ids::RowKey {
     format!("scheduler/{hall}")
 }
@@ -57,17 +57,17 @@
     format!("ended-job/{hall}/{:018}/{job}", ended_at.0.as_micros())
 }
 
-/// Row that tells where the part of a hall's intent log begins that still matters.
+/// Row with the start of the part of a hall's intent log that is still needed.
 pub fn intent_floor(hall: &str) -> ids::RowKey {
     format!("intent-floor/{hall}")
 }
 
-/// Prefix of the batches of a hall's intent log, in the table as in the object store.
+/// Prefix of the batches of a hall's intent log, both in the table and in the object store.
 pub fn intent_log(hall: &str) -> ids::RowKey {
     format!("intent/{hall}/")
 }
 
-/// One batch of a hall's intent log.
+/// Key of one batch of a hall's intent log; the number is padded so that keys sort by it.
 pub fn intent_batch(hall: &str, number: u64) -> ids::RowKey {
     format!("intent/{hall}/{number:012}")
 }
@@ -75,26 +75,26 @@
 /// Table of accepted job graphs.
 pub const GRAPHS: &str = "graph";
 
-/// Table of what became of job graphs.
+/// Table of the progress of job graphs.
 pub const PROGRESS: &str = "progress";
 
-/// Table of the instances.
+/// Table with a row for each instance.
 pub const INSTANCES: &str = "instance";
 
-/// Row of an accepted job graph, in one of 16 parts of its table by the first digit of the id:
-/// writes to one part wait for each other.
+/// Row of an accepted job graph. The first hex digit of the id selects one of 16 parts of the table,
+/// because writes to the same part wait for each other.
 pub fn graph(graph: ids::GraphId) -> ids::RowKey {
     let text = format!("{graph:016x}");
     format!("{GRAPHS}/{}/{text}", &text[..1])
 }
 
-/// Row of what became of a chunk of a job graph's tasks; it shares a part with the tenure, whose row
-/// is a condition of each of its writes.
+/// Row with the progress of one chunk of a job graph's tasks. It is in the same part (`pool`) as the
+/// tenure's row, because each of its writes is conditional on the tenure's row.
 pub fn progress(graph: ids::GraphId, chunk: u32) -> ids::RowKey {
-    numbered(format!("{PROGRESS}/pool/{graph:016x}"), chunk)
+    numbered_key(format!("{PROGRESS}/pool/{graph:016x}"), chunk)
 }
 
-/// Row that names the scheduler of the pools.
+/// Row that names the current scheduler of the pools.
 pub fn pool_tenure() -> ids::RowKey {
     "tenure/pool/holder".to_owned()
 }
@@ -102,9 +102,9 @@
 /// Table of the workers on which tasks may run.
 pub const ROSTER: &str = "roster";
 
-/// One page of the workers on which tasks may run.
+/// Row of one page of the roster, the list of workers on which tasks may run.
 pub fn roster(page: u32) -> ids::RowKey {
-    numbered(format!("{ROSTER}/pool/{ROSTER_NAME}"), page)
+    numbered_key(format!("{ROSTER}/pool/{ROSTER_NAME}"), page)
 }
 
 /// Number of a page of the roster, from its key within its table.
@@ -116,13 +116,13 @@
 /// Name that all pages of the roster share.
 const ROSTER_NAME: &str = "workers";
 
-/// A row that is one of several under a name. The first has the bare name, as the only one had before
-/// there were several.
-fn numbered(name: String, number: u32) -> ids::RowKey {
+/// Key of one of several rows under a name. Row 0 has the bare name, which was the key of the only row
+/// before a name could have several.
+fn numbered_key(name: String, number: u32) -> ids::RowKey {
     if number == 0 { name } else { format!("{name}.{number}") }
 }
 
-/// The name and the number of a row that is one of several.
+/// Splits a key into name and number; a key without a number is row 0. `None` if the number is invalid.
 pub fn name_and_number(key: &str) -> Option<(&str, u32)> {
     match key.split_once('.') {
         Some((name, number)) => Some((name, number.parse().ok()?)),
@@ -130,7 +130,7 @@
     }
 }
 
-/// Row by which an instance is found.
+/// Row of an instance, by which other instances find it.
 pub fn instance(instance: &str) -> ids::RowKey {
     format!("{INSTANCES}/all/{instance}")
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's interfaces: one small trait each, and the clients that speak to them.
+//! The platform's interfaces, one small trait each, and the clients that call them.
 
 pub mod boot_clock;
 pub mod circuit;
--- a/crates/ports/src/remote.rs
+++ b/crates/ports/src/remote.rs
@@ -1,4 +1,4 @@
-//! The platform's interfaces as calls over a [`link::PeerLink`].
+//! Clients of the platform's interfaces, which make their calls over a [`link::PeerLink`].
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::table;
 use crate::worker;
 
-/// A service at one address.
+/// A service at one address, and the deadline of each call to it.
 #[derive(Clone, Debug)]
 pub struct RemoteService<L> {
     link: L,
@@ -18,19 +18,19 @@
     deadline: Duration,
 }
 
-/// The table service.
+/// Client of the table service.
 #[derive(Clone, Debug)]
 pub struct RemoteTable<L>(pub RemoteService<L>);
 
-/// The object store.
+/// Client of the object store.
 #[derive(Clone, Debug)]
 pub struct RemoteObjects<L>(pub RemoteService<L>);
 
-/// The instance list.
+/// Client of the instance list.
 #[derive(Clone, Debug)]
 pub struct RemoteInstances<L>(pub RemoteService<L>);
 
-/// The control interfaces of all workers.
+/// Client of the control interfaces of all workers; each call names the worker's address.
 #[derive(Clone, Debug)]
 pub struct RemoteWorkers<L> {
     link: L,
@@ -38,7 +38,7 @@
 }
 
 impl<L: link::PeerLink> RemoteService<L> {
-    /// The service at `address`, each call given `deadline`.
+    /// Creates a client of the service at `address`; each call fails after `deadline`.
     pub fn new(link: L, address: ids::PeerAddress, deadline: Duration) -> RemoteService<L> {
         RemoteService { link, address, deadline }
     }
@@ -52,7 +52,7 @@
 }
 
 impl<L: link::PeerLink> RemoteWorkers<L> {
-    /// Workers reached over `link`, each call given `deadline`.
+    /// Creates a client that calls workers over `link`; each call fails after `deadline`.
     pub fn new(link: L, deadline: Duration) -> RemoteWorkers<L> {
         RemoteWorkers { link, deadline }
     }
--- a/crates/ports/src/retry.rs
+++ b/crates/ports/src/retry.rs
@@ -1,4 +1,4 @@
-//! When a failed call may be made again.
+//! Retry budget and backoff of failed calls.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -7,23 +7,23 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How failed calls are made again.
+/// Limits and delays of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryConfig {
     /// Retries allowed for each call on average.
-    pub ratio: f64,
-    /// Retries allowed in a row after a quiet time.
+    pub tokens_per_call: f64,
+    /// Most retries that can be saved up, and so be made in a row after a time without retries.
     pub burst: f64,
-    /// Longest wait before the first retry; doubles with each.
+    /// Longest wait before the first retry; doubles with each further retry.
     pub first_wait: Duration,
-    /// Longest wait before any retry.
+    /// Upper bound of the wait before any retry.
     pub longest_wait: Duration,
-    /// Seed of the jitter; instances need different ones.
+    /// Seed of the jitter; instances need different seeds, or their retries coincide.
     pub seed: u64,
 }
 
-/// Tokens that calls earn and retries spend. A store that fails for everybody would otherwise get
-/// several times the usual load just when it recovers.
+/// Token bucket that calls fill and retries drain. Without it, a store that fails for all clients would
+/// get several times the usual load just when it recovers.
 #[derive(Debug)]
 pub struct RetryBudget {
     config: RetryConfig,
@@ -45,7 +45,7 @@
 impl Default for RetryConfig {
     fn default() -> RetryConfig {
         RetryConfig {
-            ratio: 0.2,
+            tokens_per_call: 0.2,
             burst: 20.0,
             first_wait: Duration::from_millis(50),
             longest_wait: Duration::from_secs(1),
@@ -55,20 +55,20 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(config: RetryConfig) -> RetryBudget {
         let rng = StdRng::seed_from_u64(config.seed);
         let state = Mutex::new(BudgetState { tokens: config.burst, rng });
         RetryBudget { config, state }
     }
 
-    /// Counts a first attempt.
+    /// Adds the tokens that the first attempt of a call earns.
     pub fn earn(&self) {
         let mut state = self.lock();
-        state.tokens = (state.tokens + self.config.ratio).min(self.config.burst);
+        state.tokens = (state.tokens + self.config.tokens_per_call).min(self.config.burst);
     }
 
-    /// Takes what one retry costs, if it is there, and tells how long to wait before it.
+    /// Takes the token for one retry and returns how long to wait before it; `None` if the budget is empty.
     pub fn spend(&self, waits: &mut RetryWaits) -> Option<Duration> {
         let longest = waits.waits.next()?;
         let mut state = self.lock();
@@ -79,7 +79,7 @@
         Some(longest.mul_f64(state.rng.random::<f64>()))
     }
 
-    /// The waits of a new call.
+    /// Creates the sequence of waits for the retries of a new call.
     pub fn waits(&self) -> RetryWaits {
         let builder = ExponentialBuilder::new()
             .with_min_delay(self.config.first_wait)
--- a/crates/ports/src/settle.rs
+++ b/crates/ports/src/settle.rs
@@ -1,34 +1,34 @@
-//! Finds out whether a transaction whose answer was lost took effect.
+//! Settles transactions whose answer was lost: finds out whether they took effect.
 //!
-//! It works for transactions that write at least one row under a condition on that row, with a
-//! value that no other writer writes: one that holds the writer's id, say. Such a row is a
-//! witness, since a transaction commits as a whole.
+//! This works for transactions that write at least one row under a condition on that row, with a
+//! value that no other writer writes, for example one that contains the writer's id. Such a row is
+//! called a witness: since a transaction commits as a whole, the row shows whether it committed.
 
 use almondpass_peer::error;
 use almondpass_schema::{ids, model};
 
 use crate::table;
 
-/// What the rows tell about a transaction.
+/// What the rows show about a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It committed.
+    /// The transaction committed.
     Committed {
         /// Versions of the written rows as read back, in the order of the writes.
         versions: Vec<ids::RowVersion>,
     },
-    /// Another writer was first; it never will commit.
+    /// Another writer changed a row first; the transaction will never commit.
     Conflict {
-        /// The witnesses that tell so.
+        /// Rows that prove it: witnesses of the transaction, or the rows whose conditions failed.
         rows: Vec<model::TableRow>,
     },
-    /// It has not committed, but may yet; repeating it is safe.
+    /// The transaction has not committed, but still may; repeating it is safe.
     Pending,
-    /// The rows don't tell: later writers covered its traces, or it has no witness.
+    /// The rows don't show the outcome: later writers overwrote the witnesses, or there is no witness.
     Unclear,
 }
 
-/// Reads the rows of a transaction back and judges by them; see [`judge_group`].
+/// Reads the rows of a transaction back and returns what they show; see [`verdict_of_group`].
 pub async fn settle<T: table::TableService>(
     table: &T,
     transaction: &model::TableTransaction,
@@ -39,58 +39,64 @@
     }
     let keys = transaction.writes.iter().map(|it| it.key.clone()).collect();
     let read = table.get(model::TableGet { keys }).await?;
-    Ok(judge_group(transaction, members, &read.rows))
+    Ok(verdict_of_group(transaction, members, &read.rows))
 }
 
-/// Judges by rows that were read after the transaction was sent; others than its own are ignored.
+/// Returns what `rows`, read after the transaction was sent, show about it. Rows that the transaction
+/// doesn't write are ignored.
 ///
-/// It committed only if every witness shows it. One row that holds the same value by chance, such
-/// as a number that two writers counted up alike, would otherwise pass for proof, and its writer
-/// would go on as though all its rows were durable.
-pub fn judge(transaction: &model::TableTransaction, rows: &[model::TableRow]) -> Verdict {
-    let mut pending = false;
-    let mut covered = false;
-    let mut foreign = Vec::new();
-    let mut n_ours = 0;
+/// The transaction counts as committed only if every witness shows it. Otherwise a single row that holds
+/// the same value by chance, such as a counter that two writers increased to the same number, would
+/// count as proof, and the writer would continue as though all its rows were durable.
+pub fn verdict_of_member(
+    transaction: &model::TableTransaction,
+    rows: &[model::TableRow],
+) -> Verdict {
+    let mut is_pending = false;
+    let mut is_overwritten = false;
+    let mut others_rows = Vec::new();
+    let mut n_matching = 0;
     for (condition, write) in witnesses(transaction) {
         let Some(row) = rows.iter().find(|it| it.key == write.key) else { continue };
         if row.version == condition.version {
-            pending = true;
+            is_pending = true;
         } else if row.value == write.value {
-            n_ours += 1;
+            n_matching += 1;
         } else if row.version == condition.version + 1 {
-            // The very next version is another's: ours cannot have come between.
-            foreign.push(row.clone());
+            // Another writer wrote the version right after the condition's, so this transaction can't have
+            // written the row in between.
+            others_rows.push(row.clone());
         } else {
-            covered = true;
+            is_overwritten = true;
         }
     }
-    if !foreign.is_empty() {
-        return Verdict::Conflict { rows: foreign };
+    if !others_rows.is_empty() {
+        return Verdict::Conflict { rows: others_rows };
     }
-    if pending {
+    if is_pending {
         return Verdict::Pending;
     }
-    if covered || n_ours == 0 {
+    if is_overwritten || n_matching == 0 {
         return Verdict::Unclear;
     }
     Verdict::Committed { versions: versions(transaction, rows) }
 }
 
-/// Judges a transaction that was put together from `members`: what is known of one holds for all.
-pub fn judge_group(
+/// Returns what `rows` show about a transaction that was merged from `members`. Since the merged
+/// transaction commits as a whole, the outcome of one member is the outcome of all.
+pub fn verdict_of_group(
     transaction: &model::TableTransaction,
     members: &[&model::TableTransaction],
     rows: &[model::TableRow],
 ) -> Verdict {
-    let verdicts = members.iter().map(|it| judge(it, rows)).collect::<Vec<_>>();
-    let foreign = verdicts.iter().filter_map(|it| match it {
+    let verdicts = members.iter().map(|it| verdict_of_member(it, rows)).collect::<Vec<_>>();
+    let others_rows = verdicts.iter().filter_map(|it| match it {
         Verdict::Conflict { rows } => Some(rows.clone()),
         _ => None,
     });
-    let foreign = foreign.flatten().collect::<Vec<_>>();
-    if !foreign.is_empty() {
-        return Verdict::Conflict { rows: foreign };
+    let others_rows = others_rows.flatten().collect::<Vec<_>>();
+    if !others_rows.is_empty() {
+        return Verdict::Conflict { rows: others_rows };
     }
     if verdicts.contains(&Verdict::Pending) {
         return Verdict::Pending;
@@ -101,27 +107,28 @@
     Verdict::Unclear
 }
 
-/// Judges by the conflict that met a repetition of the transaction: `rows` are all whose condition
-/// failed. Since versions only grow, the conflict is for good.
-pub fn judge_conflict(
+/// Returns what the conflict of a repeated transaction shows about the earlier attempts. `rows` are all
+/// rows whose condition failed. Since versions only increase, the conflict is permanent.
+pub fn verdict_of_conflict(
     transaction: &model::TableTransaction,
     members: &[&model::TableTransaction],
     rows: &[model::TableRow],
 ) -> Verdict {
     let failed = |key: &ids::RowKey| rows.iter().any(|it| it.key == *key);
     if witnesses(transaction).any(|(condition, _)| !failed(&condition.key)) {
-        // That row stands as before, so nothing of the transaction was written.
+        // A witness has its old version, so no row of the transaction was written.
         return Verdict::Conflict { rows: rows.to_vec() };
     }
-    judge_group(transaction, members, rows)
+    verdict_of_group(transaction, members, rows)
 }
 
-/// Whether [`settle`] can find anything out about it.
+/// Whether the transaction has a witness, without which [`settle`] returns [`Verdict::Unclear`].
 pub fn has_witness(transaction: &model::TableTransaction) -> bool {
     witnesses(transaction).next().is_some()
 }
 
-/// Conditioned writes of a value. A deleted row is none: it looks the same whoever deleted it.
+/// Writes of a value under a condition on the same row. A deletion is no witness: a deleted row looks
+/// the same whoever deleted it.
 fn witnesses(
     transaction: &model::TableTransaction,
 ) -> impl Iterator<Item = (&model::TableCondition, &model::TableWrite)> {
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store as the rest of the system uses it: with deadlines, retries, a circuit, our
-//! cap on writes, grouped commits and shared reads.
+//! Client of the platform's store that the rest of the system uses, with deadlines, retries, a circuit
+//! breaker, a cap on writes, group commit and coalesced reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,20 +14,21 @@
 use crate::table;
 use crate::write_cap;
 
-/// How the store is used.
+/// Time limits, rates and policies of the store client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreConfig {
-    /// For one attempt of one call.
+    /// Time limit of one attempt of a call.
     pub deadline: Duration,
-    /// For a call with all its retries; the last attempt may run over by its deadline.
-    pub patience: Duration,
-    /// Our cap on writes to the table and the object store together.
+    /// Time limit of a call with all its retries. The last attempt starts before the limit, so the call
+    /// may exceed the limit by `deadline`.
+    pub call_timeout: Duration,
+    /// This client's cap on writes to the table and the object store together.
     pub writes_per_second: u32,
-    /// When calls fail at once.
+    /// When calls fail without an attempt because the service is down.
     pub circuit: circuit::CircuitConfig,
-    /// How failed calls are made again.
+    /// How failed calls are retried.
     pub retry: retry::RetryConfig,
-    /// How transactions are grouped.
+    /// How transactions are merged into groups.
     pub group: group::GroupConfig,
 }
 
@@ -35,7 +36,7 @@
     fn default() -> StoreConfig {
         StoreConfig {
             deadline: Duration::from_secs(1),
-            patience: Duration::from_secs(3),
+            call_timeout: Duration::from_secs(3),
             writes_per_second: 60,
             circuit: circuit::CircuitConfig::default(),
             retry: retry::RetryConfig::default(),
@@ -44,7 +45,8 @@
     }
 }
 
-/// Wraps both services; they share the cap on writes. Must be called within a tokio runtime.
+/// Creates the clients of both services, which share the cap on writes. Must be called within a tokio
+/// runtime.
 pub fn open<T: table::TableService, O: objects::ObjectStore>(
     table: T,
     objects: O,
--- a/crates/ports/src/store_objects.rs
+++ b/crates/ports/src/store_objects.rs
@@ -1,4 +1,4 @@
-//! The object store, guarded.
+//! Client of the object store with retries and a cap on writes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::store;
 use crate::write_cap;
 
-/// An object store whose calls are repeated within the budget, and whose puts are settled by
-/// reading back: an object holds a value that no other writer writes.
+/// An object store client that retries calls within the retry budget. If the answer to a put was lost,
+/// the object is read back: its value shows who wrote it, since no other writer writes the same value.
 #[derive(Clone, Debug)]
 pub struct StoreObjects<O> {
     objects: O,
     guard: Arc<guard::CallGuard>,
     cap: Arc<write_cap::WriteCap>,
-    patience: Duration,
+    call_timeout: Duration,
 }
 
 const PUT: &str = model::ObjectPut::PATH;
@@ -32,10 +32,11 @@
         cap: Arc<write_cap::WriteCap>,
         config: store::StoreConfig,
     ) -> StoreObjects<O> {
-        StoreObjects { objects, guard, cap, patience: config.patience }
+        StoreObjects { objects, guard, cap, call_timeout: config.call_timeout }
     }
 
-    /// Whose object stands after a put that may have been ours.
+    /// Reads the object back after a put that may have taken effect: `Created` if it holds the value of
+    /// this put, `Exists` if another value, `None` if there is no object.
     async fn settle(
         &self,
         put: &model::ObjectPut,
@@ -43,7 +44,7 @@
     ) -> Result<Option<model::ObjectPutOutcome>, error::CallError> {
         let get = model::ObjectGet { key: put.key.clone() };
         let read = || self.objects.get(get.clone());
-        let found = self.guard.repeat(model::ObjectGet::PATH, expires, read).await?;
+        let found = self.guard.call_with_retries(model::ObjectGet::PATH, expires, read).await?;
         Ok(found.value.map(|it| {
             if it == put.value {
                 model::ObjectPutOutcome::Created
@@ -59,21 +60,21 @@
         &self,
         put: model::ObjectPut,
     ) -> Result<model::ObjectPutOutcome, error::CallError> {
-        let expires = Instant::now() + self.patience;
+        let expires = Instant::now() + self.call_timeout;
         let mut waits = self.guard.begin();
-        let mut doubt = None::<error::CallError>;
+        let mut ambiguous_error = None::<error::CallError>;
         loop {
             if self.cap.acquire(expires).await.is_none() {
                 let reason = "our own cap on writes used up".to_owned();
                 let error = self.guard.error(PUT, error::CallFault::NotSent(reason));
-                return Err(doubt.unwrap_or(error));
+                return Err(ambiguous_error.unwrap_or(error));
             }
             let error = match self.guard.attempt(PUT, self.objects.put(put.clone())).await {
-                Ok(model::ObjectPutOutcome::Exists) if doubt.is_some() => {
+                Ok(model::ObjectPutOutcome::Exists) if ambiguous_error.is_some() => {
                     let settled = self.settle(&put, expires).await;
-                    return match (settled, doubt) {
+                    return match (settled, ambiguous_error) {
                         (Ok(Some(outcome)), _) => Ok(outcome),
-                        (_, Some(doubt)) => Err(doubt),
+                        (_, Some(ambiguous_error)) => Err(ambiguous_error),
                         (_, None) => Ok(model::ObjectPutOutcome::Exists),
                     };
                 }
@@ -81,31 +82,31 @@
                 Err(error) => error,
             };
             if !error.fault.had_no_effect() {
-                doubt = Some(error.clone());
+                ambiguous_error = Some(error.clone());
             }
-            let given_up = doubt.clone().unwrap_or_else(|| error.clone());
-            if !self.guard.may_retry(&mut waits, &error, expires).await {
-                return Err(given_up);
+            let final_error = ambiguous_error.clone().unwrap_or_else(|| error.clone());
+            if !self.guard.wait_for_retry(&mut waits, &error, expires).await {
+                return Err(final_error);
             }
-            if doubt.is_some() {
+            if ambiguous_error.is_some() {
                 match self.settle(&put, expires).await {
                     Ok(Some(outcome)) => return Ok(outcome),
                     Ok(None) => {}
-                    Err(_) => return Err(given_up),
+                    Err(_) => return Err(final_error),
                 }
             }
         }
     }
 
     async fn get(&self, get: model::ObjectGet) -> Result<model::ObjectFound, error::CallError> {
-        let expires = Instant::now() + self.patience;
+        let expires = Instant::now() + self.call_timeout;
         let read = || self.objects.get(get.clone());
-        self.guard.repeat(model::ObjectGet::PATH, expires, read).await
+        self.guard.call_with_retries(model::ObjectGet::PATH, expires, read).await
     }
 
     async fn list(&self, list: model::ObjectList) -> Result<model::ObjectKeys, error::CallError> {
-        let expires = Instant::now() + self.patience;
+        let expires = Instant::now() + self.call_timeout;
         let read = || self.objects.list(list.clone());
-        self.guard.repeat(model::ObjectList::PATH, expires, read).await
+        self.guard.call_with_retries(model::ObjectList::PATH, expires, read).await
     }
 }
--- a/crates/ports/src/store_table.rs
+++ b/crates/ports/src/store_table.rs
@@ -1,4 +1,4 @@
-//! The table service, guarded.
+//! Client of the table service with retries, group commit and coalesced reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::table;
 use crate::write_cap;
 
-/// A table whose transactions are grouped and settled, and whose reads are repeated and shared.
-/// Clones share the groups, the circuit and the budget.
+/// A table client that groups and settles transactions, and that retries and coalesces reads.
+/// Clones share the groups, the circuit breaker and the retry budget.
 ///
-/// For a lost answer to be settled, a transaction writes at least one row under a condition on
+/// A lost answer can be settled only if the transaction writes at least one row under a condition on
 /// that row, with a value that no other writer writes; see [`crate::settle`].
 #[derive(Clone, Debug)]
 pub struct StoreTable<T> {
@@ -28,12 +28,12 @@
     arrivals: mpsc::Sender<group::WaitingTransaction>,
     gets: coalesce::ReadCoalescer<Vec<ids::RowKey>, RowsAnswer>,
     scans: coalesce::ReadCoalescer<ScanKey, RowsAnswer>,
-    patience: Duration,
+    call_timeout: Duration,
 }
 
 type RowsAnswer = Result<model::TableRows, error::CallError>;
 
-/// What makes two scans the same.
+/// Parameters of a scan; scans with equal parameters are coalesced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ScanKey {
     prefix: String,
@@ -49,14 +49,14 @@
         config: store::StoreConfig,
     ) -> StoreTable<T> {
         let committer = Arc::new(commit::TableCommitter { table, guard, cap });
-        let (arrivals, receiver) = mpsc::channel(config.group.queue);
+        let (arrivals, receiver) = mpsc::channel(config.group.max_waiting);
         tokio::spawn(group::run(Arc::clone(&committer), config.group, receiver));
         StoreTable {
             committer,
             arrivals,
             gets: coalesce::ReadCoalescer::default(),
             scans: coalesce::ReadCoalescer::default(),
-            patience: config.patience,
+            call_timeout: config.call_timeout,
         }
     }
 }
@@ -66,51 +66,51 @@
         &self,
         transaction: model::TableTransaction,
     ) -> Result<model::TableOutcome, error::CallError> {
-        let expires = Instant::now() + self.patience;
+        let expires = Instant::now() + self.call_timeout;
         let (reply, outcome) = oneshot::channel();
         let waiting = group::WaitingTransaction { transaction, expires, reply };
         if self.arrivals.try_send(waiting).is_err() {
             return Err(self.committer.not_sent("too many transactions waiting".to_owned()));
         }
-        outcome.await.unwrap_or_else(|_| Err(self.lost(model::TableTransaction::PATH)))
+        outcome.await.unwrap_or_else(|_| Err(self.no_answer_error(model::TableTransaction::PATH)))
     }
 
     async fn get(&self, get: model::TableGet) -> RowsAnswer {
         let committer = Arc::clone(&self.committer);
-        let patience = self.patience;
+        let call_timeout = self.call_timeout;
         let keys = get.keys.clone();
         let read = move || {
             let (committer, get) = (Arc::clone(&committer), get.clone());
             async move {
-                let expires = Instant::now() + patience;
+                let expires = Instant::now() + call_timeout;
                 let read = || committer.table.get(get.clone());
-                committer.guard.repeat(model::TableGet::PATH, expires, read).await
+                committer.guard.call_with_retries(model::TableGet::PATH, expires, read).await
             }
         };
         let rows = self.gets.read(keys, read).await;
-        rows.unwrap_or_else(|| Err(self.lost(model::TableGet::PATH)))
+        rows.unwrap_or_else(|| Err(self.no_answer_error(model::TableGet::PATH)))
     }
 
     async fn scan(&self, scan: model::TableScan) -> RowsAnswer {
         let committer = Arc::clone(&self.committer);
-        let patience = self.patience;
+        let call_timeout = self.call_timeout;
         let key = ScanKey::from(&scan);
         let read = move || {
             let (committer, scan) = (Arc::clone(&committer), scan.clone());
             async move {
-                let expires = Instant::now() + patience;
+                let expires = Instant::now() + call_timeout;
                 let read = || committer.table.scan(scan.clone());
-                committer.guard.repeat(model::TableScan::PATH, expires, read).await
+                committer.guard.call_with_retries(model::TableScan::PATH, expires, read).await
             }
         };
         let rows = self.scans.read(key, read).await;
-        rows.unwrap_or_else(|| Err(self.lost(model::TableScan::PATH)))
+        rows.unwrap_or_else(|| Err(self.no_answer_error(model::TableScan::PATH)))
     }
 }
 
 impl<T: table::TableService> StoreTable<T> {
-    /// The task that would have answered ended without doing so.
-    fn lost(&self, step: &'static str) -> error::CallError {
+    /// Creates the error of a call whose answering task ended without an answer.
+    fn no_answer_error(&self, step: &'static str) -> error::CallError {
         let fault = error::CallFault::NoAnswer("a panic of the store client".to_owned());
         self.committer.guard.error(step, fault)
     }
--- a/crates/ports/src/worker.rs
+++ b/crates/ports/src/worker.rs
@@ -1,14 +1,14 @@
-//! The control interface of the workers.
+//! Control interface of the workers.
 
 use std::future::Future;
 
 use almondpass_peer::error;
 use almondpass_schema::{ids, model};
 
-/// Leases and tasks on the worker whose control address is `worker`. A worker knows nothing of
-/// our tenures: exclusivity of what a lease holds is all that it gives.
+/// Manages leases and tasks on the worker whose control address is `worker`. Workers don't know about
+/// the tenures of schedulers: a worker guarantees only that the resources of a lease are exclusive.
 pub trait WorkerControl: Clone + Send + Sync + 'static {
-    /// Reserves exclusively, all or none; idempotent by lease.
+    /// Reserves resources exclusively for a lease, all or none of them; idempotent by lease.
     fn reserve(
         &self,
         worker: &ids::PeerAddress,
@@ -22,7 +22,7 @@
         start: model::TaskStart,
     ) -> impl Future<Output = Result<model::TaskStarted, error::CallError>> + Send;
 
-    /// Renews leases and reads how they do, in one message.
+    /// Renews leases and reads their state, in one message.
     fn renew(
         &self,
         worker: &ids::PeerAddress,
@@ -36,14 +36,14 @@
         signal: model::TaskSignal,
     ) -> impl Future<Output = Result<model::Ack, error::CallError>> + Send;
 
-    /// Gives leases back, stopping their tasks.
+    /// Releases leases and stops their tasks.
     fn release(
         &self,
         worker: &ids::PeerAddress,
         release: model::LeaseRelease,
     ) -> impl Future<Output = Result<model::Ack, error::CallError>> + Send;
 
-    /// Lists all leases: the ground truth of what a worker runs.
+    /// Lists all leases of a worker: the authoritative list of what it runs.
     fn leases(
         &self,
         worker: &ids::PeerAddress,
--- a/crates/ports/src/write_cap.rs
+++ b/crates/ports/src/write_cap.rs
@@ -1,4 +1,4 @@
-//! Our own cap on writes to the platform's store.
+//! Client-side cap on the rate of writes to the platform's store.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,8 +6,8 @@
 
 use tokio::time::{self, Instant};
 
-/// Spaces writes so that no second sees more than the cap, give or take the burst. The platform
-/// serves a few hundred writes a second to everybody; past that it is slow for all.
+/// Spaces writes so that no second has more writes than the cap plus the burst. The platform serves
+/// a few hundred writes a second to all its clients together; beyond that it is slow for all of them.
 #[derive(Debug)]
 pub struct WriteCap {
     per_second: u32,
@@ -16,37 +16,37 @@
 
 #[derive(Debug)]
 struct CapState {
-    /// When the next write would be due if all were evenly spaced.
+    /// When the next write is due if all writes are evenly spaced.
     due: Instant,
-    /// Writes of the last second.
+    /// Start times of the writes of the last second.
     recent: VecDeque<Instant>,
 }
 
-/// Writes may run ahead of their even spacing by this much.
+/// How far writes may run ahead of their even spacing.
 const BURST: Duration = Duration::from_millis(250);
 
-/// Span over which the use is measured.
-const MEASURED: Duration = Duration::from_secs(1);
+/// Period to which the cap applies and over which its use is measured.
+const CAP_PERIOD: Duration = Duration::from_secs(1);
 
 impl WriteCap {
-    /// Allows `per_second` writes a second, one at least.
+    /// Creates a cap of `per_second` writes a second, at least one.
     pub fn new(per_second: u32) -> WriteCap {
         let state = CapState { due: Instant::now(), recent: VecDeque::new() };
         metrics::gauge!("almondpass_store_write_cap_per_second").set(f64::from(per_second));
         WriteCap { per_second: per_second.max(1), state: Mutex::new(state) }
     }
 
-    /// Takes the next write's turn; `None` where it would come after `expires`.
+    /// Waits until the next write may be made. Returns `None` at once if that would be after `expires`.
     pub async fn acquire(&self, expires: Instant) -> Option<()> {
-        let turn = self.reserve(expires)?;
-        time::sleep_until(turn).await;
+        let start_at = self.reserve(expires)?;
+        time::sleep_until(start_at).await;
         Some(())
     }
 
-    /// Share of the cap that the last second used, from 0 to a little over 1.
-    pub fn used(&self) -> f64 {
+    /// Share of the cap used in the last second, from 0 to slightly over 1.
+    pub fn used_ratio(&self) -> f64 {
         let mut state = self.lock();
-        state.forget(Instant::now());
+        state.drop_older_than_period(Instant::now());
         state.recent.len() as f64 / f64::from(self.per_second)
     }
 
@@ -54,14 +54,14 @@
         let now = Instant::now();
         let mut state = self.lock();
         let due = state.due.max(now);
-        let turn = due.checked_sub(BURST).map_or(now, |it| it.max(now));
-        if expires < turn {
+        let start_at = due.checked_sub(BURST).map_or(now, |it| it.max(now));
+        if expires < start_at {
             return None;
         }
-        state.due = due + MEASURED / self.per_second;
-        state.forget(now);
-        state.recent.push_back(turn);
-        Some(turn)
+        state.due = due + CAP_PERIOD / self.per_second;
+        state.drop_older_than_period(now);
+        state.recent.push_back(start_at);
+        Some(start_at)
     }
 
     fn lock(&self) -> MutexGuard<'_, CapState> {
@@ -70,8 +70,8 @@
 }
 
 impl CapState {
-    fn forget(&mut self, now: Instant) {
-        while self.recent.front().is_some_and(|it| *it + MEASURED <= now) {
+    fn drop_older_than_period(&mut self, now: Instant) {
+        while self.recent.front().is_some_and(|it| *it + CAP_PERIOD <= now) {
             self.recent.pop_front();
         }
     }
