--- a/crates/hall/tests/hall/jobs.rs
+++ b/crates/hall/tests/hall/jobs.rs
@@ -21,7 +21,7 @@
     /// Cause: the state was set when a checkpoint was asked for and stayed after it was durable.
     a_run_that_was_saved_runs_on(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = instance.run_gang(&site, support::REPEATABLE_JOB, 2).await;
         support::advance(support::secs(630)).await;
         let record = site.job_row(job).expect("a row");
@@ -45,7 +45,7 @@
     a_lost_answer_to_the_commit_is_settled(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::AnswerLost);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::AnswerLost);
         support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
         support::expect_record(instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await);
         site.wait_for_job_state(job, model::JobState::Done).await;
@@ -62,10 +62,10 @@
     a_commit_that_arrives_late_undoes_nothing(_site) {
         for nth in 1..=8 {
             let site = support::TestSite::new();
-            site.fleet.scripts().set_usual(support::task_script(support::secs(1)));
+            site.fleet.scripts().set_default(support::task_script(support::secs(1)));
             let instance = site.start_holder("a").await;
             let late = Fault::DelayedEffect(support::secs(20));
-            instance.table_faults.nth(model::TableTransaction::PATH, nth, late);
+            instance.table_faults.inject_nth(model::TableTransaction::PATH, nth, late);
             let job = site.key();
             instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
             support::advance(support::secs(60)).await;
@@ -80,7 +80,7 @@
     a_refused_job_does_not_run_later(site) {
         let instance = site.start_holder("a").await;
         let job = site.key();
-        instance.table_faults.next(model::TableTransaction::PATH, Fault::Unavailable);
+        instance.table_faults.inject_next(model::TableTransaction::PATH, Fault::Unavailable);
         let reply = instance.submit(job, support::gang_submission(support::REPEATABLE_JOB, 2)).await;
         assert!(matches!(reply, model::JobReply::Refused { .. }), "found {reply:?}");
         support::advance(support::secs(60)).await;
@@ -105,7 +105,7 @@
     /// Cause: a write for each.
     cancellations_are_written_in_groups(site) {
         let instance = site.start_holder("a").await;
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         instance.run_gang(&site, support::REPEATABLE_JOB, support::N_WORKERS).await;
         let jobs = (0..500).map(|_| site.key()).collect::<Vec<_>>();
         let submits = jobs.iter().map(|job| {
@@ -118,7 +118,7 @@
         for submit in submits.collect::<Vec<_>>() {
             support::expect_record(submit.await.expect("a call that ends"));
         }
-        let before = site.table.committed();
+        let before = site.table.committed_transactions();
         let cancels = jobs.iter().chain(&jobs).map(|job| {
             let (service, job) = (instance.service.clone(), *job);
             let account = support::ACCOUNT.to_owned();
@@ -134,7 +134,7 @@
             })
         })
         .await;
-        let n_writes = site.table.committed() - before;
+        let n_writes = site.table.committed_transactions() - before;
         assert!(n_writes < 40, "{n_writes} transactions for 500 cancellations");
     }
 
@@ -157,7 +157,7 @@
     work_that_may_run_only_once_is_never_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
-        site.fleet.scripts().set_usual(support::task_script(support::secs(3600)));
+        site.fleet.scripts().set_default(support::task_script(support::secs(3600)));
         let job = holder.run_gang(&site, support::SINGLE_RUN_JOB, 2).await;
         for (_, worker) in site.fleet.workers() {
             worker.crash();
--- a/crates/pool/tests/pool/feeds.rs
+++ b/crates/pool/tests/pool/feeds.rs
@@ -17,7 +17,7 @@
 
 /// Each call of `step` that an instance makes from now on is struck.
 fn strike(instance: &support::BenchInstance, step: &'static str, fault: fault::Fault) {
-    (1..=N_CALLS).for_each(|nth| instance.store_faults.nth(step, nth, fault));
+    (1..=N_CALLS).for_each(|nth| instance.store_faults.inject_nth(step, nth, fault));
 }
 
 /// Guards against a feed of jobs that stands still for good although the table can be read.
@@ -26,7 +26,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 2).await;
         let (holder, other) = (bench.holder(), bench.non_holder());
-        strike(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        strike(&bench.instances[holder], table::FOLLOW_STEP, fault::Fault::AnswerLost);
         let address = |it: usize| bench.instances[it].address.as_str();
         bench.net.partition(&[address(other)], &[address(holder)], fault::Condition::Refusing);
         bench.submit(other, 1, support::job(1, 500)).await;
@@ -43,7 +43,7 @@
     support::run(async {
         let bench = support::PoolBench::start(3, 0).await;
         let holder = bench.holder();
-        strike(&bench.instances[holder], table::FOLLOW, fault::Fault::AnswerLost);
+        strike(&bench.instances[holder], table::FOLLOW_STEP, fault::Fault::AnswerLost);
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.add_worker(0).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
@@ -59,7 +59,7 @@
         bench.submit(holder, 1, support::job(1, 500)).await;
         bench.await_state(holder, 1, model::GraphState::Completed, SOON).await;
         let slow = fault::Fault::Slow(Duration::from_millis(1_400));
-        strike(&bench.instances[holder], table::SNAPSHOT, slow);
+        strike(&bench.instances[holder], table::SNAPSHOT_STEP, slow);
         bench.store.forget_history();
         // Between the reading of the table and its answer.
         time::sleep(Duration::from_secs(1)).await;
@@ -80,7 +80,7 @@
         time::sleep(Duration::from_secs(1)).await;
         bench.instances[holder].state.leader().expect("a tenure").core().forget_job(1);
         let store_faults = &bench.instances[holder].store_faults;
-        store_faults.next(model::TableGet::PATH, fault::Fault::Unavailable);
+        store_faults.inject_next(model::TableGet::PATH, fault::Fault::Unavailable);
         bench.store.forget_history();
         bench.add_worker(0).await;
         time::sleep(SOON).await;
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -35,7 +35,7 @@
         bench.await_state(0, 2, model::GraphState::Completed, Duration::from_secs(20)).await;
         bench.assert_nothing_ran_twice();
         let n_done =
-            bench.fleet.records().iter().filter(|it| it.how == order::EndKind::Done).count();
+            bench.fleet.records().iter().filter(|it| it.end_kind == order::EndKind::Done).count();
         assert_eq!(n_done, 12);
     });
 }
@@ -78,12 +78,12 @@
 fn a_start_carried_out_late_is_barred_in_a_later_life() {
     support::run(async {
         let bench = support::PoolBench::start(1, 2).await;
-        bench.fleet.let_starts_outlive();
+        bench.fleet.allow_starts_on_later_incarnations();
         // The workers' clocks show far more than the term of a start. The first worker is full.
         bench.submit(0, 1, support::job(8, 120_000)).await;
         time::sleep(Duration::from_secs(60)).await;
         let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
-        bench.fleet.faults(&support::worker_id(1)).next(pool_fleet::START, late);
+        bench.fleet.faults(&support::worker_id(1)).inject_next(pool_fleet::START, late);
         bench.submit(0, 2, support::job(1, 8_000)).await;
         // The task goes to the first worker, as the second one leaves; then that starts again.
         bench.drain_worker(1).await;
--- a/crates/ports/src/group.rs
+++ b/crates/ports/src/group.rs
@@ -207,7 +207,7 @@
             }
             // Nothing was written, and a single member may be the cause: commit each on its own.
             Err(error)
-                if error.fault.had_no_effect() && error.fault.is_for_good() && 1 < group.len() =>
+                if error.fault.had_no_effect() && error.fault.is_permanent() && 1 < group.len() =>
             {
                 for member in group {
                     Box::pin(commit_group(committer, vec![member])).await;
--- a/crates/ports/tests/store.rs
+++ b/crates/ports/tests/store.rs
@@ -40,7 +40,8 @@
 fn fixture_with(config: store::StoreConfig) -> StoreFixture {
     let (table, object_fake) = (table::TableFake::new(), object::ObjectFake::new());
     let faults = fault::FaultPlan::new();
-    let faulty = (table.seen_through(faults.clone()), object_fake.seen_through(faults.clone()));
+    let faulty =
+        (table.with_path_faults(faults.clone()), object_fake.with_path_faults(faults.clone()));
     let (store, objects) = store::open(faulty.0, faulty.1, config);
     StoreFixture { store, objects, table, object_fake, faults }
 }
@@ -88,16 +89,16 @@
     /// A write takes effect, but the connection breaks and the answer is lost. If the client reported a
     /// failure, a tenure holder would write again or give up its tenure.
     lost_answer_is_settled_as_committed(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::AnswerLost);
+        fixture.faults.inject_next(TRANSACT, fault::Fault::AnswerLost);
         assert_eq!(fixture.store.transact(write(ROW, 0, "a")).await, committed(1));
-        assert_eq!(fixture.table.committed(), 1);
+        assert_eq!(fixture.table.committed_transactions(), 1);
     }
 
     /// The connection breaks while a write is in transit: the row is still unchanged when read back, and
     /// the write arrives 2 s later. If the client reported a failure, the write would take effect after it.
     delayed_write_is_not_made_twice(fixture) {
         let late = fault::Fault::DelayedEffect(Duration::from_secs(2));
-        fixture.faults.next(TRANSACT, late);
+        fixture.faults.inject_next(TRANSACT, late);
         assert_eq!(fixture.store.transact(write(ROW, 0, "a")).await, committed(1));
         time::sleep(Duration::from_secs(5)).await;
         assert_eq!(fixture.table.peek(ROW), [row(ROW, 1, "a")]);
@@ -106,7 +107,7 @@
     /// The client's write is lost in transit, another holder writes the row, and the client's retry meets
     /// the conflict. If the conflict were attributed to the client's own write, there would be two holders.
     write_that_lost_a_race_is_a_conflict(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
+        fixture.faults.inject_next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
         let other = fixture.table.clone();
         let (ours, theirs) = tokio::join!(
             fixture.store.transact(write(ROW, 0, "ours")),
@@ -129,7 +130,7 @@
             transaction.writes.extend(row.writes);
             transaction
         };
-        fixture.faults.next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
+        fixture.faults.inject_next(TRANSACT, fault::Fault::DelayedEffect(Duration::from_secs(9)));
         let other = fixture.table.clone();
         let (ours, neighbours, theirs) = tokio::join!(
             fixture.store.transact(both("ours")),
@@ -146,7 +147,7 @@
     /// A write takes effect, its answer is lost, and another holder writes the row twice. The row no longer
     /// shows who wrote the earlier version, so the client must not report that the write had no effect.
     overwritten_witness_leaves_the_outcome_unknown(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::AnswerLost);
+        fixture.faults.inject_next(TRANSACT, fault::Fault::AnswerLost);
         let other = fixture.table.clone();
         let overwrite = async move {
             while other.peek(ROW).is_empty() {
@@ -162,16 +163,16 @@
     /// The answer to a write without a condition is lost, and nothing shows whether it took effect. A
     /// retry could overwrite the value of a later writer with the older one.
     write_without_witness_is_not_repeated(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::AnswerLost);
+        fixture.faults.inject_next(TRANSACT, fault::Fault::AnswerLost);
         let transaction =
             model::TableTransaction { conditions: Vec::new(), ..write(ROW, 0, "a") };
         let error = fixture.store.transact(transaction).await.unwrap_err();
         assert!(!error.fault.had_no_effect());
-        assert_eq!(fixture.table.committed(), 1);
+        assert_eq!(fixture.table.committed_transactions(), 1);
     }
 
     error_before_the_effect_is_retried(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::Unavailable);
+        fixture.faults.inject_next(TRANSACT, fault::Fault::Unavailable);
         assert_eq!(fixture.store.transact(write(ROW, 0, "a")).await, committed(1));
     }
 
@@ -186,7 +187,7 @@
     /// Five calls in a row fail. Without a record of these failures, the sixth caller would wait for its
     /// deadline although the store is known to be down.
     open_circuit_fails_at_once_without_effect(fixture) {
-        fixture.faults.set(fault::Condition::Silent);
+        fixture.faults.set(fault::Condition::Dropping);
         while fixture.faults.calls(GET) < 5 {
             assert!(fixture.store.get(get(ROW)).await.is_err());
         }
@@ -198,7 +199,7 @@
 
     lost_put_is_settled_as_created(fixture) {
         let put = model::ObjectPut { key: "intent/1".to_owned(), value: blob("ours") };
-        fixture.faults.next(PUT, fault::Fault::AnswerLost);
+        fixture.faults.inject_next(PUT, fault::Fault::AnswerLost);
         assert_eq!(fixture.objects.put(put).await, Ok(model::ObjectPutOutcome::Created));
     }
 
@@ -207,7 +208,7 @@
     lost_put_after_another_writers_put_is_reported_as_existing(fixture) {
         let put = |value| model::ObjectPut { key: "intent/1".to_owned(), value: blob(value) };
         let late = fault::Fault::DelayedEffect(Duration::from_secs(9));
-        fixture.faults.next(PUT, late);
+        fixture.faults.inject_next(PUT, late);
         let other = fixture.object_fake.clone();
         let (ours, theirs) = tokio::join!(fixture.objects.put(put("ours")), async move {
             other.put(put("theirs")).await
@@ -225,7 +226,7 @@
         while let Some(outcome) = writes.join_next().await {
             assert_eq!(outcome.unwrap(), committed(1));
         }
-        assert_eq!(fixture.table.committed(), 1);
+        assert_eq!(fixture.table.committed_transactions(), 1);
         assert_eq!(fixture.table.peek("job/").len(), 50);
     }
 
@@ -249,7 +250,7 @@
     /// The platform rejects a group permanently because of one invalid member, without naming the member.
     /// The invalid write could make the other members fail.
     members_of_a_rejected_group_are_committed_singly(fixture) {
-        fixture.faults.next(TRANSACT, fault::Fault::Rejected);
+        fixture.faults.inject_next(TRANSACT, fault::Fault::Rejected);
         let mut writes = JoinSet::new();
         for n in 0..10 {
             let store = fixture.store.clone();
@@ -258,7 +259,7 @@
         while let Some(outcome) = writes.join_next().await {
             assert_eq!(outcome.unwrap(), committed(1));
         }
-        assert_eq!(fixture.table.committed(), 10);
+        assert_eq!(fixture.table.committed_transactions(), 10);
     }
 
     writes_of_one_row_are_committed_in_order(fixture) {
@@ -286,7 +287,7 @@
     /// While a slow read is in progress, a write commits and a new read starts. If the new read joined the
     /// slow one, which saw the state before the write, the reader would miss a write known to be committed.
     read_does_not_join_an_earlier_one(fixture) {
-        fixture.faults.next(GET, fault::Fault::Slow(Duration::from_millis(500)));
+        fixture.faults.inject_next(GET, fault::Fault::Slow(Duration::from_millis(500)));
         let earlier = fixture.store.clone();
         let earlier = tokio::spawn(async move { earlier.get(get(ROW)).await });
         time::sleep(Duration::from_millis(300)).await;
@@ -318,7 +319,7 @@
         assert_eq!(outcome.unwrap(), committed(1));
     }
     let seconds = started.elapsed().as_secs_f64();
-    assert_eq!(fixture.table.committed(), 500);
+    assert_eq!(fixture.table.committed_transactions(), 500);
     assert!((9.0..11.0).contains(&seconds), "{seconds}");
 }
 
@@ -362,7 +363,7 @@
     }
     let calls = || fixture.faults.calls(GET) + fixture.faults.calls(TRANSACT);
     time::sleep(Duration::from_secs(10)).await;
-    let (before, up) = (calls(), fixture.table.committed());
+    let (before, up) = (calls(), fixture.table.committed_transactions());
     assert!(0 < up);
     fixture.faults.set(down);
     time::sleep(Duration::from_secs(3600)).await;
@@ -389,8 +390,8 @@
 
 outage_tests! {
     load_stays_bounded_in_an_hour_of_refused_connections: fault::Condition::Refusing;
-    load_stays_bounded_in_an_hour_of_silence: fault::Condition::Silent;
-    load_stays_bounded_in_an_hour_of_slowness: fault::Condition::Slow(Duration::from_secs(20));
+    load_stays_bounded_in_an_hour_of_dropped_calls: fault::Condition::Dropping;
+    load_stays_bounded_in_an_hour_of_slow_answers: fault::Condition::Slow(Duration::from_secs(20));
 }
 
 /// Writers compete for a few rows while faults are injected, and record the reported outcome of each
@@ -406,9 +407,9 @@
         answer_lost: 0.1,
         delayed_effect: 0.1,
         slow: 0.1,
-        longest: Duration::from_secs(3),
+        max_delay: Duration::from_secs(3),
     };
-    fixture.faults.sample(seed, rates);
+    fixture.faults.inject_at_random(seed, rates);
     let mut writers = JoinSet::new();
     for writer in 0..8_u32 {
         let store = fixture.store.clone();
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkerFleet {
     workers: Arc<Mutex<BTreeMap<ids::PeerAddress, WorkerFake>>>,
-    scripts: script::ScriptBook,
+    scripts: script::TaskScripts,
     log: run::RunLog,
     path: fault::FaultPlan,
 }
@@ -38,7 +38,7 @@
     }
 
     /// The same fleet behind a path of its own, such as one instance's.
-    pub fn seen_through(&self, path: fault::FaultPlan) -> WorkerFleet {
+    pub fn with_path_faults(&self, path: fault::FaultPlan) -> WorkerFleet {
         WorkerFleet { path, ..self.clone() }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// How tasks run.
-    pub fn scripts(&self) -> &script::ScriptBook {
+    pub fn scripts(&self) -> &script::TaskScripts {
         &self.scripts
     }
 
@@ -71,7 +71,7 @@
     pub fn runs(&self) -> Vec<run::TaskRun> {
         let now = Instant::now();
         for (_, worker) in self.workers() {
-            state::lock(&worker.state).settle(now);
+            state::lock(&worker.state).process_due(now);
         }
         self.log.runs()
     }
@@ -87,7 +87,7 @@
             return Err(fault::call_error(address, step, fault));
         };
         let effect = move || effect(&mut state::lock(&worker.state), Instant::now());
-        fault::pass(&[&self.path, &worker.plan], address, step, effect).await
+        fault::call_through(&[&self.path, &worker.plan], address, step, effect).await
     }
 }
 
@@ -109,7 +109,7 @@
 
     /// Stops its clock and holds calls to it until [`WorkerFake::resume`].
     pub fn pause(&self) {
-        self.plan.set(fault::Condition::Held);
+        self.plan.set(fault::Condition::Paused);
         state::lock(&self.state).set_paused(true, Instant::now());
     }
 
@@ -122,7 +122,7 @@
     /// Kills it: its tasks end, its leases are gone, and connections are refused.
     pub fn crash(&self) {
         self.plan.set(fault::Condition::Refusing);
-        state::lock(&self.state).lose(Instant::now());
+        state::lock(&self.state).crash(Instant::now());
     }
 
     /// Starts it again, empty.
--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -81,7 +81,7 @@
 
     start_is_idempotent_and_a_task_ends_by_itself(fleet, _worker) {
         let address = ADDRESS.to_owned();
-        fleet.scripts().set_usual(script::TaskScript::lasting(Duration::from_secs(3)));
+        fleet.scripts().set_default(script::TaskScript::lasting(Duration::from_secs(3)));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         for _ in 0..2 {
             let started = fleet.start(&address, start("a")).await;
@@ -97,7 +97,7 @@
 
     lapsed_lease_stops_its_task(fleet, _worker) {
         let address = ADDRESS.to_owned();
-        fleet.scripts().set_usual(script::TaskScript::lasting(Duration::from_secs(300)));
+        fleet.scripts().set_default(script::TaskScript::lasting(Duration::from_secs(300)));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         fleet.start(&address, start("a")).await.unwrap();
         clock::advance(Duration::from_secs(20)).await;
@@ -115,7 +115,7 @@
     delayed_start_runs_all_the_same(fleet, worker) {
         let address = ADDRESS.to_owned();
         let delay = Duration::from_secs(2);
-        worker.faults().next(model::TaskStart::PATH, fault::Fault::DelayedEffect(delay));
+        worker.faults().inject_next(model::TaskStart::PATH, fault::Fault::DelayedEffect(delay));
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         let error = fleet.start(&address, start("a")).await.unwrap_err();
         assert!(!error.fault.had_no_effect());
