--- a/crates/standin/src/execution.rs
+++ b/crates/standin/src/execution.rs
@@ -1,4 +1,5 @@
-//! What upstreams really executed, for oracles.
+//! Record of the requests that fake upstreams executed, against which the oracles of tests check the
+//! scheduler.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -10,53 +11,54 @@
 use crate::state;
 use crate::upstream;
 
-/// Every request that any upstream of a site executed; clones share it.
+/// All requests that the upstreams of a site executed, and their peak loads. Clones share the log.
 #[derive(Clone, Debug, Default)]
 pub struct ExecutionLog {
     state: Arc<Mutex<LogState>>,
 }
 
-/// One execution of one request.
+/// One execution of a request; a request that is sent again may have several.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestExecution {
-    /// Where it ran.
+    /// Worker on which the upstream ran.
     pub worker: ids::WorkerId,
-    /// Which upstream ran it.
+    /// Upstream that executed the request.
     pub upstream: ids::UpstreamName,
-    /// Its `x-request-id`.
+    /// Value of the header `x-request-id`.
     pub request: Option<String>,
-    /// Its `idempotency-key`, if one came along.
+    /// Value of the header `idempotency-key`, if the request had one.
     pub idempotency: Option<String>,
-    /// Whether the worker held a lease of a hall scheduler for serving at that moment.
+    /// Whether a hall scheduler held a lease for serving on the worker when the execution started.
     pub leased: bool,
-    /// What the upstream did wrong with it.
+    /// Fault that the upstream injected into this execution, if any.
     pub misbehaviour: Option<upstream::Misbehaviour>,
-    /// The first bytes of its body, [`HEAD_BYTES`] at most.
+    /// The first bytes of the request body, at most [`HEAD_BYTES`].
     pub body_head: Bytes,
-    /// When it started.
+    /// When the upstream started the execution.
     pub started: Instant,
 }
 
-/// Bytes of a body that the log keeps.
+/// Length up to which the log keeps a request body, in bytes.
 pub const HEAD_BYTES: usize = 64;
 
-/// How full a worker's service was at most.
+/// Numbers of simultaneous connections and requests of the upstreams on a worker; in [`ExecutionLog::peaks`],
+/// the highest so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServicePeak {
-    /// Connections at a time.
+    /// Open connections at a time.
     pub connections: u32,
-    /// Requests at a time.
+    /// Executing requests at a time.
     pub requests: u32,
 }
 
 #[derive(Debug, Default)]
 struct LogState {
     executions: Vec<RequestExecution>,
-    now: BTreeMap<ids::WorkerId, ServicePeak>,
+    current: BTreeMap<ids::WorkerId, ServicePeak>,
     peaks: BTreeMap<ids::WorkerId, ServicePeak>,
 }
 
-/// Counts one connection or request until it is dropped.
+/// Counts one connection or request as open until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     log: ExecutionLog,
@@ -70,19 +72,19 @@
         state::lock(&self.state).executions.clone()
     }
 
-    /// How often the request with this id was executed.
+    /// Number of executions of the request with this id (header `x-request-id`).
     pub fn count(&self, request: &str) -> usize {
         let state = state::lock(&self.state);
         state.executions.iter().filter(|it| it.request.as_deref() == Some(request)).count()
     }
 
-    /// How often a request with this idempotency key was executed.
+    /// Number of executions of requests with this idempotency key.
     pub fn count_by_idempotency_key(&self, key: &str) -> usize {
         let state = state::lock(&self.state);
         state.executions.iter().filter(|it| it.idempotency.as_deref() == Some(key)).count()
     }
 
-    /// How full each worker's services were at most, by worker.
+    /// Peak numbers of connections and requests of each worker; the two may come from different times.
     pub fn peaks(&self) -> BTreeMap<ids::WorkerId, ServicePeak> {
         state::lock(&self.state).peaks.clone()
     }
@@ -92,22 +94,22 @@
     }
 
     pub(crate) fn track_connection(&self, worker: &ids::WorkerId) -> CountGuard {
-        self.count_up(worker, ServicePeak { connections: 1, requests: 0 })
+        self.track(worker, ServicePeak { connections: 1, requests: 0 })
     }
 
     pub(crate) fn track_request(&self, worker: &ids::WorkerId) -> CountGuard {
-        self.count_up(worker, ServicePeak { connections: 0, requests: 1 })
+        self.track(worker, ServicePeak { connections: 0, requests: 1 })
     }
 
-    fn count_up(&self, worker: &ids::WorkerId, count: ServicePeak) -> CountGuard {
+    fn track(&self, worker: &ids::WorkerId, count: ServicePeak) -> CountGuard {
         let mut state = state::lock(&self.state);
-        let now = state.now.entry(worker.clone()).or_default();
-        now.connections += count.connections;
-        now.requests += count.requests;
-        let now = *now;
+        let current = state.current.entry(worker.clone()).or_default();
+        current.connections += count.connections;
+        current.requests += count.requests;
+        let current = *current;
         let peak = state.peaks.entry(worker.clone()).or_default();
-        peak.connections = peak.connections.max(now.connections);
-        peak.requests = peak.requests.max(now.requests);
+        peak.connections = peak.connections.max(current.connections);
+        peak.requests = peak.requests.max(current.requests);
         CountGuard { log: self.clone(), worker: worker.clone(), count }
     }
 }
@@ -115,9 +117,9 @@
 impl Drop for CountGuard {
     fn drop(&mut self) {
         let mut state = state::lock(&self.log.state);
-        if let Some(now) = state.now.get_mut(&self.worker) {
-            now.connections -= self.count.connections;
-            now.requests -= self.count.requests;
+        if let Some(current) = state.current.get_mut(&self.worker) {
+            current.connections -= self.count.connections;
+            current.requests -= self.count.requests;
         }
     }
 }
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -1,20 +1,20 @@
-//! Which workers and upstreams a site has.
+//! The workers and upstreams of a site, read from its configuration document.
 
 use almondpass_schema::{ids, model};
 
 use crate::worker;
 
-/// One worker of a site.
+/// A worker of a site, with the upstreams that run on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerPlan {
-    /// What it has.
+    /// Name, data centre and resources of the worker.
     pub shape: worker::WorkerShape,
-    /// Services that run on it.
+    /// Upstreams with a service on this worker.
     pub upstreams: Vec<ids::UpstreamName>,
 }
 
-/// The workers that a configuration document describes, hall by hall, rack by rack. Racks of an
-/// unknown kind have none: whoever checks the document reports them.
+/// The workers that a configuration document describes, in the order of its halls and racks. A rack of an
+/// unknown worker kind is skipped: reporting it is up to the check of the document.
 pub fn configured_workers(document: &model::ConfigDocument) -> Vec<WorkerPlan> {
     document.halls.iter().flat_map(|hall| configured_workers_of_hall(document, hall)).collect()
 }
--- a/crates/standin/src/pool_fleet.rs
+++ b/crates/standin/src/pool_fleet.rs
@@ -1,4 +1,5 @@
-//! Workers for job graphs, behind the control port, with faults on the way to each.
+//! Fake workers for job graphs that implement the control port, with injected faults between caller and
+//! worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -13,204 +14,206 @@
 use crate::pool_worker;
 use crate::state;
 
-/// Step of a look, for fault plans.
+/// Step name of a poll in fault plans.
 pub const POLL: &str = "hold";
 
-/// Step of a start, for fault plans.
+/// Step name of a start order in fault plans.
 pub const START: &str = "start";
 
-/// Step of a stop, for fault plans.
+/// Step name of a stop order in fault plans.
 pub const STOP: &str = "stop";
 
-/// An order without an answer fails after this.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit of a call to a worker; a call without an answer fails after it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When the first life of a worker begins by the calendar, in Unix milliseconds: any day will do. Each
-/// life begins a millisecond behind the one before, so that no two can be mixed up.
-const FIRST_LIFE_MS: u64 = 1_800_000_000_000;
+/// Incarnation of the first worker, in Unix milliseconds; the date is arbitrary. Each further incarnation of
+/// any worker is a millisecond later, so that no two are equal.
+const FIRST_INCARNATION_MS: u64 = 1_800_000_000_000;
 
-/// How often a look that waits for an end looks again.
+/// Interval at which a poll that waits for a task's end checks for one.
 const POLL_TICK: Duration = Duration::from_millis(20);
 
-/// The workers; clones share them.
+/// The fake workers of a test. Clones share the workers.
 #[derive(Clone, Debug, Default)]
 pub struct PoolFleet {
     state: Arc<Mutex<FleetState>>,
-    /// Faults between this instance and all workers.
-    path: fault::FaultPlan,
+    /// Faults of the calls of one instance, to whichever worker.
+    caller_faults: fault::FaultPlan,
 }
 
 #[derive(Debug, Default)]
 struct FleetState {
-    n_lives: u64,
+    n_incarnations: u64,
     n_entries: u64,
-    /// Ids that workers have, or had.
-    known: BTreeSet<ids::WorkerId>,
+    /// Ids of all workers that are or were up.
+    known_ids: BTreeSet<ids::WorkerId>,
     workers: BTreeMap<ids::WorkerId, pool_worker::PoolWorker>,
-    plans: BTreeMap<ids::WorkerId, fault::FaultPlan>,
-    task_room: resources::Resources,
-    lost: Vec<pool_worker::RunRecord>,
-    /// Where workers are that are not at the address that is their id.
+    fault_plans: BTreeMap<ids::WorkerId, fault::FaultPlan>,
+    task_resources: resources::Resources,
+    records_of_crashed: Vec<pool_worker::RunRecord>,
+    /// Workers whose address differs from their id, by address.
     addresses: BTreeMap<ids::PeerAddress, ids::WorkerId>,
-    /// Crashed by a task, and not handed out yet.
+    /// Workers that a task has crashed and that `take_crashed` has not returned yet.
     crashed: Vec<CrashedWorker>,
-    hides_lives: bool,
-    starts_outlive: bool,
-    unguarded: bool,
-    /// Starts on dead workers beyond their rooms.
+    hides_incarnations: bool,
+    starts_reach_later_incarnations: bool,
+    capacity_check_disabled: bool,
+    /// Oversubscribed starts on workers that have crashed since.
     oversubscribed_starts: Vec<task_key::TaskKey>,
 }
 
-/// Whom a call has reached.
-enum Reach<T> {
-    /// The worker that was meant, which answers that.
-    Worker(T),
-    /// Another worker, at its address.
+/// Which worker a call has reached, with the answer of the intended one.
+enum ReachedWorker<T> {
+    /// The intended worker, with its answer.
+    Intended(T),
+    /// Another worker that is up at the address of the intended one.
     Other,
-    /// Nobody.
-    Nobody,
+    /// No worker: the intended one is down, or has restarted since the call was sent.
+    None,
 }
 
-/// A worker that a task has crashed.
+/// A worker that was crashed by one of its tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrashedWorker {
-    /// Its id.
+    /// Id of the worker; a later incarnation may reuse it.
     pub worker: ids::WorkerId,
-    /// Where it was.
+    /// Address at which the worker was.
     pub address: ids::PeerAddress,
-    /// What it offered.
+    /// Resources that the worker offered at the crash.
     pub capacity: resources::Resources,
 }
 
 impl PoolFleet {
-    /// No workers; tasks take `task_room` each.
-    pub fn new(task_room: resources::Resources) -> PoolFleet {
+    /// Creates a fleet without workers, in which each task uses `task_resources`.
+    pub fn new(task_resources: resources::Resources) -> PoolFleet {
         let fleet = PoolFleet::default();
-        state::lock(&fleet.state).task_room = task_room;
+        state::lock(&fleet.state).task_resources = task_resources;
         fleet
     }
 
-    /// The same workers as one instance reaches them.
-    pub fn with_path_faults(&self, path: fault::FaultPlan) -> PoolFleet {
-        PoolFleet { path, ..self.clone() }
+    /// A handle to the same workers whose calls are also subject to `caller_faults`.
+    pub fn with_path_faults(&self, caller_faults: fault::FaultPlan) -> PoolFleet {
+        PoolFleet { caller_faults, ..self.clone() }
     }
 
-    /// A new worker, or a new life of one that has died.
+    /// Adds a worker, or a new incarnation of a worker that has crashed.
     pub fn add(&self, worker: &str, capacity: resources::Resources) {
         let mut state = state::lock(&self.state);
-        let incarnation = FIRST_LIFE_MS + state.n_lives;
-        state.n_lives += 1;
-        state.known.insert(worker.to_owned());
-        let mut fresh = pool_worker::PoolWorker::new(worker, incarnation, capacity);
-        if state.unguarded {
-            fresh.disable_capacity_check();
+        let incarnation = FIRST_INCARNATION_MS + state.n_incarnations;
+        state.n_incarnations += 1;
+        state.known_ids.insert(worker.to_owned());
+        let mut new_worker = pool_worker::PoolWorker::new(worker, incarnation, capacity);
+        if state.capacity_check_disabled {
+            new_worker.disable_capacity_check();
         }
-        state.workers.insert(worker.to_owned(), fresh);
+        state.workers.insert(worker.to_owned(), new_worker);
     }
 
-    /// A new worker at an address, where another may have been.
+    /// Adds a worker at an address at which another worker may have been before.
     pub fn add_at(&self, worker: &str, address: &str, capacity: resources::Resources) {
         self.add(worker, capacity);
         state::lock(&self.state).addresses.insert(address.to_owned(), worker.to_owned());
     }
 
-    /// Where a worker is.
+    /// Address of a worker: its id, unless it was added at another address.
     pub fn address_of(&self, worker: &str) -> ids::PeerAddress {
         state::lock(&self.state).address_of(worker)
     }
 
-    /// Workers that tasks have crashed since the last call.
+    /// Returns the workers that tasks have crashed since the last call of this function.
     pub fn take_crashed(&self) -> Vec<CrashedWorker> {
         let mut state = state::lock(&self.state);
-        state.pass_crashes();
+        state.apply_due_crashes();
         std::mem::take(&mut state.crashed)
     }
 
-    /// From now on workers start whatever they are told to, whether it fits or not.
+    /// Lets all workers, also those added later, accept starts that exceed their capacity.
     pub fn disable_capacity_check(&self) {
         let mut state = state::lock(&self.state);
-        state.unguarded = true;
+        state.capacity_check_disabled = true;
         state.workers.values_mut().for_each(pool_worker::PoolWorker::disable_capacity_check);
     }
 
-    /// What a worker offers, if it is up.
+    /// Resources that a worker offers; `None` if it is down.
     pub fn capacity(&self, worker: &str) -> Option<resources::Resources> {
         state::lock(&self.state).workers.get(worker).map(|it| it.capacity())
     }
 
-    /// From now on a worker that is up offers that much.
+    /// Changes the resources that a worker offers; does nothing if the worker is down.
     pub fn set_capacity(&self, worker: &str, capacity: resources::Resources) {
         if let Some(worker) = state::lock(&self.state).workers.get_mut(worker) {
             worker.set_capacity(capacity);
         }
     }
 
-    /// Starts that brought their workers over their rooms, by the time from which these count.
+    /// Tasks whose start exceeded the capacity of their worker. A reduced capacity applies only once the time
+    /// is over in which all parties learn of the reduction.
     pub fn oversubscribed_starts(&self) -> Vec<task_key::TaskKey> {
         let state = state::lock(&self.state);
-        let now = state.workers.values().flat_map(|it| &it.oversubscribed_starts);
-        state.oversubscribed_starts.iter().chain(now).copied().collect()
+        let on_workers_up = state.workers.values().flat_map(|it| &it.oversubscribed_starts);
+        state.oversubscribed_starts.iter().chain(on_workers_up).copied().collect()
     }
 
-    /// The workers that are up.
+    /// Ids of the workers that are up, sorted.
     pub fn workers_up(&self) -> Vec<ids::WorkerId> {
         state::lock(&self.state).workers.keys().cloned().collect()
     }
 
-    /// Faults on the way to each worker that had any.
+    /// Fault plans of all workers that were called or that a test asked a plan for.
     pub fn all_faults(&self) -> Vec<fault::FaultPlan> {
-        state::lock(&self.state).plans.values().cloned().collect()
+        state::lock(&self.state).fault_plans.values().cloned().collect()
     }
 
-    /// From now on no worker tells in which life it is.
+    /// Makes all workers leave their incarnation out of poll replies.
     pub fn hide_incarnations(&self) {
-        state::lock(&self.state).hides_lives = true;
+        state::lock(&self.state).hides_incarnations = true;
     }
 
-    /// From now on a start that is carried out late may be so by a later life of its worker.
+    /// Lets a delayed start take effect on a later incarnation of its worker than the one it was sent to.
     pub fn allow_starts_on_later_incarnations(&self) {
-        state::lock(&self.state).starts_outlive = true;
+        state::lock(&self.state).starts_reach_later_incarnations = true;
     }
 
-    /// Which life of a worker there is now, if it is up and tells.
+    /// Current incarnation of a worker; `None` if the worker is down or incarnations are hidden.
     pub fn incarnation(&self, worker: &str) -> Option<ids::Incarnation> {
         let state = state::lock(&self.state);
         let incarnation = state.workers.get(worker)?.incarnation();
-        (!state.hides_lives).then_some(incarnation)
+        (!state.hides_incarnations).then_some(incarnation)
     }
 
-    /// The number of the next entry that a worker writes.
+    /// Takes the next sequence number for a worker's entry; all workers share one sequence, from 1.
     pub fn next_entry_number(&self) -> u64 {
         let mut state = state::lock(&self.state);
         state.n_entries += 1;
         state.n_entries
     }
 
-    /// Whether a worker is up.
+    /// Whether a worker with this id is up now.
     pub fn is_up(&self, worker: &str) -> bool {
         state::lock(&self.state).workers.contains_key(worker)
     }
 
-    /// Whether there ever was a worker of that id.
+    /// Whether a worker with this id is or ever was up.
     pub fn was_ever_up(&self, worker: &str) -> bool {
-        state::lock(&self.state).known.contains(worker)
+        state::lock(&self.state).known_ids.contains(worker)
     }
 
-    /// The worker dies, and everything on it. Tells what it offered.
+    /// Crashes a worker and with it all tasks on it. Returns the resources that it offered; `None` if it was
+    /// down already.
     pub fn crash(&self, worker: &str) -> Option<resources::Resources> {
         state::lock(&self.state).crash(worker)
     }
 
-    /// Faults on the way to one worker.
+    /// Fault plan of the calls to one worker. Changes to the returned plan apply to later calls.
     pub fn faults(&self, worker: &str) -> fault::FaultPlan {
-        state::lock(&self.state).plans.entry(worker.to_owned()).or_default().clone()
+        state::lock(&self.state).fault_plans.entry(worker.to_owned()).or_default().clone()
     }
 
-    /// All runs that are over, those on dead workers included.
+    /// All ended runs, including those on crashed workers.
     pub fn records(&self) -> Vec<pool_worker::RunRecord> {
         let mut state = state::lock(&self.state);
-        state.pass_crashes();
-        let mut records = state.lost.clone();
+        state.apply_due_crashes();
+        let mut records = state.records_of_crashed.clone();
         for worker in state.workers.values_mut() {
             worker.process_due_ends();
             records.extend(worker.records.iter().cloned());
@@ -218,10 +221,10 @@
         records
     }
 
-    /// Which tasks run now, and where.
+    /// Running tasks, each with its worker.
     pub fn running(&self) -> Vec<(ids::WorkerId, task_key::TaskKey)> {
         let mut state = state::lock(&self.state);
-        state.pass_crashes();
+        state.apply_due_crashes();
         let mut running = Vec::new();
         for (id, worker) in &mut state.workers {
             worker.process_due_ends();
@@ -230,10 +233,10 @@
         running
     }
 
-    /// Tasks that run now.
+    /// Number of running tasks on all workers.
     pub fn n_running(&self) -> usize {
         let mut state = state::lock(&self.state);
-        state.pass_crashes();
+        state.apply_due_crashes();
         let workers = state.workers.values_mut();
         workers
             .map(|it| {
@@ -243,7 +246,7 @@
             .sum()
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn call<T: Send + 'static>(
         &self,
         target: &control::WorkerTarget,
         step: &'static str,
@@ -251,36 +254,39 @@
         effect: impl FnOnce(&mut pool_worker::PoolWorker, resources::Resources) -> T + Send + 'static,
     ) -> Result<T, control::ControlFault> {
         let worker = &target.worker;
-        let plan = self.faults(worker);
-        let shared = Arc::clone(&self.state);
-        let target_there = target.clone();
-        let life = state::lock(&self.state).workers.get(worker).map(|it| it.incarnation());
+        let worker_faults = self.faults(worker);
+        let shared_state = Arc::clone(&self.state);
+        let intended = target.clone();
+        let incarnation_at_send =
+            state::lock(&self.state).workers.get(worker).map(|it| it.incarnation());
         let effect = move || {
-            let mut state = state::lock(&shared);
-            state.pass_crashes();
-            if state.is_taken(&target_there) {
-                return Reach::Other;
+            let mut state = state::lock(&shared_state);
+            state.apply_due_crashes();
+            if state.is_address_reused(&intended) {
+                return ReachedWorker::Other;
             }
-            let room = state.task_room;
-            // A call belongs to the life that it has reached, and ends with its connection.
-            let outlives = step == START && state.starts_outlive;
-            let is_reached =
-                |it: &&mut pool_worker::PoolWorker| outlives || Some(it.incarnation()) == life;
-            let reached = state.workers.get_mut(&target_there.worker).filter(is_reached);
-            reached.map_or(Reach::Nobody, |it| Reach::Worker(effect(it, room)))
+            let resources = state.task_resources;
+            // A call is bound to the incarnation that was up when it was sent: its connection ends with that
+            // incarnation.
+            let reaches_later = step == START && state.starts_reach_later_incarnations;
+            let is_reachable = |it: &&mut pool_worker::PoolWorker| {
+                reaches_later || Some(it.incarnation()) == incarnation_at_send
+            };
+            let reached = state.workers.get_mut(&intended.worker).filter(is_reachable);
+            reached.map_or(ReachedWorker::None, |it| ReachedWorker::Intended(effect(it, resources)))
         };
-        let plans = [&self.path, &plan];
-        let passing = fault::call_through(&plans, worker, step, effect);
-        let passed = time::timeout(limit, passing).await;
-        let passed = passed.unwrap_or_else(|_| {
+        let fault_plans = [&self.caller_faults, &worker_faults];
+        let outcome = fault::call_through(&fault_plans, worker, step, effect);
+        let result = time::timeout(limit, outcome).await;
+        let result = result.unwrap_or_else(|_| {
             let timed_out = almondpass_peer::error::CallFault::TimedOut(limit);
             Err(fault::call_error(worker, step, timed_out))
         })?;
-        match passed {
-            Reach::Worker(answer) => Ok(answer),
-            Reach::Other => Err(control::ControlFault::Replaced(worker.clone())),
-            // A dead worker does not answer; what it would say is a timeout.
-            Reach::Nobody => {
+        match result {
+            ReachedWorker::Intended(answer) => Ok(answer),
+            ReachedWorker::Other => Err(control::ControlFault::Replaced(worker.clone())),
+            // A crashed worker does not answer, which its caller sees as a timeout.
+            ReachedWorker::None => {
                 let timed_out = almondpass_peer::error::CallFault::TimedOut(limit);
                 Err(fault::call_error(worker, step, timed_out).into())
             }
@@ -289,8 +295,8 @@
 }
 
 impl FleetState {
-    /// Crashes the workers whose tasks do that, as far as it is time.
-    fn pass_crashes(&mut self) {
+    /// Crashes the workers on which a task's crash is due.
+    fn apply_due_crashes(&mut self) {
         let now = Instant::now();
         let due = self.workers.iter().filter(|(_, it)| it.crashes_at().is_some_and(|at| at <= now));
         for worker in due.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
@@ -301,9 +307,9 @@
     }
 
     fn crash(&mut self, worker: &str) -> Option<resources::Resources> {
-        let mut dead = self.workers.remove(worker)?;
-        dead.process_due_ends();
-        let running = dead.runs().iter().map(|(task, run)| pool_worker::RunRecord {
+        let mut crashed_worker = self.workers.remove(worker)?;
+        crashed_worker.process_due_ends();
+        let cut_off = crashed_worker.runs().iter().map(|(task, run)| pool_worker::RunRecord {
             task: *task,
             attempt: run.attempt,
             worker: worker.to_owned(),
@@ -313,22 +319,23 @@
             number: 0,
             is_acknowledged: false,
         });
-        self.lost.extend(running);
-        let capacity = dead.capacity();
-        self.oversubscribed_starts.append(&mut dead.oversubscribed_starts);
-        self.lost.extend(dead.records);
+        self.records_of_crashed.extend(cut_off);
+        let capacity = crashed_worker.capacity();
+        self.oversubscribed_starts.append(&mut crashed_worker.oversubscribed_starts);
+        self.records_of_crashed.extend(crashed_worker.records);
         Some(capacity)
     }
 
     fn address_of(&self, worker: &str) -> ids::PeerAddress {
-        let placed = self.addresses.iter().find(|(_, it)| *it == worker);
-        placed.map_or_else(|| worker.to_owned(), |(address, _)| address.clone())
+        let entry_of_worker = self.addresses.iter().find(|(_, it)| *it == worker);
+        entry_of_worker.map_or_else(|| worker.to_owned(), |(address, _)| address.clone())
     }
 
-    /// Whether another worker is up at the address, which refuses what is not meant for it.
-    fn is_taken(&self, target: &control::WorkerTarget) -> bool {
-        let there = self.addresses.get(&target.address);
-        there.is_some_and(|it| *it != target.worker && self.workers.contains_key(it))
+    /// Whether another worker is up at the target's address. That worker refuses calls that are not meant for
+    /// it.
+    fn is_address_reused(&self, target: &control::WorkerTarget) -> bool {
+        let worker_at_address = self.addresses.get(&target.address);
+        worker_at_address.is_some_and(|it| *it != target.worker && self.workers.contains_key(it))
     }
 }
 
@@ -337,20 +344,20 @@
         &self,
         target: &control::WorkerTarget,
         token: ids::FencingToken,
-        ask: &order::PollRequest,
+        request: &order::PollRequest,
     ) -> Result<order::PollReply, control::ControlFault> {
-        let expires = Instant::now() + ask.wait;
-        let hides_lives = state::lock(&self.state).hides_lives;
+        let expires = Instant::now() + request.wait;
+        let hides_incarnations = state::lock(&self.state).hides_incarnations;
         loop {
-            let ask = ask.clone();
-            let is_over = Instant::now() >= expires;
-            let look = move |worker: &mut pool_worker::PoolWorker, _| {
-                let mut listed = worker.poll(token, &ask)?;
-                listed.incarnation = listed.incarnation.filter(|_| !hides_lives);
-                Some((is_over || worker.has_ends()).then_some(listed))
+            let request = request.clone();
+            let has_expired = Instant::now() >= expires;
+            let poll_worker = move |worker: &mut pool_worker::PoolWorker, _| {
+                let mut reply = worker.poll(token, &request)?;
+                reply.incarnation = reply.incarnation.filter(|_| !hides_incarnations);
+                Some((has_expired || worker.has_ends()).then_some(reply))
             };
-            match self.pass(target, POLL, ORDER_TIMEOUT, look).await? {
-                Some(Some(listed)) => return Ok(listed),
+            match self.call(target, POLL, CALL_TIMEOUT, poll_worker).await? {
+                Some(Some(reply)) => return Ok(reply),
                 Some(None) => time::sleep(POLL_TICK).await,
                 None => return Err(control::ControlFault::Fenced),
             }
@@ -365,11 +372,11 @@
         let order = start.clone();
         let target =
             control::WorkerTarget { worker: start.worker.clone(), address: start.address.clone() };
-        let begin = move |worker: &mut pool_worker::PoolWorker, room| {
-            let plan = pool_worker::parse_behavior(&order, room);
-            worker.start(token, &order, plan)
+        let start_task = move |worker: &mut pool_worker::PoolWorker, resources| {
+            let behavior = pool_worker::parse_behavior(&order, resources);
+            worker.start(token, &order, behavior)
         };
-        match self.pass(&target, START, ORDER_TIMEOUT, begin).await {
+        match self.call(&target, START, CALL_TIMEOUT, start_task).await {
             Ok(answer) => answer,
             Err(control::ControlFault::Call(error)) if error.fault.had_no_effect() => {
                 order::StartAnswer::NotSent
@@ -387,8 +394,8 @@
         let order = stop.clone();
         let target =
             control::WorkerTarget { worker: stop.worker.clone(), address: stop.address.clone() };
-        let end = move |worker: &mut pool_worker::PoolWorker, _| worker.stop(token, &order);
-        let is_accepted = self.pass(&target, STOP, ORDER_TIMEOUT, end).await?;
+        let stop_task = move |worker: &mut pool_worker::PoolWorker, _| worker.stop(token, &order);
+        let is_accepted = self.call(&target, STOP, CALL_TIMEOUT, stop_task).await?;
         if is_accepted { Ok(()) } else { Err(control::ControlFault::Fenced) }
     }
 }
--- a/crates/standin/src/pool_worker.rs
+++ b/crates/standin/src/pool_worker.rs
@@ -1,4 +1,5 @@
-//! One worker that runs tasks of job graphs: one lease for everything on it, numbered ends, fencing.
+//! A fake worker that runs tasks of job graphs. A single lease covers all its tasks, each task end gets a
+//! sequence number, and orders with an outdated fencing token are refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,92 +8,95 @@
 use almondpass_schema::ids;
 use tokio::time::Instant;
 
-/// A stop takes this long.
+/// Time from a stop order until its task has ended.
 pub const STOP_DURATION: Duration = Duration::from_millis(300);
 
-/// Longest lease that a worker grants; a longer one is shortened.
-const LONGEST_LEASE: Duration = Duration::from_secs(10);
+/// Longest lease that a worker grants; a longer requested lease is shortened to it.
+const MAX_LEASE: Duration = Duration::from_secs(10);
 
-/// A room that has shrunk counts this much later: as long as a change may take to be known by all, and a
-/// heartbeat.
-const SHRUNK_AFTER: Duration = Duration::from_millis(4_500);
+/// Time after a reduction of the capacity in which a start that exceeds only the reduced capacity does not
+/// count as oversubscribed: the longest time until all parties know of the reduction, plus one heartbeat.
+const REDUCTION_GRACE: Duration = Duration::from_millis(4_500);
 
-/// What a worker does with a task, as its body says.
+/// What a task does on its worker, as read from the task's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskBehavior {
-    /// It works this long.
+    /// Time until the task ends by itself.
     pub run_time: Duration,
-    /// It fails at the end.
+    /// Whether the task fails at its end.
     pub fails: bool,
-    /// Its worker crashes this long behind the start, if it is still there.
+    /// Time after its start at which the task crashes its worker, if the task still runs then.
     pub crashes_after: Option<Duration>,
-    /// What each task takes.
+    /// Resources that the task uses.
     pub resources: resources::Resources,
 }
 
-/// A task on a worker.
+/// A task that runs on a worker.
 #[derive(Clone, Debug)]
 pub struct PoolRun {
-    /// Its attempt.
+    /// Attempt number of the task, counted by the scheduler.
     pub attempt: u32,
-    /// When it began.
+    /// When the worker accepted the start.
     pub started: Instant,
-    /// What it does.
+    /// What the task does.
     pub behavior: TaskBehavior,
-    /// When its stop is done.
+    /// When a stop ends the task; absent until a stop is ordered.
     pub stops_at: Option<Instant>,
 }
 
-/// A run that is over, for oracles.
+/// A run that has ended, for the oracles of tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRecord {
-    /// The task.
+    /// The task that ran.
     pub task: task_key::TaskKey,
-    /// Its attempt.
+    /// Attempt number of the task, counted by the scheduler.
     pub attempt: u32,
-    /// The worker.
+    /// The worker that ran the task.
     pub worker: ids::WorkerId,
-    /// When it began.
+    /// When the worker accepted the start.
     pub started: Instant,
-    /// When it ended.
+    /// When the task ended, or its worker crashed.
     pub ended: Instant,
-    /// How.
+    /// How the run ended; a run that was cut off by a crash of its worker counts as lapsed.
     pub end_kind: order::EndKind,
-    /// Its number among the ends of the worker.
+    /// Sequence number of the end on its worker, from 1; 0 for a run that was cut off by a crash of the
+    /// worker.
     pub number: u64,
-    /// Whether the end was acknowledged, with no lapse of the lease between the two: only then does
-    /// it stand for good.
+    /// Whether the scheduler acknowledged the end, and the lease did not lapse between the end and its
+    /// acknowledgement. Only such an end is final.
     pub is_acknowledged: bool,
 }
 
-/// One life of a worker.
+/// One incarnation of a fake worker.
 #[derive(Clone, Debug)]
 pub struct PoolWorker {
     id: ids::WorkerId,
     incarnation: ids::Incarnation,
-    born: Instant,
+    created: Instant,
     capacity: resources::Resources,
-    /// Larger rooms that it had, with the time until which each counts.
-    former_rooms: Vec<(Instant, resources::Resources)>,
-    /// Whether it refuses what does not fit.
-    guards: bool,
-    /// Starts that it has taken beyond its room.
+    /// Earlier capacities, each with the time until which a start within it does not count as oversubscribed.
+    earlier_capacities: Vec<(Instant, resources::Resources)>,
+    /// Whether the worker refuses a start that does not fit into its capacity.
+    checks_capacity: bool,
+    /// Tasks whose accepted start exceeded the current capacity and those that were reduced only recently.
     pub oversubscribed_starts: Vec<task_key::TaskKey>,
     token: ids::FencingToken,
     deadline_ms: u64,
     runs: BTreeMap<task_key::TaskKey, PoolRun>,
-    /// Highest attempt that was stopped or ended here, by task.
-    barred: BTreeMap<task_key::TaskKey, u32>,
+    /// Highest attempt of each task that was stopped or has ended on this worker; a start of such an attempt,
+    /// or of an earlier one, is refused.
+    highest_closed_attempt: BTreeMap<task_key::TaskKey, u32>,
     ends: Vec<order::ListedEnd>,
     n_ends: u64,
-    /// Ends up to this one were listed before the lease last lapsed.
-    n_settled: u64,
-    /// Runs that are over.
+    /// Sequence number of the last end before the latest detected lapse of the lease. An acknowledgement that
+    /// comes after the lapse doesn't count for these ends.
+    n_ends_before_lapse: u64,
+    /// Ended runs of this incarnation, in order of their ends.
     pub records: Vec<RunRecord>,
 }
 
 impl PoolWorker {
-    /// A worker that runs nothing and knows nothing of former lives under its id.
+    /// A worker that runs nothing and has no state of earlier incarnations with its id.
     pub fn new(
         id: &str,
         incarnation: ids::Incarnation,
@@ -101,63 +105,65 @@
         PoolWorker {
             id: id.to_owned(),
             incarnation,
-            born: Instant::now(),
+            created: Instant::now(),
             capacity,
-            former_rooms: Vec::new(),
-            guards: true,
+            earlier_capacities: Vec::new(),
+            checks_capacity: true,
             oversubscribed_starts: Vec::new(),
             token: 0,
             deadline_ms: 0,
             runs: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            highest_closed_attempt: BTreeMap::new(),
             ends: Vec::new(),
             n_ends: 0,
-            n_settled: 0,
+            n_ends_before_lapse: 0,
             records: Vec::new(),
         }
     }
 
-    /// Which life of the worker this is.
+    /// Start time of this incarnation, in Unix milliseconds, as its creator gave it.
     pub fn incarnation(&self) -> ids::Incarnation {
         self.incarnation
     }
 
-    /// What it offers.
+    /// Resources that the worker offers to tasks.
     pub fn capacity(&self) -> resources::Resources {
         self.capacity
     }
 
-    /// From now on it offers that much.
+    /// Changes the offered resources at once; running tasks are not stopped. For a while, a start within the
+    /// previous capacity does not count as oversubscribed.
     pub fn set_capacity(&mut self, capacity: resources::Resources) {
-        self.former_rooms.push((Instant::now() + SHRUNK_AFTER, self.capacity));
+        self.earlier_capacities.push((Instant::now() + REDUCTION_GRACE, self.capacity));
         self.capacity = capacity;
     }
 
-    /// From now on it starts whatever it is told to.
+    /// Lets the worker accept starts that exceed its capacity.
     pub fn disable_capacity_check(&mut self) {
-        self.guards = false;
+        self.checks_capacity = false;
     }
 
-    /// Its clock.
+    /// Milliseconds since this incarnation was created: the clock that lease deadlines refer to.
     pub fn clock_ms(&self) -> u64 {
-        self.born.elapsed().as_millis() as u64
+        self.created.elapsed().as_millis() as u64
     }
 
-    /// What runs.
+    /// Running tasks. Ends that are due may not have been processed yet.
     pub fn runs(&self) -> &BTreeMap<task_key::TaskKey, PoolRun> {
         &self.runs
     }
 
-    /// When a task crashes it, as things stand.
+    /// The earliest time at which a running task crashes the worker, unless a stop or the lease ends the task
+    /// first.
     pub fn crashes_at(&self) -> Option<Instant> {
-        let crash = |it: &PoolRun| {
+        let crash_time = |it: &PoolRun| {
             let at = it.started + it.behavior.crashes_after?;
-            (at <= it.end(self.lapses_at()).0).then_some(at)
+            (at <= it.expected_end(self.lapses_at()).0).then_some(at)
         };
-        self.runs.values().filter_map(crash).min()
+        self.runs.values().filter_map(crash_time).min()
     }
 
-    /// Takes a start.
+    /// Handles a start order. Its deadline also extends the lease.
     pub fn start(
         &mut self,
         token: ids::FencingToken,
@@ -165,30 +171,31 @@
         behavior: TaskBehavior,
     ) -> order::StartAnswer {
         self.process_due_ends();
-        if !self.accepts(token) {
+        if !self.accept_token(token) {
             return order::StartAnswer::Refused(order::StartRefusal::Fenced);
         }
         let clock_ms = self.clock_ms();
         if start.deadline_ms <= clock_ms {
             return order::StartAnswer::Refused(order::StartRefusal::Late);
         }
-        self.note_ends(0);
-        self.extend(start.deadline_ms);
+        self.record_acknowledgements(0);
+        self.extend_lease(start.deadline_ms);
         if self.runs.get(&start.task).is_some_and(|it| it.attempt == start.attempt) {
             return order::StartAnswer::Started { clock_ms };
         }
-        let barred = self.barred.get(&start.task).copied().unwrap_or_default();
-        if start.attempt <= barred {
+        let highest_closed_attempt =
+            self.highest_closed_attempt.get(&start.task).copied().unwrap_or_default();
+        if start.attempt <= highest_closed_attempt {
             return order::StartAnswer::Refused(order::StartRefusal::Old);
         }
         let used = self
             .runs
             .values()
             .fold(resources::Resources::default(), |sum, it| sum.plus(it.behavior.resources));
-        if self.guards && !behavior.resources.fits_in(self.capacity.minus(used)) {
+        if self.checks_capacity && !behavior.resources.fits_in(self.capacity.minus(used)) {
             return order::StartAnswer::Refused(order::StartRefusal::Room);
         }
-        if !used.plus(behavior.resources).fits_in(self.counted_room()) {
+        if !used.plus(behavior.resources).fits_in(self.tolerated_capacity()) {
             self.oversubscribed_starts.push(start.task);
         }
         let run =
@@ -197,63 +204,64 @@
         order::StartAnswer::Started { clock_ms }
     }
 
-    /// Takes a stop. Whether the token was accepted.
+    /// Handles a stop order. Returns whether the fencing token was accepted.
     pub fn stop(&mut self, token: ids::FencingToken, stop: &order::StopOrder) -> bool {
         self.process_due_ends();
-        if !self.accepts(token) {
+        if !self.accept_token(token) {
             return false;
         }
-        let barred = self.barred.entry(stop.task).or_default();
-        *barred = (*barred).max(stop.attempt);
+        let highest_closed_attempt = self.highest_closed_attempt.entry(stop.task).or_default();
+        *highest_closed_attempt = (*highest_closed_attempt).max(stop.attempt);
         if let Some(run) = self.runs.get_mut(&stop.task).filter(|it| it.attempt <= stop.attempt) {
             run.stops_at.get_or_insert(Instant::now() + STOP_DURATION);
         }
         true
     }
 
-    /// Takes a look; nothing where the token was not accepted.
+    /// Handles a poll: extends the lease, removes acknowledged ends and lists runs and ends. Returns `None`
+    /// if the fencing token was not accepted.
     pub fn poll(
         &mut self,
         token: ids::FencingToken,
-        ask: &order::PollRequest,
+        request: &order::PollRequest,
     ) -> Option<order::PollReply> {
         self.process_due_ends();
-        if !self.accepts(token) {
+        if !self.accept_token(token) {
             return None;
         }
-        self.note_ends(ask.last_seen);
-        self.extend(ask.deadline_ms.unwrap_or_default());
-        self.ends.retain(|it| it.number > ask.last_seen);
-        Some(self.listed())
+        self.record_acknowledgements(request.last_seen);
+        self.extend_lease(request.deadline_ms.unwrap_or_default());
+        self.ends.retain(|it| it.number > request.last_seen);
+        Some(self.poll_reply())
     }
 
-    /// Whether ends wait to be acknowledged.
+    /// Whether any end has not been acknowledged yet.
     pub fn has_ends(&mut self) -> bool {
         self.process_due_ends();
         !self.ends.is_empty()
     }
 
-    /// Ends what is due: stops, work that is done, a lease that has run out.
+    /// Ends the tasks whose end is due, by a completed stop, the end of their work, or a lapsed lease.
     pub fn process_due_ends(&mut self) {
         let now = Instant::now();
         let lapses_at = self.lapses_at();
-        let ends = self.runs.iter().map(|(key, run)| (*key, run.end(lapses_at)));
+        let ends = self.runs.iter().map(|(key, run)| (*key, run.expected_end(lapses_at)));
         let due = ends.filter(|(_, (at, _))| *at <= now).collect::<Vec<_>>();
-        for (key, (at, how)) in due {
-            self.end(key, at, how);
+        for (key, (at, end_kind)) in due {
+            self.end(key, at, end_kind);
         }
     }
 
-    fn end(&mut self, task: task_key::TaskKey, at: Instant, how: order::EndKind) {
+    fn end(&mut self, task: task_key::TaskKey, at: Instant, end_kind: order::EndKind) {
         let Some(run) = self.runs.remove(&task) else { return };
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(run.attempt);
+        let highest_closed_attempt = self.highest_closed_attempt.entry(task).or_default();
+        *highest_closed_attempt = (*highest_closed_attempt).max(run.attempt);
         self.n_ends += 1;
         self.ends.push(order::ListedEnd {
             number: self.n_ends,
             task,
             attempt: run.attempt,
-            how,
+            how: end_kind,
             checkpoint: None,
         });
         self.records.push(RunRecord {
@@ -262,48 +270,50 @@
             worker: self.id.clone(),
             started: run.started,
             ended: at,
-            end_kind: how,
+            end_kind,
             number: self.n_ends,
             is_acknowledged: false,
         });
     }
 
-    /// Takes note of the acknowledgement of ends.
-    fn note_ends(&mut self, last_seen: u64) {
+    /// Marks the ends up to number `last_seen` as acknowledged, except those from before a lapse of the
+    /// lease.
+    fn record_acknowledgements(&mut self, last_seen: u64) {
         let lapses_at = self.lapses_at();
         let has_lapsed = lapses_at < Instant::now();
-        for record in self.records.iter_mut().filter(|it| it.number > self.n_settled) {
+        for record in self.records.iter_mut().filter(|it| it.number > self.n_ends_before_lapse) {
             if has_lapsed {
                 continue;
             }
             record.is_acknowledged |= record.number <= last_seen;
         }
-        self.n_settled = if has_lapsed { self.n_ends } else { self.n_settled };
+        self.n_ends_before_lapse = if has_lapsed { self.n_ends } else { self.n_ends_before_lapse };
     }
 
-    /// Its room, or a larger one that it had a moment ago.
-    fn counted_room(&self) -> resources::Resources {
+    /// The capacity beyond which a start counts as oversubscribed: per resource, the largest of the current
+    /// capacity and those that were reduced only recently.
+    fn tolerated_capacity(&self) -> resources::Resources {
         let now = Instant::now();
-        let former = self.former_rooms.iter().filter(|(until, _)| now < *until);
-        former.fold(self.capacity, |most, (_, it)| most.max(*it))
+        let earlier = self.earlier_capacities.iter().filter(|(until, _)| now < *until);
+        earlier.fold(self.capacity, |largest, (_, it)| largest.max(*it))
     }
 
     fn lapses_at(&self) -> Instant {
-        self.born + Duration::from_millis(self.deadline_ms)
+        self.created + Duration::from_millis(self.deadline_ms)
     }
 
-    fn extend(&mut self, deadline_ms: u64) {
-        let longest = self.clock_ms() + LONGEST_LEASE.as_millis() as u64;
-        self.deadline_ms = self.deadline_ms.max(deadline_ms.min(longest));
+    fn extend_lease(&mut self, deadline_ms: u64) {
+        let max_deadline_ms = self.clock_ms() + MAX_LEASE.as_millis() as u64;
+        self.deadline_ms = self.deadline_ms.max(deadline_ms.min(max_deadline_ms));
     }
 
-    fn accepts(&mut self, token: ids::FencingToken) -> bool {
+    fn accept_token(&mut self, token: ids::FencingToken) -> bool {
         let is_accepted = token >= self.token;
         self.token = self.token.max(token);
         is_accepted
     }
 
-    fn listed(&self) -> order::PollReply {
+    fn poll_reply(&self) -> order::PollReply {
         let running = self.runs.iter().map(|(task, run)| order::ListedRun {
             task: *task,
             attempt: run.attempt,
@@ -321,15 +331,17 @@
 }
 
 impl PoolRun {
-    /// When and how it ends, as things stand: the earliest of its work, a stop and the lease.
-    fn end(&self, lapses_at: Instant) -> (Instant, order::EndKind) {
-        let done = if self.behavior.fails { order::EndKind::Failed } else { order::EndKind::Done };
-        let mut end = (self.started + self.behavior.run_time, done);
-        for (at, how) in
+    /// When and how the run ends unless a further order changes it: at the earliest of the end of its work,
+    /// its stop and the lapse of the lease.
+    fn expected_end(&self, lapses_at: Instant) -> (Instant, order::EndKind) {
+        let own_end =
+            if self.behavior.fails { order::EndKind::Failed } else { order::EndKind::Done };
+        let mut end = (self.started + self.behavior.run_time, own_end);
+        for (at, end_kind) in
             [(self.stops_at, order::EndKind::Stopped), (Some(lapses_at), order::EndKind::Lapsed)]
         {
             if let Some(at) = at.filter(|it| *it < end.0) {
-                end = (at, how);
+                end = (at, end_kind);
             }
         }
         end
@@ -342,16 +354,17 @@
     (100.0 * share.min(1.0)) as u32
 }
 
-/// Reads what a task does from its body: `ms=2500`, `fail`, `crash=10`, in any order, separated by
-/// spaces. Only the first task of a step crashes its worker.
-pub fn parse_behavior(start: &order::StartOrder, room: resources::Resources) -> TaskBehavior {
+/// Reads the behavior of a task from the words of its body, which are separated by spaces and come in any
+/// order: `ms=2500` (run time), `fail`, `crash=10` (milliseconds after the start). Only the first task of a
+/// step crashes its worker.
+pub fn parse_behavior(start: &order::StartOrder, resources: resources::Resources) -> TaskBehavior {
     let words = || start.body.split(' ');
-    let millis = |name| words().find_map(|it| it.strip_prefix(name)?.parse().ok());
-    let crashes = millis("crash=").filter(|_| start.task.task == 0);
+    let value_of = |name| words().find_map(|it| it.strip_prefix(name)?.parse().ok());
+    let crash_after_ms = value_of("crash=").filter(|_| start.task.task == 0);
     TaskBehavior {
-        run_time: Duration::from_millis(millis("ms=").unwrap_or(1_000)),
+        run_time: Duration::from_millis(value_of("ms=").unwrap_or(1_000)),
         fails: words().any(|it| it == "fail"),
-        crashes_after: crashes.map(Duration::from_millis),
-        resources: room,
+        crashes_after: crash_after_ms.map(Duration::from_millis),
+        resources,
     }
 }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! What workers really ran, for oracles.
+//! Record of the task runs on fake workers, against which the oracles of tests check the scheduler.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,7 +7,7 @@
 
 use crate::state;
 
-/// Every run of a task on any worker of a fleet; clones share it.
+/// All task runs on the workers of a fleet. Clones share the log.
 #[derive(Clone, Debug, Default)]
 pub struct RunLog {
     runs: Arc<Mutex<Vec<TaskRun>>>,
@@ -16,54 +16,54 @@
 /// One run of one task on one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskRun {
-    /// Where it ran.
+    /// Worker that ran the task.
     pub worker: ids::WorkerId,
-    /// Under which lease.
+    /// Lease under which the task ran.
     pub lease: ids::LeaseId,
-    /// The job it belongs to.
+    /// Job that the task belongs to.
     pub job: ids::JobId,
-    /// Its number in the gang.
+    /// Number of the task within its gang.
     pub rank: u32,
-    /// The accelerators it had.
+    /// Accelerators of the lease, numbered from 0 on the worker.
     pub accelerators: Vec<u32>,
-    /// The checkpoint it resumed from.
+    /// Checkpoint that the task resumed from; absent if it started from the beginning.
     pub resumed_from: Option<ids::CheckpointId>,
-    /// When it started.
+    /// When the worker accepted the start.
     pub started: Instant,
-    /// When and how it ended; absent while it runs.
+    /// When and why the run ended; absent while the task runs.
     pub ended: Option<RunEnd>,
 }
 
-/// How a run ended.
+/// When and why a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunEnd {
-    /// When.
+    /// Time at which the end was due, which may be before the call that processed it.
     pub at: Instant,
-    /// By what.
+    /// What ended the run.
     pub cause: EndCause,
 }
 
-/// By what a run ended.
+/// What ended a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndCause {
-    /// The task itself.
+    /// The task exited by itself.
     Exited(model::TaskExit),
-    /// A signal.
+    /// A stop signal.
     Signalled,
-    /// Its lease was given back.
+    /// The lease was released by its holder.
     Released,
-    /// Its lease lapsed.
+    /// The lease expired without renewal.
     Lapsed,
-    /// The worker died.
+    /// The worker crashed.
     WorkerLost,
 }
 
-/// Place of a run in the log.
+/// Index of a run in its [`RunLog`].
 pub(crate) type RunIndex = usize;
 
 impl RunLog {
-    /// All runs so far, in order of their start. Ends that no call has brought to light yet are
-    /// missing; [`crate::fleet::WorkerFleet::runs`] settles them first.
+    /// All runs so far, in order of their start. An end that is due is missing until a later call to its
+    /// worker processes it; [`crate::fleet::WorkerFleet::runs`] processes all due ends first.
     pub fn runs(&self) -> Vec<TaskRun> {
         state::lock(&self.runs).clone()
     }
@@ -82,9 +82,9 @@
 }
 
 impl TaskRun {
-    /// Whether it ran at some moment from `from` until before `to`.
+    /// Whether the task ran at any time from `from` (included) to `to` (excluded).
     pub fn overlaps(&self, from: Instant, to: Instant) -> bool {
-        let ended_after = self.ended.as_ref().is_none_or(|it| from < it.at);
-        self.started < to && ended_after
+        let ends_after_from = self.ended.as_ref().is_none_or(|it| from < it.at);
+        self.started < to && ends_after_from
     }
 }
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,4 +1,4 @@
-//! How the tasks of a fake worker run.
+//! Scripts for the tasks of a fake worker: run time, exit, checkpoints and use of cores.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -9,51 +9,51 @@
 
 use crate::state;
 
-/// How one task runs.
+/// Behavior of one task. Callers may write it as JSON in the arguments of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskScript {
-    /// Time until it ends by itself.
+    /// Time from the start until the task ends by itself.
     pub run: time::TimeSpan,
-    /// How it ends.
+    /// Exit that the task reports when it ends by itself.
     #[serde(default = "succeeded")]
     pub exit: model::TaskExit,
-    /// Time that a checkpoint takes; absent where the task cannot.
+    /// Duration of a checkpoint; absent if the task can't write checkpoints.
     #[serde(default)]
     pub checkpoint: Option<time::TimeSpan>,
-    /// Cores that it uses, as a share of those it asked for.
+    /// Cores that the task uses, as a share of the cores of its lease (1.0 is all).
     #[serde(default = "full_use")]
     pub use_of_cores: f64,
 }
 
-/// Chooses the script of a task: one set for its job, else one written as JSON in the task's
-/// arguments, else the usual one. Clones share it.
+/// Chooses the script of a task: the one that the test set for the job, else one written as JSON in the
+/// task's arguments, else the default script. Clones share their scripts.
 #[derive(Clone, Debug)]
 pub struct TaskScripts {
-    state: Arc<Mutex<BookState>>,
+    state: Arc<Mutex<ScriptState>>,
 }
 
 #[derive(Debug)]
-struct BookState {
-    usual: TaskScript,
-    jobs: BTreeMap<ids::JobId, TaskScript>,
+struct ScriptState {
+    default_script: TaskScript,
+    job_scripts: BTreeMap<ids::JobId, TaskScript>,
 }
 
-/// Run time of the usual script.
-const USUAL_RUN: Duration = Duration::from_secs(10);
+/// Run time of a task whose job and arguments give no script.
+const DEFAULT_RUN_TIME: Duration = Duration::from_secs(10);
 
-/// Time that a checkpoint takes in the usual script.
-const USUAL_CHECKPOINT: Duration = Duration::from_millis(500);
+/// Duration of a checkpoint in the scripts that this module builds.
+const DEFAULT_CHECKPOINT_TIME: Duration = Duration::from_millis(500);
 
 impl TaskScript {
-    /// Succeeds after `run`.
+    /// A task that succeeds after `run` and can write checkpoints.
     pub fn lasting(run: Duration) -> TaskScript {
         let run = time::TimeSpan(run);
-        let checkpoint = Some(time::TimeSpan(USUAL_CHECKPOINT));
+        let checkpoint = Some(time::TimeSpan(DEFAULT_CHECKPOINT_TIME));
         TaskScript { run, exit: succeeded(), checkpoint, use_of_cores: full_use() }
     }
 
-    /// Fails after `run`, wherever it runs.
+    /// A task that fails after `run`, on any worker.
     pub fn failing(run: Duration) -> TaskScript {
         let reason = "scripted failure".to_owned();
         TaskScript { exit: model::TaskExit::Failed { reason }, ..TaskScript::lasting(run) }
@@ -62,27 +62,32 @@
 
 impl Default for TaskScripts {
     fn default() -> TaskScripts {
-        let usual = TaskScript::lasting(USUAL_RUN);
-        TaskScripts { state: Arc::new(Mutex::new(BookState { usual, jobs: BTreeMap::new() })) }
+        let default_script = TaskScript::lasting(DEFAULT_RUN_TIME);
+        TaskScripts {
+            state: Arc::new(Mutex::new(ScriptState {
+                default_script,
+                job_scripts: BTreeMap::new(),
+            })),
+        }
     }
 }
 
 impl TaskScripts {
-    /// Changes the usual script.
+    /// Sets the script of tasks whose job and arguments give none.
     pub fn set_default(&self, script: TaskScript) {
-        state::lock(&self.state).usual = script;
+        state::lock(&self.state).default_script = script;
     }
 
-    /// Sets the script of one job's tasks.
+    /// Sets the script of all tasks of one job; it takes precedence over a script in their arguments.
     pub fn set_job_script(&self, job: ids::JobId, script: TaskScript) {
-        state::lock(&self.state).jobs.insert(job, script);
+        state::lock(&self.state).job_scripts.insert(job, script);
     }
 
     pub(crate) fn script(&self, start: &model::TaskStart) -> TaskScript {
         let state = state::lock(&self.state);
-        let set = state.jobs.get(&start.job).cloned();
-        let set = set.or_else(|| serde_json::from_slice(&start.arguments).ok());
-        set.unwrap_or_else(|| state.usual.clone())
+        let chosen = state.job_scripts.get(&start.job).cloned();
+        let chosen = chosen.or_else(|| serde_json::from_slice(&start.arguments).ok());
+        chosen.unwrap_or_else(|| state.default_script.clone())
     }
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The fakes as services that answer calls, for [`crate::net::FakeNet`] and for sockets.
+//! Peer services that dispatch calls to the fakes, served over [`crate::net::FakeNet`] or sockets.
 
 use almondpass_peer::call::PeerCall;
 use almondpass_peer::{dispatch, error, link};
@@ -14,23 +14,23 @@
 use crate::object;
 use crate::table;
 
-/// The table, the object store and the instance list behind one address.
+/// Serves the table, the object store and the instance list at one address.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformService {
-    /// The table.
+    /// Answers transactions, reads and scans of rows.
     pub table: table::TableFake,
-    /// The object store.
+    /// Answers puts, gets and lists of objects.
     pub objects: object::ObjectFake,
-    /// The instance list.
+    /// Answers queries for instances.
     pub instances: instance::InstanceFake,
 }
 
-/// The control interface of one worker.
+/// Serves the control interface of one worker.
 #[derive(Clone, Debug)]
 pub struct WorkerService {
-    /// All workers.
+    /// Fleet that the worker belongs to.
     pub fleet: fleet::WorkerFleet,
-    /// Address under which the fleet knows this one.
+    /// Address of the worker within the fleet.
     pub address: ids::PeerAddress,
 }
 
@@ -38,17 +38,25 @@
     async fn serve(&self, path: &str, body: Bytes) -> Option<link::ServedReply> {
         match path {
             model::TableTransaction::PATH => {
-                relay(&body, async |call| self.table.transact(call).await).await
+                answer_call(&body, async |call| self.table.transact(call).await).await
+            }
+            model::TableGet::PATH => {
+                answer_call(&body, async |call| self.table.get(call).await).await
+            }
+            model::TableScan::PATH => {
+                answer_call(&body, async |call| self.table.scan(call).await).await
+            }
+            model::ObjectPut::PATH => {
+                answer_call(&body, async |call| self.objects.put(call).await).await
+            }
+            model::ObjectGet::PATH => {
+                answer_call(&body, async |call| self.objects.get(call).await).await
             }
-            model::TableGet::PATH => relay(&body, async |call| self.table.get(call).await).await,
-            model::TableScan::PATH => relay(&body, async |call| self.table.scan(call).await).await,
-            model::ObjectPut::PATH => relay(&body, async |call| self.objects.put(call).await).await,
-            model::ObjectGet::PATH => relay(&body, async |call| self.objects.get(call).await).await,
             model::ObjectList::PATH => {
-                relay(&body, async |call| self.objects.list(call).await).await
+                answer_call(&body, async |call| self.objects.list(call).await).await
             }
             model::InstanceQuery::PATH => {
-                relay(&body, async |query| self.instances.list(query).await).await
+                answer_call(&body, async |query| self.instances.list(query).await).await
             }
             _ => None,
         }
@@ -61,38 +69,38 @@
         let address = &self.address;
         match path {
             model::LeaseReserve::PATH => {
-                relay(&body, async |call| fleet.reserve(address, call).await).await
+                answer_call(&body, async |call| fleet.reserve(address, call).await).await
             }
             model::TaskStart::PATH => {
-                relay(&body, async |call| fleet.start(address, call).await).await
+                answer_call(&body, async |call| fleet.start(address, call).await).await
             }
             model::LeaseRenew::PATH => {
-                relay(&body, async |call| fleet.renew(address, call).await).await
+                answer_call(&body, async |call| fleet.renew(address, call).await).await
             }
             model::TaskSignal::PATH => {
-                relay(&body, async |call| fleet.signal(address, call).await).await
+                answer_call(&body, async |call| fleet.signal(address, call).await).await
             }
             model::LeaseRelease::PATH => {
-                relay(&body, async |call| fleet.release(address, call).await).await
+                answer_call(&body, async |call| fleet.release(address, call).await).await
             }
             model::LeaseList::PATH => {
-                relay(&body, async |_: model::LeaseList| fleet.leases(address).await).await
+                answer_call(&body, async |_: model::LeaseList| fleet.leases(address).await).await
             }
             _ => None,
         }
     }
 }
 
-/// Answers a call by a fake, passing its faults on to the caller.
-async fn relay<C, H>(body: &[u8], handler: H) -> Option<link::ServedReply>
+/// Answers a call with `handler`, which calls a fake; a fault of the fake is passed on to the caller.
+async fn answer_call<C, H>(body: &[u8], handler: H) -> Option<link::ServedReply>
 where
     C: PeerCall,
     H: AsyncFnOnce(C) -> Result<C::Reply, error::CallError>,
 {
-    dispatch::try_answer(body, async |call| handler(call).await.map_err(served_fault)).await
+    dispatch::try_answer(body, async |call| handler(call).await.map_err(to_serve_fault)).await
 }
 
-fn served_fault(error: error::CallError) -> error::ServeFault {
+fn to_serve_fault(error: error::CallError) -> error::ServeFault {
     if error.fault.had_no_effect() {
         return error::ServeFault::Unavailable(error.fault.to_string());
     }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,5 @@
-//! One worker's leases and tasks. No timers run: whatever falls due is settled by the next look.
+//! Leases and tasks of one fake worker. The worker runs no timers: the next call to it processes the task
+//! ends and lease expirations that are due by then.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,36 +10,36 @@
 use crate::run;
 use crate::script;
 
-/// What a worker has.
+/// Name, data centre and resources of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerShape {
-    /// Its name.
+    /// Name of the worker, unique in its site.
     pub id: ids::WorkerId,
-    /// Where it is.
+    /// Data centre of the worker's hall.
     pub data_center: ids::DataCenter,
-    /// Accelerators.
+    /// Number of accelerators; they are numbered from 0.
     pub accelerators: u32,
-    /// Slots.
+    /// Number of slots that leases share.
     pub slots: u32,
-    /// Processor cores.
+    /// Number of processor cores that leases share.
     pub cores: u32,
-    /// Memory in MiB.
+    /// Memory that leases share, in MiB.
     pub memory_mb: u64,
 }
 
-/// What is wrong with a worker.
+/// Fault of a worker that a test has injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerHealth {
-    /// Nothing.
+    /// The worker has no fault.
     #[default]
     Healthy,
-    /// It refuses every start.
+    /// The worker answers every start of a task with a failure.
     RefusesStarts,
-    /// Whatever it starts fails after this.
+    /// Every task that the worker starts fails after this time, whatever its script says.
     FailsTasks(Duration),
 }
 
-/// The leases of one worker.
+/// Leases of one worker, with their tasks and the injected faults of the worker.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     shape: WorkerShape,
@@ -52,10 +53,10 @@
 
 #[derive(Debug)]
 struct HeldLease {
-    reserve: model::LeaseReserve,
+    reservation: model::LeaseReserve,
     expires: Instant,
     task: Option<HeldTask>,
-    checkpoints: u32,
+    n_checkpoints: u32,
     checkpoint: Option<ids::CheckpointId>,
     pending_checkpoint: Option<Instant>,
 }
@@ -67,14 +68,14 @@
     rank: u32,
     script: script::TaskScript,
     started: Instant,
-    ends: Instant,
+    ends_at: Instant,
     exit: Option<model::TaskExit>,
 }
 
-/// A throttled task takes this many times what was left of its run.
+/// Factor by which a throttle signal lengthens the remaining run time of a task.
 const THROTTLE_FACTOR: u32 = 2;
 
-/// Memory that a task uses, in MiB, whatever it asked for.
+/// Memory that a running task reports as used, in MiB, independent of its lease.
 const MEMORY_USED_MB: u64 = 128;
 
 impl WorkerState {
@@ -97,14 +98,15 @@
         self.health = health;
     }
 
-    /// A paused worker runs nothing and lets nothing lapse until it wakes.
+    /// Pauses or resumes the worker. While paused, it processes no task ends and no lease expirations; on
+    /// resuming, it processes all that became due.
     pub(crate) fn set_paused(&mut self, paused: bool, now: Instant) {
         self.process_due(now);
         self.paused = paused;
         self.process_due(now);
     }
 
-    /// Ends every task and forgets every lease, as the worker's death would.
+    /// Ends every task and drops every lease, as a crash of the worker does.
     pub(crate) fn crash(&mut self, now: Instant) {
         self.process_due(now);
         for lease in std::mem::take(&mut self.leases).into_values() {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Lets tasks end and leases lapse that are due by `now`.
+    /// Processes the task ends, checkpoints and lease expirations that are due by `now`.
     pub(crate) fn process_due(&mut self, now: Instant) {
         if self.paused {
             return;
@@ -129,29 +131,29 @@
 
     pub(crate) fn reserve(
         &mut self,
-        reserve: model::LeaseReserve,
+        reservation: model::LeaseReserve,
         now: Instant,
     ) -> model::LeaseReserved {
         self.process_due(now);
-        if let Some(held) = self.leases.get_mut(&reserve.lease) {
-            if !same_content(&held.reserve, &reserve) {
-                return refused(vec![reserve.lease], "the lease stands with other content");
+        if let Some(held) = self.leases.get_mut(&reservation.lease) {
+            if !has_same_content(&held.reservation, &reservation) {
+                return refused(vec![reservation.lease], "the lease stands with other content");
             }
-            held.expires = now + reserve.term.0;
+            held.expires = now + reservation.term.0;
             return model::LeaseReserved::Granted;
         }
-        if let Some(refusal) = self.obstacle(&reserve) {
+        if let Some(refusal) = self.refusal(&reservation) {
             return refusal;
         }
         let lease = HeldLease {
-            expires: now + reserve.term.0,
+            expires: now + reservation.term.0,
             task: None,
-            checkpoints: 0,
+            n_checkpoints: 0,
             checkpoint: None,
             pending_checkpoint: None,
-            reserve,
+            reservation,
         };
-        self.leases.insert(lease.reserve.lease.clone(), lease);
+        self.leases.insert(lease.reservation.lease.clone(), lease);
         model::LeaseReserved::Granted
     }
 
@@ -177,7 +179,7 @@
             lease: start.lease,
             job: start.job,
             rank: start.rank,
-            accelerators: lease.reserve.accelerators.clone(),
+            accelerators: lease.reservation.accelerators.clone(),
             resumed_from: start.checkpoint.clone(),
             started: now,
             ended: None,
@@ -188,7 +190,7 @@
             job: start.job,
             rank: start.rank,
             started: now,
-            ends: now + script.run.0,
+            ends_at: now + script.run.0,
             script,
             exit: None,
         });
@@ -218,11 +220,11 @@
         };
         match signal.signal {
             model::TaskSignalKind::Checkpoint => {
-                let done = task.script.checkpoint.map(|it| now + it.0);
-                lease.pending_checkpoint = lease.pending_checkpoint.or(done);
+                let done_at = task.script.checkpoint.map(|it| now + it.0);
+                lease.pending_checkpoint = lease.pending_checkpoint.or(done_at);
             }
             model::TaskSignalKind::Throttle => {
-                task.ends = now + task.ends.duration_since(now) * THROTTLE_FACTOR;
+                task.ends_at = now + task.ends_at.duration_since(now) * THROTTLE_FACTOR;
             }
             model::TaskSignalKind::Stop => {
                 task.exit = Some(model::TaskExit::Stopped);
@@ -255,64 +257,64 @@
         }
     }
 
-    /// What stands in the way of a reservation.
-    fn obstacle(&self, reserve: &model::LeaseReserve) -> Option<model::LeaseReserved> {
+    /// The refusal of a reservation, if its accelerators don't exist or are held, or resources are short.
+    fn refusal(&self, reservation: &model::LeaseReserve) -> Option<model::LeaseReserved> {
         if let Some(missing) =
-            reserve.accelerators.iter().find(|it| self.shape.accelerators <= **it)
+            reservation.accelerators.iter().find(|it| self.shape.accelerators <= **it)
         {
             return Some(refused(Vec::new(), &format!("there is no accelerator {missing}")));
         }
         let overlaps = |it: &&HeldLease| {
-            it.reserve.accelerators.iter().any(|it| reserve.accelerators.contains(it))
+            it.reservation.accelerators.iter().any(|it| reservation.accelerators.contains(it))
         };
         let holders = self.leases.values().filter(overlaps);
-        let holders = holders.map(|it| it.reserve.lease.clone()).collect::<Vec<_>>();
+        let holders = holders.map(|it| it.reservation.lease.clone()).collect::<Vec<_>>();
         if !holders.is_empty() {
             return Some(refused(holders, "accelerators are held"));
         }
-        let held = self.leases.values().map(|it| &it.reserve);
+        let held = self.leases.values().map(|it| &it.reservation);
         let slots = held.clone().map(|it| it.slots).sum::<u32>();
         let cores = held.clone().map(|it| it.cores).sum::<u32>();
         let memory_mb = held.map(|it| it.memory_mb).sum::<u64>();
-        let short = if self.shape.slots < slots.saturating_add(reserve.slots) {
+        let shortage = if self.shape.slots < slots.saturating_add(reservation.slots) {
             "slots are held"
-        } else if self.shape.cores < cores.saturating_add(reserve.cores) {
+        } else if self.shape.cores < cores.saturating_add(reservation.cores) {
             "cores are held"
-        } else if self.shape.memory_mb < memory_mb.saturating_add(reserve.memory_mb) {
+        } else if self.shape.memory_mb < memory_mb.saturating_add(reservation.memory_mb) {
             "memory is held"
         } else {
             return None;
         };
-        Some(refused(self.leases.keys().cloned().collect(), short))
+        Some(refused(self.leases.keys().cloned().collect(), shortage))
     }
 }
 
 impl HeldLease {
     fn process_due(&mut self, now: Instant, log: &run::RunLog) {
         let Some(task) = self.task.as_mut().filter(|it| it.exit.is_none()) else { return };
-        if let Some(done) = self.pending_checkpoint.filter(|it| *it <= now.min(task.ends)) {
+        if let Some(done_at) = self.pending_checkpoint.filter(|it| *it <= now.min(task.ends_at)) {
             self.pending_checkpoint = None;
-            self.checkpoints += 1;
-            let micros = done.duration_since(task.started).as_micros();
+            self.n_checkpoints += 1;
+            let micros = done_at.duration_since(task.started).as_micros();
             self.checkpoint =
-                Some(format!("{}/{}/{}-{micros}", task.job, task.rank, self.checkpoints));
+                Some(format!("{}/{}/{}-{micros}", task.job, task.rank, self.n_checkpoints));
         }
-        if task.ends <= now {
+        if task.ends_at <= now {
             let exit = task.script.exit.clone();
             let cause = run::EndCause::Exited(exit.clone());
             task.exit = Some(exit);
-            log.end(task.run, run::RunEnd { at: task.ends, cause });
+            log.end(task.run, run::RunEnd { at: task.ends_at, cause });
         }
     }
 
     fn status(&self, now: Instant, usage_lag: Duration) -> model::LeaseStatus {
         let reported = |it: &&HeldTask| it.exit.is_none() && it.started + usage_lag <= now;
         let running = self.task.as_ref().filter(reported);
-        let cores = f64::from(self.reserve.cores);
+        let cores = f64::from(self.reservation.cores);
         model::LeaseStatus {
-            lease: self.reserve.lease.clone(),
-            accelerators: self.reserve.accelerators.clone(),
-            slots: self.reserve.slots,
+            lease: self.reservation.lease.clone(),
+            accelerators: self.reservation.accelerators.clone(),
+            slots: self.reservation.slots,
             started: self.task.is_some(),
             exit: self.task.as_ref().and_then(|it| it.exit.clone()),
             checkpoint: self.checkpoint.clone(),
@@ -323,8 +325,8 @@
     }
 }
 
-fn same_content(held: &model::LeaseReserve, asked: &model::LeaseReserve) -> bool {
-    model::LeaseReserve { term: held.term, ..asked.clone() } == *held
+fn has_same_content(held: &model::LeaseReserve, requested: &model::LeaseReserve) -> bool {
+    model::LeaseReserve { term: held.term, ..requested.clone() } == *held
 }
 
 fn refused(holders: Vec<ids::LeaseId>, reason: &str) -> model::LeaseReserved {
--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Leases and tasks of a fake worker.
+//! Tests of the leases and tasks of a fake worker.
 
 use std::time::Duration;
 
@@ -110,9 +110,9 @@
         assert_eq!(fleet.start(&address, start("a")).await, Ok(model::TaskStarted::NoLease));
     }
 
-    /// Symptom: a task is started though its caller was told that the start failed. Sequence: the
-    /// start breaks off, its effect follows 2 s later. Cause: the worker's answer was lost.
-    delayed_start_runs_all_the_same(fleet, worker) {
+    /// Guards the fault by which a task starts although its call failed: the connection of the start breaks,
+    /// so that the worker's answer is lost, and the start takes effect 2 s later.
+    delayed_start_takes_effect_after_its_call_failed(fleet, worker) {
         let address = ADDRESS.to_owned();
         let delay = Duration::from_secs(2);
         worker.faults().inject_next(model::TaskStart::PATH, fault::Fault::DelayedEffect(delay));
@@ -124,15 +124,15 @@
         assert_eq!(fleet.runs().len(), 1);
     }
 
-    paused_worker_answers_after_it_wakes(fleet, worker) {
+    paused_worker_answers_after_resuming(fleet, worker) {
         let address = ADDRESS.to_owned();
         fleet.reserve(&address, reserve("a", &[0])).await.unwrap();
         worker.pause();
-        let asking = fleet.clone();
-        let held = tokio::spawn(async move { asking.renew(&address, renew("a")).await });
+        let caller = fleet.clone();
+        let pending_renewal = tokio::spawn(async move { caller.renew(&address, renew("a")).await });
         clock::sleep(Duration::from_secs(40)).await;
-        assert!(!held.is_finished());
+        assert!(!pending_renewal.is_finished());
         worker.resume();
-        assert_eq!(held.await.unwrap().unwrap().lapsed, ["a"]);
+        assert_eq!(pending_renewal.await.unwrap().unwrap().lapsed, ["a"]);
     }
 }
