--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -110,7 +110,7 @@
         assert_eq!(fleet.start(&address, start("a")).await, Ok(model::TaskStarted::NoLease));
     }
 
-    /// Guards the fault by which a task starts although its call failed: the connection of the start breaks,
+    /// A task may start although its caller was told that the start failed: the connection of the start breaks,
     /// so that the worker's answer is lost, and the start takes effect 2 s later.
     delayed_start_takes_effect_after_its_call_failed(fleet, worker) {
         let address = ADDRESS.to_owned();
