--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -151,7 +151,7 @@
     }
 
     /// Counts a call, waits while the interface is paused, and returns the fault of the call. A scripted or
-    /// random fault goes before the fault of the condition.
+    /// random fault takes precedence over the fault of the condition.
     pub(crate) async fn next_fault(&self, step: &'static str) -> Option<Fault> {
         let scripted = state::lock(&self.state).count_call(step);
         let from_condition = self.condition_fault().await;
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -77,7 +77,7 @@
         self.log.runs()
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn call_with_faults<T: Send + 'static>(
         &self,
         address: &ids::PeerAddress,
         step: &'static str,
@@ -145,7 +145,7 @@
         reserve: model::LeaseReserve,
     ) -> Result<model::LeaseReserved, error::CallError> {
         let step = model::LeaseReserve::PATH;
-        self.pass(worker, step, move |state, now| state.reserve(reserve, now)).await
+        self.call_with_faults(worker, step, move |state, now| state.reserve(reserve, now)).await
     }
 
     async fn start(
@@ -154,7 +154,7 @@
         start: model::TaskStart,
     ) -> Result<model::TaskStarted, error::CallError> {
         let step = model::TaskStart::PATH;
-        self.pass(worker, step, move |state, now| state.start(start, now)).await
+        self.call_with_faults(worker, step, move |state, now| state.start(start, now)).await
     }
 
     async fn renew(
@@ -163,7 +163,7 @@
         renew: model::LeaseRenew,
     ) -> Result<model::LeaseListing, error::CallError> {
         let step = model::LeaseRenew::PATH;
-        self.pass(worker, step, move |state, now| state.renew(renew, now)).await
+        self.call_with_faults(worker, step, move |state, now| state.renew(renew, now)).await
     }
 
     async fn signal(
@@ -172,7 +172,7 @@
         signal: model::TaskSignal,
     ) -> Result<model::Ack, error::CallError> {
         let step = model::TaskSignal::PATH;
-        self.pass(worker, step, move |state, now| state.signal(&signal, now)).await
+        self.call_with_faults(worker, step, move |state, now| state.signal(&signal, now)).await
     }
 
     async fn release(
@@ -181,13 +181,14 @@
         release: model::LeaseRelease,
     ) -> Result<model::Ack, error::CallError> {
         let step = model::LeaseRelease::PATH;
-        self.pass(worker, step, move |state, now| state.release(&release, now)).await
+        self.call_with_faults(worker, step, move |state, now| state.release(&release, now)).await
     }
 
     async fn leases(
         &self,
         worker: &ids::PeerAddress,
     ) -> Result<model::LeaseListing, error::CallError> {
-        self.pass(worker, model::LeaseList::PATH, move |state, now| state.list(now)).await
+        self.call_with_faults(worker, model::LeaseList::PATH, move |state, now| state.list(now))
+            .await
     }
 }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -64,8 +64,8 @@
         state::lock(&self.state).latency = latency;
     }
 
-    /// Lets `service` answer at `address`, on the runtime of the caller of this function. The service of a
-    /// process with a runtime of its own is so paused and killed together with the process.
+    /// Lets `service` answer at `address`, on the runtime that calls this function. If each process has a
+    /// runtime of its own, a service is paused or killed together with its process.
     pub fn register<S: link::PeerService>(&self, address: &str, service: S) {
         let serve = move |path: &'static str, body: Bytes| -> ServeFuture {
             let service = service.clone();
--- a/crates/standin/src/object.rs
+++ b/crates/standin/src/object.rs
@@ -48,7 +48,7 @@
         keys.keys().filter(|it| it.starts_with(prefix)).cloned().collect()
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn call_with_faults<T: Send + 'static>(
         &self,
         step: &'static str,
         effect: impl FnOnce(&mut ObjectMap) -> T + Send + 'static,
@@ -64,17 +64,18 @@
         &self,
         put: model::ObjectPut,
     ) -> Result<model::ObjectPutOutcome, error::CallError> {
-        self.pass(model::ObjectPut::PATH, move |objects| create(objects, put)).await
+        self.call_with_faults(model::ObjectPut::PATH, move |objects| create(objects, put)).await
     }
 
     async fn get(&self, get: model::ObjectGet) -> Result<model::ObjectFound, error::CallError> {
         let step = model::ObjectGet::PATH;
         let read = move |objects: &mut ObjectMap| objects.get(&get.key).cloned();
-        self.pass(step, move |objects| model::ObjectFound { value: read(objects) }).await
+        self.call_with_faults(step, move |objects| model::ObjectFound { value: read(objects) })
+            .await
     }
 
     async fn list(&self, list: model::ObjectList) -> Result<model::ObjectKeys, error::CallError> {
-        self.pass(model::ObjectList::PATH, move |objects| keys_of(objects, &list)).await
+        self.call_with_faults(model::ObjectList::PATH, move |objects| keys_of(objects, &list)).await
     }
 }
 
@@ -91,9 +92,9 @@
         Some(after) if list.prefix <= *after => Bound::Excluded(after.clone()),
         _ => Bound::Included(list.prefix.clone()),
     };
-    let below = objects.range((first, Bound::Unbounded)).map(|(key, _)| key);
-    let mut below = below.take_while(|it| it.starts_with(&list.prefix));
+    let in_prefix = objects.range((first, Bound::Unbounded)).map(|(key, _)| key);
+    let mut in_prefix = in_prefix.take_while(|it| it.starts_with(&list.prefix));
     let limit = usize::try_from(list.limit).unwrap_or(usize::MAX);
-    let keys = below.by_ref().take(limit).cloned().collect();
-    model::ObjectKeys { keys, more: below.next().is_some() }
+    let keys = in_prefix.by_ref().take(limit).cloned().collect();
+    model::ObjectKeys { keys, more: in_prefix.next().is_some() }
 }
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug)]
 struct StoredRow {
     version: ids::RowVersion,
-    /// Number of the transaction that last wrote the row.
+    /// Number of the transaction that last wrote or deleted the row.
     written_in: u64,
     value: Option<blob::Blob>,
 }
@@ -178,7 +178,7 @@
         state::lock(&self.rows).scan(&scan).rows
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn call_with_faults<T: Send + 'static>(
         &self,
         step: &'static str,
         effect: impl FnOnce(&mut TableRows) -> T + Send + 'static,
@@ -198,15 +198,15 @@
         if let Some(fault) = state::lock(&self.limits).rejection(&transaction) {
             return Err(error::CallError { step, peer: PEER.to_owned(), fault });
         }
-        self.pass(step, move |rows| rows.transact(transaction)).await
+        self.call_with_faults(step, move |rows| rows.transact(transaction)).await
     }
 
     async fn get(&self, get: model::TableGet) -> Result<model::TableRows, error::CallError> {
-        self.pass(model::TableGet::PATH, move |rows| rows.get(&get)).await
+        self.call_with_faults(model::TableGet::PATH, move |rows| rows.get(&get)).await
     }
 
     async fn scan(&self, scan: model::TableScan) -> Result<model::TableRows, error::CallError> {
-        self.pass(model::TableScan::PATH, move |rows| rows.scan(&scan)).await
+        self.call_with_faults(model::TableScan::PATH, move |rows| rows.scan(&scan)).await
     }
 }
 
@@ -233,9 +233,9 @@
             Some(after) if scan.prefix <= *after => Bound::Excluded(after.clone()),
             _ => Bound::Included(scan.prefix.clone()),
         };
-        let below = self.rows.range((first, Bound::Unbounded));
-        let below = below.take_while(|(key, _)| key.starts_with(&scan.prefix));
-        let mut live = below.filter(|(_, row)| row.value.is_some());
+        let in_prefix = self.rows.range((first, Bound::Unbounded));
+        let in_prefix = in_prefix.take_while(|(key, _)| key.starts_with(&scan.prefix));
+        let mut live = in_prefix.filter(|(_, row)| row.value.is_some());
         let limit = usize::try_from(scan.limit).unwrap_or(usize::MAX);
         let rows = live.by_ref().take(limit).map(|(key, row)| row.to_row(key)).collect();
         model::TableRows { rows, more: live.next().is_some() }
@@ -275,7 +275,8 @@
         let mut snapshot = row_feed::FeedRows::default();
         loop {
             let (prefix, after) = (prefix.clone(), snapshot.rows.last().map(|it| it.key.clone()));
-            let page = self.pass(SNAPSHOT_STEP, move |rows| rows.page(&prefix, after, max_rows));
+            let page = self
+                .call_with_faults(SNAPSHOT_STEP, move |rows| rows.page(&prefix, after, max_rows));
             let fault = error::CallFault::TimedOut(deadline);
             let timed_out = error::CallError { step: SNAPSHOT_STEP, peer: PEER.to_owned(), fault };
             let page = time::timeout(deadline, page).await.unwrap_or(Err(timed_out))?;
@@ -304,7 +305,7 @@
                 (after >= rows.forgotten_through)
                     .then(|| limit_changes(rows.changes(&prefix, Some(after)), max_rows))
             };
-            let Some(changes) = self.pass(FOLLOW_STEP, read).await? else {
+            let Some(changes) = self.call_with_faults(FOLLOW_STEP, read).await? else {
                 return Err(row_feed::FeedFault::HistoryGone);
             };
             if !changes.rows.is_empty() || Instant::now() >= wait_ends {
@@ -329,9 +330,9 @@
     /// Rows whose keys begin with `prefix`, in version order: all existing rows, or with `after` the rows
     /// that were written or deleted after that transaction.
     fn changes(&mut self, prefix: &str, after: Option<u64>) -> row_feed::FeedRows {
-        let below = self.rows.range(prefix.to_owned()..);
-        let below = below.take_while(|(key, _)| key.starts_with(prefix));
-        let wanted = below.filter(|(_, row)| match after {
+        let in_prefix = self.rows.range(prefix.to_owned()..);
+        let in_prefix = in_prefix.take_while(|(key, _)| key.starts_with(prefix));
+        let wanted = in_prefix.filter(|(_, row)| match after {
             Some(after) => row.written_in > after,
             None => row.value.is_some(),
         });
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -217,13 +217,13 @@
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             // An upstream may begin to execute before it reads the body, so the execution is recorded.
             Some(Err(error)) => {
-                self.record(&head.headers, misbehaviour, Bytes::new());
+                self.record_execution(&head.headers, misbehaviour, Bytes::new());
                 return Err(error.into());
             }
             None => Bytes::new(),
         };
         let body_head = first.slice(..first.len().min(execution::HEAD_BYTES));
-        self.record(&head.headers, misbehaviour, body_head);
+        self.record_execution(&head.headers, misbehaviour, body_head);
         clock::sleep(self.run_time_of(&first)).await;
         self.wait_until_worker_up().await?;
         let answer = prepend_data(first, body);
@@ -271,16 +271,21 @@
         (misbehaviour, previous)
     }
 
-    fn record(&self, headers: &HeaderMap, misbehaviour: Option<Misbehaviour>, body_head: Bytes) {
-        let text = |name| headers.get(name)?.to_str().ok().map(str::to_owned);
+    fn record_execution(
+        &self,
+        headers: &HeaderMap,
+        misbehaviour: Option<Misbehaviour>,
+        body_head: Bytes,
+    ) {
+        let header_text = |name| headers.get(name)?.to_str().ok().map(str::to_owned);
         let leases = self.location.control.as_ref().map(|it| it.peek());
         let leased =
             leases.is_some_and(|it| it.iter().any(|it| it.lease.starts_with(SERVING_LEASE)));
         self.log.push(execution::RequestExecution {
             worker: self.location.worker.clone(),
             upstream: self.location.upstream.clone(),
-            request: text(&REQUEST_ID),
-            idempotency: text(&IDEMPOTENCY_KEY),
+            request: header_text(&REQUEST_ID),
+            idempotency: header_text(&IDEMPOTENCY_KEY),
             leased,
             misbehaviour,
             body_head,
--- a/crates/standin/tests/net.rs
+++ b/crates/standin/tests/net.rs
@@ -39,7 +39,7 @@
 
 /// Each test makes one call from `a` to `b` and checks the caller's result, and how often the service has
 /// handled the call a minute later.
-macro_rules! cases {
+macro_rules! call_cases {
     ($($(#[$doc:meta])* $name:ident($net:ident) $fault:block => $result:pat, handled $handled:literal;)*) => {
         $($(#[$doc])* #[tokio::test(start_paused = true)]
         async fn $name() {
@@ -55,7 +55,7 @@
     };
 }
 
-cases! {
+call_cases! {
     call_is_answered(net) {} => Ok(model::Ack {}), handled 1;
 
     unknown_address_is_refused(net) { net.crash("b"); } => Err(error::CallFault::NotSent(_)), handled 0;
