--- a/crates/standin/src/object.rs
+++ b/crates/standin/src/object.rs
@@ -1,4 +1,4 @@
-//! The object store, in memory.
+//! A fake of the platform's object store, in memory.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,15 +12,15 @@
 use crate::fault;
 use crate::state;
 
-/// A handle of the object store; clones share the objects.
+/// A handle to the fake object store. Clones share the objects.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectFake {
     objects: Arc<Mutex<ObjectMap>>,
-    plan: fault::FaultPlan,
-    path: fault::FaultPlan,
+    service_faults: fault::FaultPlan,
+    path_faults: fault::FaultPlan,
 }
 
-/// Name of the fake in errors.
+/// Peer name of the object store in call errors.
 const PEER: &str = "objects";
 
 type ObjectMap = BTreeMap<ids::ObjectKey, blob::Blob>;
@@ -31,30 +31,31 @@
         ObjectFake::default()
     }
 
-    /// The same store behind a path of its own, such as one instance's.
-    pub fn with_path_faults(&self, path: fault::FaultPlan) -> ObjectFake {
-        ObjectFake { path, ..self.clone() }
+    /// A handle to the same store whose calls also get the faults of `path_faults`, for example of the path
+    /// from one instance.
+    pub fn with_path_faults(&self, path_faults: fault::FaultPlan) -> ObjectFake {
+        ObjectFake { path_faults, ..self.clone() }
     }
 
     /// Faults of the service itself, for every caller.
     pub fn faults(&self) -> &fault::FaultPlan {
-        &self.plan
+        &self.service_faults
     }
 
-    /// Keys below a prefix as they are, past all faults, for oracles.
+    /// Current keys that begin with `prefix`. Ignores injected faults; for the checks of oracles.
     pub fn peek(&self, prefix: &str) -> Vec<ids::ObjectKey> {
         let keys = state::lock(&self.objects);
         keys.keys().filter(|it| it.starts_with(prefix)).cloned().collect()
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn call_with_faults<T: Send + 'static>(
         &self,
         step: &'static str,
         effect: impl FnOnce(&mut ObjectMap) -> T + Send + 'static,
     ) -> Result<T, error::CallError> {
         let objects = Arc::clone(&self.objects);
         let effect = move || effect(&mut state::lock(&objects));
-        fault::call_through(&[&self.path, &self.plan], PEER, step, effect).await
+        fault::call_through(&[&self.path_faults, &self.service_faults], PEER, step, effect).await
     }
 }
 
@@ -63,17 +64,18 @@
         &self,
         put: model::ObjectPut,
     ) -> Result<model::ObjectPutOutcome, error::CallError> {
-        self.pass(model::ObjectPut::PATH, move |objects| create(objects, put)).await
+        self.call_with_faults(model::ObjectPut::PATH, move |objects| create(objects, put)).await
     }
 
     async fn get(&self, get: model::ObjectGet) -> Result<model::ObjectFound, error::CallError> {
         let step = model::ObjectGet::PATH;
         let read = move |objects: &mut ObjectMap| objects.get(&get.key).cloned();
-        self.pass(step, move |objects| model::ObjectFound { value: read(objects) }).await
+        self.call_with_faults(step, move |objects| model::ObjectFound { value: read(objects) })
+            .await
     }
 
     async fn list(&self, list: model::ObjectList) -> Result<model::ObjectKeys, error::CallError> {
-        self.pass(model::ObjectList::PATH, move |objects| keys_of(objects, &list)).await
+        self.call_with_faults(model::ObjectList::PATH, move |objects| keys_of(objects, &list)).await
     }
 }
 
@@ -90,9 +92,9 @@
         Some(after) if list.prefix <= *after => Bound::Excluded(after.clone()),
         _ => Bound::Included(list.prefix.clone()),
     };
-    let below = objects.range((first, Bound::Unbounded)).map(|(key, _)| key);
-    let mut below = below.take_while(|it| it.starts_with(&list.prefix));
+    let in_prefix = objects.range((first, Bound::Unbounded)).map(|(key, _)| key);
+    let mut in_prefix = in_prefix.take_while(|it| it.starts_with(&list.prefix));
     let limit = usize::try_from(list.limit).unwrap_or(usize::MAX);
-    let keys = below.by_ref().take(limit).cloned().collect();
-    model::ObjectKeys { keys, more: below.next().is_some() }
+    let keys = in_prefix.by_ref().take(limit).cloned().collect();
+    model::ObjectKeys { keys, more: in_prefix.next().is_some() }
 }
