--- a/crates/hall/tests/hall/handover.rs
+++ b/crates/hall/tests/hall/handover.rs
@@ -50,9 +50,9 @@
 }
 
 cases! {
-    /// Symptom: one instance schedules every hall for weeks.
-    /// Sequence: the instance starts before the others and acquires every hall, because all are free.
-    /// Cause: a hall moves to another instance only when its holder leaves.
+    /// Guards against one instance that schedules every hall for weeks: it starts before the others and
+    /// acquires every hall, because all are free. If a hall moved only when its holder leaves, that instance
+    /// would keep all of them.
     a_hall_moves_to_its_assigned_instance(site) {
         let assigned_id = rendezvous::preferred(HALL, ["a", "b"]).expect("two candidates");
         let first_id = if assigned_id == "a" { "b" } else { "a" };
@@ -67,9 +67,9 @@
         assert_eq!(site.partial_runs(job, 3, support::secs(1)), 0);
     }
 
-    /// Symptom: requests are refused while an instance is replaced.
-    /// Sequence: requests arrive continuously through two entries while the holder shuts down.
-    /// Cause: no instance answers between two holders, and an entry treats that as a final failure.
+    /// Guards against requests that are refused while an instance is replaced: requests arrive continuously
+    /// through two entries while the holder shuts down. No instance answers between two holders, and an entry
+    /// treats that as a final failure.
     no_request_is_refused_during_a_hand_over(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c"].map(|it| site.start(it));
@@ -94,9 +94,9 @@
         assert!(others.iter().any(|it| it.holds()));
     }
 
-    /// Symptom: a gang that is starting is stopped, or a hand-over waits long for the gang.
-    /// Sequence: the holder leaves while a gang starts and job rows are being committed.
-    /// Cause: the successor reads rows and leases in the middle of the start of a gang.
+    /// Guards against a starting gang that is stopped by a hand-over, and against a hand-over that waits long
+    /// for the gang: the holder leaves while a gang starts and job rows are being committed, and the
+    /// successor reads rows and leases in the middle of that start.
     a_hand_over_during_a_gang_start_neither_stops_it_nor_waits_long(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -116,9 +116,9 @@
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
-    /// Symptom: a restart during an outage loses hours of work.
-    /// Sequence: the table becomes unavailable; the holder is asked to leave; the table is available again.
-    /// Cause: a holder that leaves a hall no other instance can acquire lets the leases of its gangs expire.
+    /// Guards against a restart during an outage that loses hours of work: the table becomes unavailable, the
+    /// holder is asked to leave, and the table becomes available again later. A holder that leaves a hall
+    /// that no other instance can acquire lets the leases of its gangs expire.
     a_holder_that_leaves_in_an_outage_stays_until_it_can_hand_over(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
--- a/crates/hall/tests/hall/ownership.rs
+++ b/crates/hall/tests/hall/ownership.rs
@@ -19,9 +19,9 @@
         assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
     }
 
-    /// Symptom: a hall stays without a scheduler for long after its holder died.
-    /// Sequence: the holder dies right after a renewal; the scheduler row no longer changes.
-    /// Cause: each watcher counts the term from the last change that it read, by its own clock.
+    /// Guards against a hall that stays without a scheduler for long after its holder died: the holder dies
+    /// right after a renewal, so that the scheduler row no longer changes, and each watcher counts the term
+    /// from the last change that it read, by its own clock.
     a_dead_holder_is_replaced_within_the_term_and_two_seconds(site) {
         let holder = site.start_holder("a").await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
@@ -34,9 +34,9 @@
         assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(2));
     }
 
-    /// Symptom: requests are refused while an instance is replaced.
-    /// Sequence: the holder shuts down while requests arrive through both instances.
-    /// Cause: a holder that lets its tenure expire leaves the hall without a scheduler for a term.
+    /// Guards against requests that are refused while an instance is replaced: the holder shuts down while
+    /// requests arrive through both instances. A holder that lets its tenure expire leaves the hall without a
+    /// scheduler for a term.
     a_leaving_holder_hands_over_within_a_second(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -54,9 +54,9 @@
         shutdown.await.expect("a shutdown that ends");
     }
 
-    /// Symptom: a hall waits a whole term for a holder that does not know that it holds the hall.
-    /// Sequence: the write that acquires the hall takes effect; its answer is lost.
-    /// Cause: a lost answer is treated as a failed write, although the row names its writer.
+    /// Guards against a hall that waits a whole term for a holder that does not know that it holds the hall:
+    /// the write that acquires the hall takes effect, but its answer is lost and is treated as a failed
+    /// write, although the row names its writer.
     a_lost_answer_to_the_acquiring_write_keeps_the_tenure(site) {
         site.table.faults().next(model::TableTransaction::PATH, Fault::AnswerLost);
         let holder = site.start_holder("a").await;
@@ -64,10 +64,9 @@
         assert_eq!(site.scheduler_row().map(|it| it.epoch), Some(1));
     }
 
-    /// Symptom: a live holder gives its hall up.
-    /// Sequence: the answer to a renewal is lost, or a renewal takes effect late and changes the row's
-    /// version.
-    /// Cause: the conflict of the next renewal is treated as the loss of the tenure.
+    /// Guards against a live holder that gives up its hall: the answer to a renewal is lost, or a renewal
+    /// takes effect late and changes the row's version, and the conflict of the next renewal is treated as
+    /// the loss of the tenure.
     lost_and_late_renewals_keep_the_tenure(site) {
         let holder = site.start_holder("a").await;
         let transact = model::TableTransaction::PATH;
@@ -83,10 +82,9 @@
         holder.expect_grant(support::request(&site, support::REPEATABLE_REQUEST)).await;
     }
 
-    /// Symptom: two instances schedule one hall.
-    /// Sequence: the holder is cut off from the table but not from its peers; another instance takes over.
-    /// Cause: the old holder assumes that the table is unavailable to all, and does not compare its epoch
-    /// with the higher one in the other instance's beat.
+    /// Guards against two instances that schedule one hall: the holder is cut off from the table but not from
+    /// its peers, and another instance takes over. The old holder assumes that the table is unavailable to
+    /// all instances, and does not compare its epoch with the higher one in the other instance's beat.
     a_cut_off_holder_stops_when_a_beat_reports_a_newer_tenure(site) {
         let old_holder = site.start_holder("a").await;
         let new_holder = site.start("b");
@@ -100,9 +98,9 @@
         assert!(matches!(reply, model::GrantReply::NotHolder { .. }));
     }
 
-    /// Symptom: a holder whose process was paused past the end of its term still acts.
-    /// Sequence: the process resumes after the end of the term, with or without an outage recorded long ago.
-    /// Cause: the holder checks a flag instead of the clock before each action.
+    /// Guards against a holder that still acts after its process was paused past the end of its term: the
+    /// process resumes after the end of the term, with or without an outage recorded long ago, and the holder
+    /// checks a flag instead of the clock before each action.
     a_paused_holder_is_stale_until_it_renewed(_site) {
         let now = Instant::now();
         let valid_until = now + support::secs(4);
--- a/crates/hall/tests/hall/takeover.rs
+++ b/crates/hall/tests/hall/takeover.rs
@@ -33,8 +33,8 @@
 }
 
 cases! {
-    /// Symptom: hours of work are lost when a scheduler dies.
-    /// Sequence: the holder dies while a gang runs; the gang has to go on under the next holder.
+    /// Guards against the loss of hours of work when a scheduler dies: the holder dies while a gang runs, and
+    /// the gang has to continue under the next holder.
     a_complete_gang_is_adopted(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -47,9 +47,9 @@
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
-    /// Symptom: a gang that fits the hall waits for ever although every worker is free.
-    /// Sequence: a task of the gang fails on one worker, then the holder dies; the gang needs all workers.
-    /// Cause: after a takeover the gang is never placed again on a worker on which one of its tasks failed.
+    /// Guards against a gang that fits the hall but waits for ever although every worker is free: a task of
+    /// the gang fails on one worker, the holder dies, and the successor never places the gang on that worker
+    /// again. The gang needs all workers.
     a_gang_that_failed_once_runs_again_after_a_takeover(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -64,9 +64,9 @@
         site.wait_for_job_state(job, model::JobState::Done).await;
     }
 
-    /// Symptom: an ended job stays in the running state.
-    /// Sequence: the holder dies; the gang ends before the successor lists the leases of the workers.
-    /// Cause: the takeover releases the leases itself and bypasses the code that handles the end of a gang.
+    /// Guards against an ended job that stays in the running state: the holder dies, and the gang ends before
+    /// the successor lists the leases of the workers. The takeover then releases the leases itself and
+    /// bypasses the code that handles the end of a gang.
     a_gang_that_ends_without_a_holder_is_recorded_as_done(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -83,8 +83,8 @@
         assert_eq!(site.fleet.runs().len(), 6);
     }
 
-    /// Symptom: part of a gang keeps running after its scheduler died during the start of the gang.
-    /// Sequence: the holder dies after it started two of three members; the successor finds their leases.
+    /// Guards against part of a gang that keeps running after its scheduler died during the start of the
+    /// gang: the holder dies after it started two of three members, and the successor finds their leases.
     a_partial_gang_is_released_and_started_again(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -114,8 +114,8 @@
         assert_eq!(n_restarted, 3);
     }
 
-    /// Symptom: accelerators stay occupied by leases that belong to no job.
-    /// Sequence: a job ends, and the holder dies before it releases the job's leases.
+    /// Guards against accelerators that stay occupied by leases that belong to no job: a job ends, and the
+    /// holder dies before it releases the job's leases.
     leases_of_unknown_jobs_are_released(site) {
         let job = site.key();
         create_lease(&site, 0, &format!("job/{job}/0-1/0"), job, true).await;
@@ -124,10 +124,9 @@
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
-    /// Symptom: a hall keeps a scheduler that does nothing.
-    /// Sequence: a worker lists a lease that seems to be from a newer tenure, but no newer tenure is in the
-    /// rows.
-    /// Cause: the scheduler stops while its contender keeps renewing the tenure.
+    /// Guards against a hall whose scheduler does nothing: a worker lists a lease that seems to be from a
+    /// newer tenure, but no newer tenure is in the rows. The scheduler stops while its contender keeps
+    /// renewing the tenure.
     a_lease_with_a_higher_epoch_does_not_stop_the_hall(site) {
         let holder = site.start_holder("a").await;
         let job = site.key();
@@ -137,10 +136,9 @@
         assert_eq!(site.n_running_tasks(job), 0);
     }
 
-    /// Symptom: the accelerators of a running request are given to a job.
-    /// Sequence: the holder dies while entries use its grants; the entries report and return the grants
-    /// later.
-    /// Cause: the successor treats serving leases of an earlier tenure as idle.
+    /// Guards against giving the accelerators of a running request to a job: the holder dies while entries
+    /// use its grants, and the successor treats serving leases of the earlier tenure as idle. The entries
+    /// report and return the grants later.
     serving_leases_stay_busy_until_entries_return_their_grants(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -179,9 +177,9 @@
         site.wait_for_job_state(job, model::JobState::Running).await;
     }
 
-    /// Symptom: a gang is started a second time while it still runs on a worker that does not answer.
-    /// Sequence: the holder dies while one of the gang's workers is cut off for a few seconds.
-    /// Cause: the successor treats a worker that does not answer as one without leases.
+    /// Guards against a second start of a gang that still runs on a worker that does not answer: the holder
+    /// dies while one of the gang's workers is cut off for a few seconds, and the successor treats that
+    /// worker as one without leases.
     a_gang_on_a_silent_worker_is_kept_for_a_term(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -201,8 +199,8 @@
         assert_eq!(site.fleet.runs().len(), 3);
     }
 
-    /// Symptom: a cancelled job runs again.
-    /// Sequence: a job is cancelled, and the holder dies before it has stopped the job's tasks.
+    /// Guards against a cancelled job that runs again: a job is cancelled, and the holder dies before it has
+    /// stopped the job's tasks.
     a_cancellation_survives_the_loss_of_its_scheduler(site) {
         let holder = site.start_holder("a").await;
         let other = site.start("b");
@@ -217,8 +215,8 @@
         assert_eq!(site.table.peek(&keys::hall_jobs(HALL)).len(), 0);
     }
 
-    /// Symptom: a job is never started.
-    /// Sequence: a job is submitted while no worker can be reached; later the workers can be reached again.
+    /// Guards against a job that is never started: it is submitted while no worker can be reached, and the
+    /// workers can be reached again later.
     a_job_submitted_without_reachable_workers_runs_later(site) {
         let holder = site.start_holder("a").await;
         holder.worker_faults.set(Condition::Refusing);
--- a/crates/hall/tests/hall/watching.rs
+++ b/crates/hall/tests/hall/watching.rs
@@ -36,9 +36,9 @@
 }
 
 cases! {
-    /// Symptom: reads of scheduler rows are nearly all of the traffic of an idle instance.
-    /// Sequence: an instance watches eight halls while nothing happens.
-    /// Cause: each contender reads the rows of its hall in a call of its own.
+    /// Guards against reads of scheduler rows that make up nearly all of the traffic of an idle instance: the
+    /// instance watches eight halls while nothing happens, and each contender reads the rows of its hall in a
+    /// separate call.
     many_halls_share_one_read_per_interval(site) {
         let _holder = start_holder_of_all(&site).await;
         let idle = [site.start("b")];
@@ -48,9 +48,9 @@
         assert!((79..=81).contains(&n_reads[0]), "{n_reads:?} reads in a minute");
     }
 
-    /// Symptom: an instance sends separate reads for halls with different read intervals.
-    /// Sequence: an instance has a good preference rank for some halls and a low one for others.
-    /// Cause: requests that fall due soon after a read are not included in that read.
+    /// Guards against separate reads for halls with different read intervals: an instance has a good
+    /// preference rank for some halls and a low one for others, and requests that fall due soon after a read
+    /// are not included in that read.
     halls_of_different_intervals_share_reads(site) {
         let _holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d", "e", "f"].map(|it| site.start(it));
@@ -60,9 +60,9 @@
         assert!(n_reads.iter().all(|it| *it <= 91), "{n_reads:?} reads in a minute");
     }
 
-    /// Symptom: some halls of a dead instance wait longer than others for their next scheduler.
-    /// Sequence: the holder of eight halls dies; the other instances read the rows of all halls together.
-    /// Cause: a hall that is not due is left out of a read, or waits for a read that failed.
+    /// Guards against halls of a dead instance that wait longer than its other halls for their next
+    /// scheduler: the holder of eight halls dies, and the other instances read the rows of all halls
+    /// together. A hall that is not due is left out of a read, or waits for a read that failed.
     halls_of_a_dead_holder_are_acquired_in_time(site) {
         let holder = start_holder_of_all(&site).await;
         let others = ["b", "c", "d"].map(|it| site.start(it));
@@ -75,9 +75,9 @@
         assert!(died_at.elapsed() <= term + support::secs(2), "took {:?}", died_at.elapsed());
     }
 
-    /// Symptom: live holders are deposed as soon as the table is available again.
-    /// Sequence: the table refuses all calls for five terms.
-    /// Cause: a read that fails for all halls resets the observed rows of only some halls.
+    /// Guards against live holders that are deposed as soon as the table is available again: the table
+    /// refuses all calls for five terms, and a read that fails for all halls resets the observed rows of only
+    /// some halls.
     an_outage_deposes_no_holder_of_many_halls(site) {
         let holder = start_holder_of_all(&site).await;
         let _others = ["b", "c", "d"].map(|it| site.start(it));
--- a/crates/pool/src/hand_over.rs
+++ b/crates/pool/src/hand_over.rs
@@ -20,7 +20,7 @@
 const MIN_HOLD_TIME: Duration = Duration::from_secs(3);
 
 /// A hand-over is postponed for at most this long because of a worker that does not answer: a successor, and
-/// accepted jobs with it, would wait anew for that worker's lease.
+/// accepted jobs with it, would have to wait for that worker's lease again.
 const MAX_SILENT_WORKER_WAIT: Duration = Duration::from_secs(30);
 
 /// Interval between two checks for stronger instances.
--- a/crates/pool/tests/pool/crashes.rs
+++ b/crates/pool/tests/pool/crashes.rs
@@ -59,14 +59,10 @@
     };
 }
 
-// Symptom: two jobs never ended, and a worker was lost every 1.6 s without end, with everything that ran on
-// it.
-//
-// Sequence: a task crashes its worker; once the worker is known to be lost, its tasks start elsewhere, this
-// task among them, and so on.
-//
-// Cause: the loss of a worker counted against none of the tasks that ran on it; only ends that a worker lists
-// counted.
+// Guards against jobs that never end and crash one worker after the other, with everything that runs on it
+// (seen with two jobs and a loss every 1.6 s): a task crashes its worker; once the worker is known to be
+// lost, its tasks start elsewhere, this task among them, and so on. The loss of a worker counted against none
+// of the tasks that ran on it; only ends that a worker lists counted.
 //
 // Evidence: 13 of 14 workers were lost 11 ms after a start of one of two tasks on them, whatever their racks;
 // the only trace in logs, rows and metrics was that the worker had ended.
@@ -85,8 +81,8 @@
     row
 }
 
-/// Guards against losses that are forgotten with a holder that could not save them, so that a task crashes as
-/// many workers again.
+/// Guards against worker losses that are forgotten when the holder that observed them ends before it could
+/// save them: the task would then crash as many workers again.
 #[test]
 fn a_successor_learns_of_unsaved_losses() {
     support::run(async {
--- a/crates/pool/tests/pool/entries.rs
+++ b/crates/pool/tests/pool/entries.rs
@@ -10,12 +10,10 @@
 /// Time for the list to be read, and for jobs to end.
 const SOON: Duration = Duration::from_secs(3);
 
-/// Symptom: tasks were started on a worker whose entry could no longer be read.
-///
-/// Sequence: the worker is listed; its entry is overwritten.
-///
-/// Cause: an entry that could not be read was ignored, and the worker's earlier entry stayed in force. The
-/// other workers serve meanwhile, and the worker serves again as soon as it has rewritten its entry.
+/// Guards against tasks that are started on a worker whose entry can no longer be read: the worker is listed,
+/// and its entry is overwritten. An entry that could not be read was ignored, and the worker's earlier entry
+/// stayed in force. The other workers serve meanwhile, and the worker serves again as soon as it has
+/// rewritten its entry.
 #[test]
 fn a_corrupted_entry_excludes_only_its_worker() {
     support::run(async {
--- a/crates/pool/tests/pool/restarts.rs
+++ b/crates/pool/tests/pool/restarts.rs
@@ -12,18 +12,15 @@
 /// Time that a worker is down when it restarts.
 const DOWN: Duration = Duration::from_millis(600);
 
-/// Symptom: tasks that had succeeded were started again.
+/// Guards against tasks that had succeeded and were started again: a worker has listed some ends, loses
+/// power, and restarts under its id; the tasks that it is then given end. State kept for the worker outlived
+/// its incarnation: ends are numbered from 1 in each incarnation, and those up to the highest number of the
+/// earlier incarnation were skipped as known and even acknowledged, so that the worker forgot them. The next
+/// poll showed neither run nor end, and the task was started again.
 ///
-/// Sequence: a worker has listed some ends, loses power, and restarts under its id; the tasks that it then
-/// gets end.
-///
-/// Cause: state kept for the worker outlived its incarnation. Ends are numbered from 1 in each incarnation;
-/// those up to the highest number of the earlier incarnation were skipped as known and even acknowledged, so
-/// that the worker forgot them. The next poll showed neither run nor end, and the task was started again.
-///
-/// Evidence: of the restarted workers, those that had listed no end before lost no run afterwards, and those
-/// that had listed two or more lost their first runs, each within a poll of the time at which the worker
-/// itself reported it done.
+/// Evidence: of the restarted workers, those that had listed no end before lost no run afterwards. Those that
+/// had listed two or more lost their first runs, each within a poll of the time at which the worker itself
+/// reported the run as done.
 #[test]
 fn tasks_on_a_restarted_worker_run_once() {
     support::run(async {
@@ -43,12 +40,10 @@
     });
 }
 
-/// Symptom: accepted jobs never began their second step although most workers were empty.
-///
-/// Sequence: workers restart repeatedly, each under its id, while a wide step runs.
-///
-/// Cause: as in `tasks_on_a_restarted_worker_run_once`, each end of the step from a later
-/// incarnation was skipped, its task ran again, and for the scheduler the step never ended.
+/// Guards against accepted jobs that never begin their second step although most workers are empty: workers
+/// restart repeatedly, each under its id, while a wide step runs. As in
+/// `tasks_on_a_restarted_worker_run_once`, each end of the step from a later incarnation was skipped, its
+/// task ran again, and for the scheduler the step never ended.
 ///
 /// Evidence: half a minute after the last restart one run in eight still vanished without an end, from
 /// workers that answered all the time, and the jobs' first steps had one task left that ran for the fourth
@@ -75,12 +70,9 @@
     });
 }
 
-/// Symptom, found by review and in storms: a task ran on two workers at a time.
-///
-/// Sequence: a start gets no answer and is executed seconds later; meanwhile its worker has restarted, and
-/// the task runs elsewhere.
-///
-/// Cause: nothing in the start told the later incarnation that the call was not meant for it; the start's
+/// Guards against a task that runs on two workers at a time (found by review and in storms): a start gets no
+/// answer and is executed seconds later; meanwhile its worker has restarted, and the task runs elsewhere.
+/// Nothing in the start showed the later incarnation that the call was not meant for it, since the start's
 /// deadline is by the earlier incarnation's clock. Calls to a later incarnation now carry a higher fencing
 /// token, which bars the start.
 #[test]
@@ -94,7 +86,7 @@
         let late = fault::Fault::DelayedEffect(Duration::from_secs(4));
         bench.fleet.faults(&support::worker_id(1)).next(pool_fleet::START, late);
         bench.submit(0, 2, support::job(1, 8_000)).await;
-        // The task goes to the first worker, as the second one leaves; then the second one restarts.
+        // The task goes to the first worker, because the second one is drained; then the second one restarts.
         bench.drain_worker(1).await;
         bench.cancel(0, 1).await;
         time::sleep(Duration::from_millis(1_500)).await;
@@ -105,12 +97,9 @@
     });
 }
 
-/// Symptom, found by review: tasks on a worker that could no longer be reached were started elsewhere only
-/// minutes later.
-///
-/// Sequence: a worker that has been up for long restarts, gets a task, and is cut off for good.
-///
-/// Cause: deadlines by the earlier incarnation's clock, which showed far more, counted as the worker's lease.
+/// Guards against tasks on an unreachable worker that are started elsewhere only minutes later (found by
+/// review): a worker that has been up for long restarts, gets a task, and is cut off for good. Deadlines by
+/// the earlier incarnation's clock, which showed far more, counted as the worker's lease.
 #[test]
 fn a_lease_by_an_earlier_clock_ends_with_its_incarnation() {
     support::run(async {
--- a/crates/pool/tests/pool/strengths.rs
+++ b/crates/pool/tests/pool/strengths.rs
@@ -15,12 +15,10 @@
 const LEASE_BOUND: Duration = Duration::from_millis(7_200);
 const STRONG_ADDRESS: &str = "10.0.9.1:7000";
 
-/// Symptom: on some days urgent work was late from the beginning, and on one day in 25 nearly all work was.
-///
-/// Sequence: all instances start for the first time, those on weak machines slightly earlier; one of these
-/// takes the tenure for the day.
-///
-/// Cause: it checked whether a stronger instance was listed while most had not written their rows yet.
+/// Guards against a weak instance that holds the tenure for the day; on some days urgent work was late from
+/// the beginning, and on one day in 25 nearly all work was. All instances start for the first time, those on
+/// weak machines slightly earlier, and one of these acquires the tenure: it checked whether a stronger
+/// instance was listed while most had not written their rows yet.
 #[test]
 fn a_weak_instance_that_starts_first_leaves_the_tenure_to_a_stronger_one() {
     support::run(async {
@@ -71,11 +69,9 @@
     });
 }
 
-/// Symptom: instances with 0.12 cores spent their time on reading.
-///
-/// Sequence: 147 instances read the rows of all 147 every 6 s.
-///
-/// Cause: the amount read grew with the square of the number of instances, although rows hardly ever change.
+/// Guards against instances with 0.12 cores that spend their time on reading: 147 instances read the rows of
+/// all 147 every 6 s. The amount read grew with the square of the number of instances, although rows hardly
+/// ever change.
 #[test]
 fn instances_read_each_others_rows_once() {
     support::run(async {
@@ -86,8 +82,8 @@
     });
 }
 
-/// Guards against repeated hand-overs while a worker does not answer: each would make accepted jobs wait anew
-/// for that worker's lease.
+/// Guards against repeated hand-overs while a worker does not answer: after each of them, accepted jobs would
+/// again wait for that worker's lease.
 #[test]
 fn a_tenure_is_not_handed_over_while_a_worker_does_not_answer() {
     support::run(async {
--- a/crates/pool/tests/pool/takeovers.rs
+++ b/crates/pool/tests/pool/takeovers.rs
@@ -60,12 +60,9 @@
     });
 }
 
-/// Symptom: after a power loss of all instances scheduling began 0.8 s later than the instances were up.
-///
-/// Sequence: the former holder's machine starts; it reads the tenure's row before it has read the
-/// configuration.
-///
-/// Cause: without a configuration it waited for its next regular read of the row.
+/// Guards against scheduling that began 0.8 s after the instances were up again after a power loss of all of
+/// them: the former holder's machine reads the tenure's row before it has read the configuration. Without a
+/// configuration it waited for its next regular read of the row.
 #[test]
 fn a_restarted_holder_schedules_at_once() {
     support::run(async {
@@ -79,12 +76,9 @@
     });
 }
 
-/// Symptom: after a power loss of all instances, jobs that had not started yet waited for 13 s.
-///
-/// Sequence: a worker has left; all instances stop and restart.
-///
-/// Cause: the successor waited for everything that might run on the worker, although the earlier holder knew
-/// that nothing did.
+/// Guards against jobs that had not started yet and waited for 13 s after a power loss of all instances: a
+/// worker has left, and all instances stop and restart. The successor waited for everything that might run on
+/// the worker, although the earlier holder knew that nothing did.
 #[test]
 fn a_worker_that_has_left_holds_up_no_successor() {
     support::run(async {
@@ -177,11 +171,9 @@
     });
 }
 
-/// Symptom: one instance after the other acquired the tenure, and none began to schedule.
-///
-/// Sequence: the holder is killed; its successor's reads of the tables take longer than the term.
-///
-/// Cause: it did not renew the tenure before it had read them.
+/// Guards against instances that acquire the tenure one after the other, none of which begins to schedule:
+/// the holder is killed, and its successor's reads of the tables take longer than the term. The successor did
+/// not renew the tenure before it had read them.
 #[test]
 fn a_successor_keeps_the_tenure_while_it_reads() {
     support::run(async {
@@ -203,7 +195,7 @@
     });
 }
 
-/// A start whose answer is lost although the task runs: the task is found by a poll, not started again.
+/// The answer to a start is lost although the task runs: a poll finds the task, and it is not started again.
 #[test]
 fn a_start_without_answer_is_settled_by_a_poll() {
     support::run(async {
@@ -217,7 +209,8 @@
     });
 }
 
-/// A start that is executed seconds late, when its task has long run elsewhere.
+/// A start that is executed seconds late, when its task has been running elsewhere for a long time, is
+/// refused.
 #[test]
 fn a_late_start_is_refused() {
     support::run(async {
@@ -233,7 +226,7 @@
     });
 }
 
-/// The store drops its history just when a job was accepted and the nudge was lost.
+/// An accepted job is found although its nudge was lost and the store dropped its history at the same time.
 #[test]
 fn a_job_is_found_although_the_history_is_gone() {
     support::run(async {
@@ -270,7 +263,7 @@
 }
 
 /// Guards against a restarted process that reads late that its predecessor at the same address held the
-/// tenure, and counts the wait for that one's orders only from then on.
+/// tenure, and only then begins to count the wait for the predecessor's orders.
 #[test]
 fn a_restarted_holder_counts_the_lease_from_its_own_start() {
     support::run(async {
@@ -297,8 +290,8 @@
     });
 }
 
-/// Guards against a tenure that goes on although its successor was told that it has ended, and against one
-/// that goes on but is reported as ended.
+/// Guards against a tenure that continues although its successor received the answer that it has ended, and
+/// against one that continues but is reported as ended.
 #[test]
 fn a_former_tenure_ends_when_its_successor_asks() {
     support::run(async {
@@ -366,8 +359,8 @@
     });
 }
 
-/// Guards against a task that runs twice: the write that acquired the tenure from a holder that goes on
-/// without the store got no answer, and the successor mistook its own row for that of a holder that has
+/// Guards against a task that runs twice: the write that acquired the tenure from a holder that continues
+/// without the store got no answer, and the successor mistook its own row for the row of a holder that has
 /// ended.
 #[test]
 fn a_successor_that_acquires_twice_waits_for_the_earlier_holder() {
@@ -381,9 +374,9 @@
     });
 }
 
-/// Guards against a task that runs twice: an instance acquires the tenure from a holder that goes on without
-/// the store, can't read the tables and releases the tenure, and the next holder assumes that no other one
-/// gives orders.
+/// Guards against a task that runs twice: an instance acquires the tenure from a holder that continues
+/// without the store, can't read the tables and releases the tenure, and the next holder assumes that no
+/// other instance gives orders to workers.
 #[test]
 fn a_successor_of_an_unserved_tenure_waits_for_the_earlier_holder() {
     support::run(async {
@@ -406,8 +399,8 @@
     });
 }
 
-/// Guards against a task that runs twice: a holder takes over from one that goes on without the store, and
-/// restarts.
+/// Guards against a task that runs twice: an instance takes over from a holder that continues without the
+/// store, and then the new holder restarts.
 #[test]
 fn a_restarted_holder_waits_for_the_earlier_holder() {
     support::run(async {
@@ -475,8 +468,8 @@
     bench.assert_nothing_ran_twice();
 }
 
-/// Guards against a worker long known to be silent that delays every job that the next holder has not
-/// accepted itself.
+/// Guards against a worker that was found silent long ago but still delays every job that the next holder has
+/// not accepted itself.
 #[test]
 fn a_worker_that_was_found_silent_holds_up_no_successor() {
     support::run(async {
--- a/crates/pool/tests/tenure.rs
+++ b/crates/pool/tests/tenure.rs
@@ -61,11 +61,9 @@
     a_failed_read_restarts_the_count:
         Some(row("10.0.0.1:1", false)), failed Some(1_000), at 2_900 => false;
     a_holder_has_released_it: Some(row("10.0.0.1:1", true)), failed None, at 0 => true;
-    /// Symptom: after a restart of all instances nothing ran for another 2.6 s.
-    ///
-    /// Sequence: all instances lose power; the holder's machine restarts and finds its own row.
-    ///
-    /// Cause: it waited for the term of a process that can't run at the same address.
+    /// Guards against a restart of all instances after which nothing ran for another 2.6 s: all instances
+    /// lose power, and the holder's machine restarts and finds its own row. It waited for the term of the
+    /// earlier process, which can't be running any more at the same address.
     an_earlier_process_at_the_own_address_has_ended:
         Some(row("10.0.0.2:1", false)), failed None, at 0 => true;
 }
